--- a/micagate/handover/fields.py
+++ b/micagate/handover/fields.py
@@ -8,7 +8,7 @@
 
 import math
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from typing import Any
 
 
@@ -19,9 +19,9 @@
 PLAIN = frozenset((float, int, str, type(None)))  # a yes or no is none: it has to stay one
 
 
-def take(owner: object, names: Iterable[str]) -> dict[str, Any]:
-    """The named fields: numbers, texts, and lists and mappings of them."""
-    state = {name: getattr(owner, name) for name in names}
+def take(owner: object, fields: Mapping[str, str]) -> dict[str, Any]:
+    """The attributes of `fields`, by written key: numbers, texts, and lists and mappings of them."""
+    state = {name: getattr(owner, attribute) for name, attribute in fields.items()}
     for name, value in state.items():
         if type(value) not in PLAIN:
             state[name] = _plain(value)
@@ -36,16 +36,16 @@
     return value
 
 
-def put(owner: object, names: Iterable[str], state: Mapping[str, Any]) -> None:
-    """Set the named fields from a state. Damaged where a value is no such thing."""
-    for name in names:
+def put(owner: object, fields: Mapping[str, str], state: Mapping[str, Any]) -> None:
+    """Set the attributes of `fields` from a state, by written key. Damaged where a value is no such thing."""
+    for name, attribute in fields.items():
         if name in state:
-            value, old = state[name], getattr(owner, name)
+            value, old = state[name], getattr(owner, attribute)
             # Most are plain numbers: asked for first, as 30,000 customers have a million of them.
             if type(value) in PLAIN and type(old) in PLAIN and value == value:
-                setattr(owner, name, value)
+                setattr(owner, attribute, value)
             else:
-                setattr(owner, name, _as(value, old, f"{type(owner).__name__}.{name}"))
+                setattr(owner, attribute, _as(value, old, f"{type(owner).__name__}.{name}"))
 
 
 def _as(value: Any, old: Any, what: str) -> Any:
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -18,71 +18,123 @@
 from micagate.pending import Attempt, Pending
 from micagate.told import customer_of
 
-ACCOUNT = (
-    "slice",
-    "stood",
-    "store",
-    "ceiling",
-    "at",
-    "tick",
-    "asked",
-    "forecast",
-    "longer",
-    "top",
-    "use",
-    "read",
-    "readings",
-    "fresh",
-    "counted",
-    "silent",
-    "filled",
-    "full_until",
-    "took",
-)
-WHOLE = (
-    "level",
-    "at",
-    "told",
-    "unit",
-    "_base",
-    "_times",
-    "_sums",
-    "_own",
-    "_use",
-    "_span",
-    "_long",
-    "_longer",
-    "_mine",
-    "_all",
-    "_read",
-    "_weighed",
-    "_kept",
-    "_due",
-)
-METER = ("_missed", "_phase", "_misfits", "_weighed", "_skipped", "late")
-THROTTLE = (
-    "on",
-    "rate",
-    "base",
-    "fill",
-    "workers",
-    "plans",
-    "least",
-    "_born",
-    "_leaked",
-    "_since",
-    "_due",
-    "_quiet",
-    "_changed",
-    "_admits",
-    "_refusals",
-    "_signals",
-)
-FLEET = ("_usual", "_done", "_done_at", "brisk", "_answers", "owed")
-WORKER = ("slow", "learned", "heard", "latest", "losses", "fails", "until", "turn", "pause", "answers", "fulls", "held")
-RECENT, TAILS = ("_at", "_took", "_aims", "_missed"), ("_at", "_long", "_gone")
+# What is written of each object: the written key, which never changes, and the attribute that it stands for.
+ACCOUNT = {
+    "slice": "slice",
+    "stood": "stood",
+    "store": "store",
+    "ceiling": "ceiling",
+    "at": "at",
+    "tick": "tick",
+    "asked": "asked",
+    "forecast": "forecast",
+    "longer": "longer",
+    "top": "top",
+    "use": "use",
+    "read": "read",
+    "readings": "readings",
+    "fresh": "fresh",
+    "counted": "counted",
+    "silent": "silent",
+    "filled": "filled",
+    "full_until": "full_until",
+    "took": "took",
+}
+WHOLE = {
+    "level": "level",
+    "at": "at",
+    "told": "told",
+    "unit": "unit",
+    "_base": "_base",
+    "_times": "_times",
+    "_sums": "_sums",
+    "_own": "_own",
+    "_use": "_use",
+    "_span": "_span",
+    "_long": "_long",
+    "_longer": "_longer",
+    "_mine": "_mine",
+    "_all": "_all",
+    "_read": "_read",
+    "_weighed": "_weighed",
+    "_kept": "_kept",
+    "_due": "_due",
+}
+METER = {
+    "_missed": "_missed",
+    "_phase": "_phase",
+    "_misfits": "_misfits",
+    "_weighed": "_weighed",
+    "_skipped": "_skipped",
+    "late": "late",
+}
+THROTTLE = {
+    "on": "on",
+    "rate": "rate",
+    "base": "base",
+    "fill": "fill",
+    "workers": "workers",
+    "plans": "plans",
+    "least": "least",
+    "_born": "_born",
+    "_leaked": "_leaked",
+    "_since": "_since",
+    "_due": "_due",
+    "_quiet": "_quiet",
+    "_changed": "_changed",
+    "_admits": "_admits",
+    "_refusals": "_refusals",
+    "_signals": "_signals",
+}
+FLEET = {
+    "_usual": "_usual",
+    "_done": "_done",
+    "_done_at": "_done_at",
+    "brisk": "brisk",
+    "_answers": "_answers",
+    "owed": "owed",
+}
+WORKER = {
+    "slow": "slow",
+    "learned": "learned",
+    "heard": "heard",
+    "latest": "latest",
+    "losses": "losses",
+    "fails": "fails",
+    "until": "until",
+    "turn": "turn",
+    "pause": "pause",
+    "answers": "answers",
+    "fulls": "fulls",
+    "held": "held",
+}
+RECENT = {
+    "_at": "_at",
+    "_took": "_took",
+    "_aims": "_aims",
+    "_missed": "_missed",
+}
+TAILS = {
+    "_at": "_at",
+    "_long": "_long",
+    "_gone": "_gone",
+}
 FEW, ROUNDS = 40, 6  # accounts that may be given in one step; rounds of a copy at the most
-BUDGET = ("_took", "_heard", "_unheard", "_look", "_row", "_held")
+BUDGET = {
+    "_took": "_took",
+    "_heard": "_heard",
+    "_unheard": "_unheard",
+    "_look": "_look",
+    "_row": "_row",
+    "_held": "_held",
+}
+QUOTAS = {
+    "_born": "_born",
+    "took": "took",
+}
+WAITS = {
+    "_waits": "_waits",
+}
 
 
 def account_row(a: Account, often: bool) -> dict[str, Any]:
@@ -156,7 +208,7 @@
     """All but accounts and what is out."""
     g, q, f = gateway, gateway.quotas, gateway.fleet
     return {
-        "quotas": take(q, ("_born", "took")),
+        "quotas": take(q, QUOTAS),
         "meter": take(q.meter, METER),
         "debts": q.debts.rest(),
         "throttle": take(g.throttle, THROTTLE),
@@ -164,7 +216,7 @@
         "recent": take(f.recent, RECENT),
         "tails": take(f.tails, TAILS),
         "workers": {name: take(worker, WORKER) for name, worker in f.workers.items()},
-        "waits": take(g.waits, ("_waits",))["_waits"],
+        "waits": take(g.waits, WAITS)["_waits"],
         "budget": g.budget,
         "counter": take(g.counting.budget, BUDGET),
         "banned": dict(g.maintenance.banned),
@@ -218,8 +270,8 @@
 def put_core(gateway: Gateway, now: float, state: dict[str, Any], out: Iterable[dict[str, Any]] = ()) -> None:
     """Take the rest over; the list of workers has been told before. Damaged where it can't be read."""
     g, q, f = gateway, gateway.quotas, gateway.fleet
-    parts: list[tuple[object, tuple[str, ...], str]] = [
-        (q, ("_born", "took"), "quotas"),
+    parts: list[tuple[object, dict[str, str], str]] = [
+        (q, QUOTAS, "quotas"),
         (q.meter, METER, "meter"),
         (g.throttle, THROTTLE, "throttle"),
         (f, FLEET, "fleet"),
@@ -227,8 +279,8 @@
         (f.tails, TAILS, "tails"),
         (g.counting.budget, BUDGET, "counter"),
     ]
-    for owner, names, key in parts:
-        put(owner, names, _mapping(state, key))
+    for owner, fields, key in parts:
+        put(owner, fields, _mapping(state, key))
     for name, known in _mapping(state, "workers").items():
         if name in f.workers and isinstance(known, dict):
             put(f.workers[name], WORKER, known)
--- a/micagate/interface.py
+++ b/micagate/interface.py
@@ -9,6 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+WRITTEN = "written"  # metadata of a field that traces write under another name than its own
 PURE, TOKEN, SIDE_EFFECT = "pure", "token", "side_effect"
 EFFECTS = (PURE, TOKEN, SIDE_EFFECT)
 GROUPS = ("all", "zone", "cell")
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -13,35 +13,39 @@
 
 from micagate import interface as i
 
+# The written name of each class, which never changes. A field is written under its own name, or under that of its
+# metadata `WRITTEN`.
 _KINDS: dict[str, type[Any]] = {
-    kind.__name__: kind
-    for kind in (
-        i.WorkerEntry,
-        i.WorkerList,
-        i.Request,
-        i.Outcome,
-        i.StreamStarted,
-        i.TimerFired,
-        i.Abandoned,
-        i.Send,
-        i.Refuse,
-        i.Fail,
-        i.Cancel,
-        i.SetTimer,
-        i.Subscribe,
-        i.RequestClass,
-        i.Plan,
-        i.Settings,
-        i.Share,
-        i.Shares,
-        i.Fill,
-        i.Freed,
-        i.Survey,
-        i.Tally,
-        i.Tallies,
-        i.Pace,
-        i.Work,
-    )
+    "WorkerEntry": i.WorkerEntry,
+    "WorkerList": i.WorkerList,
+    "Request": i.Request,
+    "Outcome": i.Outcome,
+    "StreamStarted": i.StreamStarted,
+    "TimerFired": i.TimerFired,
+    "Abandoned": i.Abandoned,
+    "Send": i.Send,
+    "Refuse": i.Refuse,
+    "Fail": i.Fail,
+    "Cancel": i.Cancel,
+    "SetTimer": i.SetTimer,
+    "Subscribe": i.Subscribe,
+    "RequestClass": i.RequestClass,
+    "Plan": i.Plan,
+    "Settings": i.Settings,
+    "Share": i.Share,
+    "Shares": i.Shares,
+    "Fill": i.Fill,
+    "Freed": i.Freed,
+    "Survey": i.Survey,
+    "Tally": i.Tally,
+    "Tallies": i.Tallies,
+    "Pace": i.Pace,
+    "Work": i.Work,
+}
+_NAMES = {kind: name for name, kind in _KINDS.items()}
+_ATTRIBUTES = {
+    kind: {field.metadata.get(i.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
+    for kind in _KINDS.values()
 }
 
 
@@ -56,11 +60,11 @@
     if not dataclasses.is_dataclass(value):
         return value
     fields = {
-        field.name: pack(getattr(value, field.name))
+        field.metadata.get(i.WRITTEN, field.name): pack(getattr(value, field.name))
         for field in dataclasses.fields(value)
         if getattr(value, field.name) != field.default
     }
-    return {"": type(value).__name__, **fields}
+    return {"": _NAMES.get(type(value), type(value).__name__), **fields}
 
 
 def unpack(raw: Any) -> Any:
@@ -72,7 +76,8 @@
     kind = _KINDS.get(raw.get("", ""))
     if kind is None:
         raise ValueError(f"unknown kind {raw.get('')!r}")
-    return kind(**{name: unpack(value) for name, value in raw.items() if name})
+    attributes = _ATTRIBUTES[kind]
+    return kind(**{attributes.get(name, name): unpack(value) for name, value in raw.items() if name})
 
 
 class Recorder:
--- a/oliveloft/takeover/wire.py
+++ b/oliveloft/takeover/wire.py
@@ -19,7 +19,7 @@
     """A datagram that cannot be read."""
 
 
-class Hello(msgspec.Struct, tag=True):
+class Hello(msgspec.Struct, tag="Hello"):
     """The taker: who it is, and what its clock says (CLOCK_MONOTONIC, seconds)."""
 
     version: int
@@ -27,63 +27,63 @@
     clock: float
 
 
-class No(msgspec.Struct, tag=True):
+class No(msgspec.Struct, tag="No"):
     """Either side: nothing is given or taken, and why."""
 
     why: str
 
 
-class Accounts(msgspec.Struct, tag=True):
+class Accounts(msgspec.Struct, tag="Accounts"):
     """The giver: some customers' accounts."""
 
     rows: list[dict[str, Any]]
 
 
-class Copied(msgspec.Struct, tag=True):
+class Copied(msgspec.Struct, tag="Copied"):
     """The giver: all accounts were told once."""
 
 
-class Take(msgspec.Struct, tag=True):
+class Take(msgspec.Struct, tag="Take"):
     """The taker: it can serve, and the rest is to come now."""
 
 
-class Part(msgspec.Struct, tag=True):
+class Part(msgspec.Struct, tag="Part"):
     """The giver, which accepts no more from here on: a part of what it knows."""
 
     name: str
     value: Any
 
 
-class Given(msgspec.Struct, tag=True):
+class Given(msgspec.Struct, tag="Given"):
     """The giver: that was all."""
 
     clock: float
 
 
-class Taken(msgspec.Struct, tag=True):
+class Taken(msgspec.Struct, tag="Taken"):
     """The taker: it accepts."""
 
 
-class Client(msgspec.Struct, tag=True):
+class Client(msgspec.Struct, tag="Client"):
     """The giver: a client's connection with nothing of a request on it goes along."""
 
     good: bool
 
 
-class Worker(msgspec.Struct, tag=True):
+class Worker(msgspec.Struct, tag="Worker"):
     """The giver: an idle connection to a worker goes along."""
 
     worker: str
     idle_since: float
 
 
-class Began(msgspec.Struct, tag=True):
+class Began(msgspec.Struct, tag="Began"):
     """The giver: it has begun an attempt."""
 
     row: dict[str, Any]
 
 
-class Ended(msgspec.Struct, tag=True):
+class Ended(msgspec.Struct, tag="Ended"):
     """The giver: an attempt of its has ended."""
 
     request: str
@@ -94,7 +94,7 @@
     used: float | None = None
 
 
-class Call(msgspec.Struct, tag=True):
+class Call(msgspec.Struct, tag="Call"):
     """Either side: operators have called it, and the other one is to do the same."""
 
     word: str
