--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -4,7 +4,7 @@
 twice on the same arrivals: by gatekeepers that reckon the whole store from the meter, and by their parts alone, with no
 meter, both against one store for each customer that sees all tries. The kinds are the project's own: the first with a
 quick meter, small customers and marked repeats; the second with a slow meter, tries of up to four units, unmarked
-repeats and few places at once. Then each kind's fleet is pressed, released and slowed down (`rig/pressed.py`), by
+repeats and few places at once. Then each kind's fleet is pressed, released and slowed down (`rig/overload.py`), by
 decisions that know what classes are worth and by the same ones not told, on the same arrivals. Load reports are not in
 it: no decision follows them.
 """
@@ -22,8 +22,8 @@
 from micagate import interface as i
 from rig.capacity import Capacity
 from rig.customers import Day, play, total, wide
-from rig.pressed import Kind
-from rig.pressed import play as press
+from rig.overload import Kind
+from rig.overload import play as press
 
 SLOW_METER = Day(
     gateways=2,
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -31,10 +31,10 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy as times
 from oliveloft.discovery.watch import DiscoveryWatch
-from oliveloft.shapes import News
+from oliveloft.shared_types import News
 from rig.capacity import Capacity, Load
+from rig.fake_servers import BusyDiscovery
 from rig.fleet import Entrance, Fleet
-from rig.scripted import BusyDiscovery
 from rig.simulation import Clock
 from rig.traffic import PlanShape, Store
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -27,12 +27,12 @@
 
 from micagate import Gateway, Plan, RequestClass, Settings
 from micagate import interface as i
-from oliveloft.takeover.giver import Giver
-from oliveloft.takeover.taker import Taker
+from oliveloft.takeover.predecessor import Giver
+from oliveloft.takeover.successor import Taker
 from rig.bulk import BulkClient, BulkWorker, at_once, check
-from rig.house import House, Load
+from rig.fake_servers import Client, Gatekeeper, Worker, config, run, scene, spawn, until
 from rig.memory import highest
-from rig.scripted import Client, Gatekeeper, Worker, config, run, scene, spawn, until
+from rig.process_host import House, Load
 
 BEFORE = "ac3768b"  # the version before long bodies
 MB = 1 << 20
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -27,7 +27,7 @@
 from oliveloft.planners.status import gather
 from rig.capacity import Capacity
 from rig.installation import Installation
-from rig.modelled import overspent
+from rig.limited_worker import overspent
 from rig.planning import World
 from rig.traffic import Customer, Report, Traffic
 
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -14,7 +14,7 @@
 from micagate.planning.ledger import Ledger
 from micagate.planning.messages import Again
 from micagate.planning.terms import Terms
-from micagate.told import customer_key, worker_key
+from micagate.resource_keys import customer_key, worker_key
 from oliveloft.planners import wire
 
 SPREAD = 4  # forwarders that see a customer
--- a/benchmarks/power_loss.py
+++ b/benchmarks/power_loss.py
@@ -23,18 +23,18 @@
 
 from benchmarks.operations import handover
 from micagate import Gateway, Plan, RequestClass, Settings
-from micagate.recovery.kept import Walk
+from micagate.recovery.persisted_state import Walk
 from micagate.recovery.stages import Limits, Recovery
 from oliveloft.memory.files import PlainDisk
 from oliveloft.memory.log import Log
 from rig.capacity import Capacity
+from rig.crash_recovery import SURE, Variant, play
 from rig.engines import compare
+from rig.fleet_restart import Return
 from rig.gossip import Gossip
+from rig.limited_worker import overspent
 from rig.members import MemberSite
-from rig.modelled import overspent
 from rig.power import Loss, all_knowing, asked, back, everywhere, served
-from rig.remembering import SURE, Variant, play
-from rig.returns import Return
 from rig.traffic import Traffic
 
 Figures = dict[str, Any]
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -3,7 +3,8 @@
 `python -m benchmarks.routing [--short]`. The last line is one JSON object. Measured so far: time a request by workers,
 memory of a million customers seen once, and the longest single step while they come, are let go and come back; of
 what one store for each customer would let in, what is served by gatekeepers that hold parts (`rig/customers.py`); and
-what is served by a simulated fleet with slow workers, against a choice that sees all true queues (`rig/choices.py`).
+what is served by a simulated fleet with slow workers, against a choice that sees all true queues
+(`rig/worker_selection.py`).
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 from benchmarks.planners import spread
 from micagate import Gateway
 from micagate import interface as i
-from rig.choices import Field, served
 from rig.customers import play, total, wide
 from rig.memory import resident
+from rig.worker_selection import Field, served
 
 CLASSES = (i.RequestClass("fetch", aim=0.4, deadline=1.0),)
 PLANS = (i.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0),)
--- a/benchmarks/slow_discovery.py
+++ b/benchmarks/slow_discovery.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 from rig.agent import AgentFaults, FakeAgent
-from rig.scripted import Client, Gatekeeper, Message, Worker, config, launch
+from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch
 
 GRACE = 0.25  # seconds
 NOTIFIED_AT_LATEST = 6.0  # seconds after the change
--- a/micagate/accounts.py
+++ b/micagate/accounts.py
@@ -6,7 +6,7 @@
 
 from micagate import interface as i
 from micagate.estimates.metering import UNSEEN, Meter, Whole
-from micagate.recovery.mark import Mark
+from micagate.recovery.high_water_mark import Mark
 
 SMOOTH = 2.0  # seconds that a reading of the meter should span; shorter ones are averaged (ours)
 
--- a/micagate/adapter.py
+++ b/micagate/adapter.py
@@ -8,8 +8,8 @@
 from typing import Any, TextIO
 
 from micagate import interface as i
-from micagate.facts import check
 from micagate.gateway import Gateway
+from micagate.settings_keys import check
 
 MICRO = 1_000_000
 STATES = {"healthy": i.HEALTHY, "cordoned": i.DRAINING, "deregistered": i.GONE}
--- a/micagate/surveys.py
+++ b/micagate/demand_reports.py
@@ -6,8 +6,8 @@
 
 from micagate import interface as i
 from micagate.fleet import Fleet
+from micagate.resource_keys import worker_key
 from micagate.shares import Shares
-from micagate.told import worker_key
 from micagate.workload import Workload, sent_to
 
 
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -6,12 +6,12 @@
 from random import Random
 
 from micagate import interface as i
-from micagate.arcs import TOGETHER, Arcs
 from micagate.estimates.recent import OLD_SHARE, Recent
 from micagate.estimates.tails import Tails
+from micagate.resource_keys import worker_key
 from micagate.shares import Shares
-from micagate.told import worker_key
 from micagate.worker import BACKOFF, LONGEST_BACKOFF, Worker
+from micagate.worker_subset import TOGETHER, Arcs
 from micagate.workload import Workload
 
 # All ours, since the design leaves the choice of a worker open.
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -10,15 +10,15 @@
 
 from micagate import interface as i
 from micagate.counting.counting import Counting, Verdict
-from micagate.endings import settle
+from micagate.demand_reports import survey, works
 from micagate.estimates.waits import Waits
 from micagate.fleet import STALL, Fleet
-from micagate.moves import move
 from micagate.operating.maintenance import Maintenance
 from micagate.pending import Attempt, Pending
 from micagate.quotas import Quotas
+from micagate.refunds import settle
+from micagate.share_transfers import move
 from micagate.shares import Shares
-from micagate.surveys import survey, works
 from micagate.throttle import Throttle
 
 RETRY_SHARE, RETRY_DEPTH = 0.2, 10.0  # retry budget: further attempts per first try, and how many it saves up
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -16,7 +16,7 @@
 from micagate.gateway import Gateway
 from micagate.handover.fields import Damaged, put, take
 from micagate.pending import Attempt, Pending
-from micagate.told import customer_of
+from micagate.resource_keys import customer_of
 
 # What is written of each object: the written key, which never changes, and the attribute that it stands for.
 ACCOUNT = {
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from micagate import interface as i
+from micagate.account_table import Table
 from micagate.accounts import Account
-from micagate.debts import Debts
+from micagate.deficit_sketch import Debts
 from micagate.estimates.metering import BINS, Meter
-from micagate.recovery.marks import Marks
+from micagate.recovery.write_ahead import Marks
+from micagate.resource_keys import customer_key
 from micagate.shares import Shares
-from micagate.table import Table
-from micagate.told import customer_key
 from micagate.workload import asked_of
 
 DECAY = 0.7  # of the forecast, each second (ours)
--- a/micagate/recovery/mark.py
+++ b/micagate/recovery/high_water_mark.py
@@ -1,4 +1,4 @@
-"""A mark: what a part of a ceiling holds at the least from some time on. See `marks`."""
+"""A mark: what a part of a ceiling holds at the least from some time on. See `write_ahead`."""
 
 from __future__ import annotations
 
--- a/micagate/recovery/kept.py
+++ b/micagate/recovery/persisted_state.py
@@ -1,6 +1,6 @@
 """What a gateway keeps for its next life beside marks and facts: rows of plain values, some at a time, and back.
 
-At most a second old when power goes. Nothing of it decides on its own: how much is believed is `trust`'s.
+At most a second old when power goes. Nothing of it decides on its own: how much is believed is `recovery_policy`'s.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from micagate.accounts import Account
 from micagate.gateway import RETRY_DEPTH, Gateway
-from micagate.recovery.room import load
-from micagate.recovery.trust import UNSAVED, Case, Disk, Kind, Way, judge
+from micagate.recovery.recovery_policy import UNSAVED, Case, Disk, Kind, Way, judge
+from micagate.recovery.slow_start import load
 
 ACCOUNT, CORE, WORKER = "account", "core", "worker"
 SPAN = 1.0  # seconds in which all that changed is written
--- a/micagate/recovery/marks.py
+++ b/micagate/recovery/write_ahead.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 
 from micagate.accounts import Account
-from micagate.recovery.mark import Mark
+from micagate.recovery.high_water_mark import Mark
 
 OPEN = 0.5  # of a part that a customer with no mark of its own may spend (ours)
 REQUESTS, SOON = 1.0, 1.0  # a lead: so many of the largest requests seen, or the use of so many seconds, if more (ours)
--- a/micagate/moves.py
+++ b/micagate/share_transfers.py
@@ -6,7 +6,7 @@
 
 from micagate import interface as i
 from micagate.quotas import Quotas
-from micagate.told import customer_of
+from micagate.resource_keys import customer_of
 
 
 def move(quotas: Quotas, now: float, event: i.Shares, plans: Mapping[str, i.Plan]) -> list[i.Fill]:
--- a/micagate/shares.py
+++ b/micagate/shares.py
@@ -11,7 +11,7 @@
 import math
 
 from micagate import interface as i
-from micagate.told import Told, put
+from micagate.resource_keys import Told, put
 
 MOVED = 0.7  # of the stores behind a share, which moves with it (ours)
 
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -7,7 +7,7 @@
 
 from micagate import interface as i
 from micagate.accounts import Account
-from micagate.told import worker_key
+from micagate.resource_keys import worker_key
 
 KINDS = {i.FULL: "refused", i.TIMED_OUT: "missed"}  # all else that is no answer, and was not called off: failed
 
--- a/oliveloft/backend/attempt.py
+++ b/oliveloft/backend/attempt.py
@@ -12,7 +12,7 @@
 from micagate import interface as i
 from micagate.invariants import AttemptState
 from oliveloft.bodies.body import Body
-from oliveloft.shapes import Sink
+from oliveloft.shared_types import Sink
 
 if TYPE_CHECKING:
     from oliveloft.backend.connection import Connection
--- a/oliveloft/backend/connection.py
+++ b/oliveloft/backend/connection.py
@@ -13,7 +13,7 @@
 from oliveloft.backend.attempt import Answer, Attempt
 from oliveloft.backend.limits import HOP_BY_HOP, MAX_HEAD, STANDS
 from oliveloft.bodies.body import Body
-from oliveloft.shapes import Sink
+from oliveloft.shared_types import Sink
 
 if TYPE_CHECKING:
     from oliveloft.backend.pool import ConnectionPool
--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable, Iterator
 
 from micagate import interface as i
-from micagate.bodies import keeping
+from micagate.bodies import buffering
 from micagate.invariants import EndpointState, Reason
 from oliveloft.backend.attempt import Attempt
 from oliveloft.backend.connection import Connection, EndpointIncarnation
+from oliveloft.backend.idle_timeout import Rest
 from oliveloft.backend.limits import MAX_BODY
-from oliveloft.backend.rest import Rest
 from oliveloft.guard import Guard
-from oliveloft.shapes import Endpoint
+from oliveloft.shared_types import Endpoint
 
 # Once a second answer has come some time behind a first: for so many seconds no connection is used again before it has
 # rested for so many. Harm: more connections where many requests follow each other closely.
@@ -52,7 +52,7 @@
         connect_timeout: float,
         idle_close: float,
         max_body: int = MAX_BODY,
-        longest: int = keeping.LONGEST,
+        longest: int = buffering.LONGEST,
         guard: Guard | None = None,
     ) -> None:
         self.guard = Guard() if guard is None else guard
--- a/oliveloft/bodies/body.py
+++ b/oliveloft/bodies/body.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from micagate.bodies import keeping
+from micagate.bodies import buffering
 
 BLOCK = 32 * 1024
 
@@ -34,7 +34,7 @@
         "length",
     )
 
-    def __init__(self, budget: keeping.Budget, length: int | None) -> None:
+    def __init__(self, budget: buffering.Budget, length: int | None) -> None:
         self._budget = budget
         self._blocks: deque[bytes] = deque()
         self._first = 0  # the number of the first block that is still here
@@ -101,7 +101,7 @@
 
     def reads_on(self) -> bool:
         """Whether more may be taken in."""
-        return self.broken or keeping.reads_on(self.waiting(), self.scarce)
+        return self.broken or buffering.reads_on(self.waiting(), self.scarce)
 
     def drop(self) -> None:
         """Nobody needs it any more."""
--- a/oliveloft/config/explain.py
+++ b/oliveloft/config/explain.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from micagate.facts import FACTS, stated
+from micagate.settings_keys import FACTS, stated
 from oliveloft.config.loading import ConfigError, parse, read
 
 UNKNOWN = "not known here: nothing follows it"
--- a/oliveloft/config/loading.py
+++ b/oliveloft/config/loading.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from micagate.adapter import settings as read_settings
-from micagate.bodies import keeping
+from micagate.bodies import buffering
 from micagate.interface import Settings
 
 MICRO = 1_000_000
@@ -41,8 +41,8 @@
     idle_close: float
     units_top: float
     management: tuple[str, int] | None = None  # the operators' address
-    longest: int = keeping.LONGEST  # bytes of a body, of a request or of an answer
-    held: int = keeping.HELD  # bytes of long bodies that are held at once, all together
+    longest: int = buffering.LONGEST  # bytes of a body, of a request or of an answer
+    held: int = buffering.HELD  # bytes of long bodies that are held at once, all together
     accept_fd: int | None = None  # the clients' listening socket, where whoever started the process holds it
 
 
@@ -106,7 +106,7 @@
     return Config(
         management=management,
         accept_fd=_accept_fd(env),
-        longest=_megabytes(raw, "body_mb", keeping.LONGEST / MEGA),
+        longest=_megabytes(raw, "body_mb", buffering.LONGEST / MEGA),
         held=_held(raw),
         name=str(raw.get("name") or env.get("PROXY_NAME") or "oliveloft"),
         listen=_address(raw, env, "listen", "PROXY_LISTEN", 0),
@@ -160,9 +160,9 @@
     """What long bodies may hold: of the memory that the limit leaves, unless it is set."""
     limits = raw.get("limits", {})
     if isinstance(limits, dict) and "held_mb" in limits:
-        return _megabytes(raw, "held_mb", keeping.HELD / MEGA)
+        return _megabytes(raw, "held_mb", buffering.HELD / MEGA)
     memory = _megabytes(raw, "memory_mb", 192.0) / MEGA
-    return int(max(LEAST_HELD, min(keeping.HELD / MEGA, HELD_SHARE * (memory - BASE))) * MEGA)
+    return int(max(LEAST_HELD, min(buffering.HELD / MEGA, HELD_SHARE * (memory - BASE))) * MEGA)
 
 
 def _sockets(raw: dict[str, Any]) -> int:
--- a/oliveloft/discovery/watch.py
+++ b/oliveloft/discovery/watch.py
@@ -24,7 +24,7 @@
 from oliveloft.discovery import policy as times
 from oliveloft.discovery.call import DiscoveryCall
 from oliveloft.discovery.policy import watch_policy
-from oliveloft.shapes import News
+from oliveloft.shared_types import News
 
 log = logging.getLogger("oliveloft")
 
--- a/oliveloft/dispatch/dispatcher.py
+++ b/oliveloft/dispatch/dispatcher.py
@@ -24,7 +24,7 @@
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.bodies.body import Body
 from oliveloft.counter.client import Counter
-from oliveloft.shapes import News, Sink, Source
+from oliveloft.shared_types import News, Sink, Source
 
 log = logging.getLogger("oliveloft")
 
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -23,13 +23,13 @@
 from micagate.membership.members import Members, News
 from micagate.membership.messages import DEAD, LONGEST, Asks, Beat, Fact, Knows, Message
 from micagate.operating.presence import Presence
-from micagate.recovery import room, stages
+from micagate.recovery import slow_start, stages
 from micagate.recovery.answers import TOGETHER, Questions, Told
-from micagate.recovery.kept import Kept, Walk
-from micagate.recovery.mark import Mark
-from micagate.recovery.marks import Marks, of_all, part
+from micagate.recovery.high_water_mark import Mark
+from micagate.recovery.persisted_state import Kept, Walk
+from micagate.recovery.recovery_policy import Case, Disk, End, Kind, Peers, Way, judge, loans_over
 from micagate.recovery.stages import Recovery, gathers
-from micagate.recovery.trust import Case, Disk, End, Kind, Peers, Way, judge, loans_over
+from micagate.recovery.write_ahead import Marks, of_all, part
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.fleet.config import FleetConfig
 from oliveloft.fleet.peers import Peers as Lines
@@ -350,9 +350,11 @@
         assert self.members is not None
         pace = kept.pace() or self._told.pace
         pace *= len(self.fleet.members) / max(1, self.members.up())
-        if room.begin(self._gateway, now, pace, kept.load()):
+        if slow_start.begin(self._gateway, now, pace, kept.load()):
             log.info(
-                "fleet: control from %.1f a second, workers %.0f%% warm", pace, 100 * room.warmth(self._gateway, now)
+                "fleet: control from %.1f a second, workers %.0f%% warm",
+                pace,
+                100 * slow_start.warmth(self._gateway, now),
             )
 
     async def _new_life(self, now: float) -> bool:
@@ -396,7 +398,7 @@
         elif self._open.is_set():
             if now - self._followed >= FOLLOW:
                 self._followed = now
-                room.follow(self._gateway, now)
+                slow_start.follow(self._gateway, now)
             if self._walk is not None:
                 for kind, key, value in self._walk.step(now, self.memory is not None):
                     if self.memory is not None:
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -15,13 +15,13 @@
 import httptools
 
 from micagate import interface as i
-from micagate.bodies import keeping
+from micagate.bodies import buffering
 from micagate.invariants import Reason, RequestState, close_refusal
 from micagate.operating.presence import Presence
 from oliveloft.backend.limits import HOP_BY_HOP, MAX_BODY, MAX_HEAD, STANDS
 from oliveloft.bodies.body import Body
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
-from oliveloft.shapes import Source
+from oliveloft.shared_types import Source
 
 log = logging.getLogger("oliveloft")
 
@@ -340,7 +340,12 @@
         body = incoming.long
         if body is None:
             return
-        if not incoming.begun and not self._busy and not self._queue and keeping.begins(body.size, False, body.scarce):
+        if (
+            not incoming.begun
+            and not self._busy
+            and not self._queue
+            and buffering.begins(body.size, False, body.scarce)
+        ):
             incoming.seen = self._server.loop.time()
             incoming.begun, incoming.keep = True, cast(httptools.HttpRequestParser, self._parser).should_keep_alive()
             self._busy, self._keep = True, incoming.keep and not self.overflow
@@ -680,13 +685,13 @@
         kept: int,
         dispatcher: RequestDispatcher,
         presence: Presence | None = None,
-        longest: int = keeping.LONGEST,
-        held: int = keeping.HELD,
+        longest: int = buffering.LONGEST,
+        held: int = buffering.HELD,
     ) -> None:
         self.loop, self.dispatcher = loop, dispatcher
         self.guard = dispatcher.guard
         self.presence = Presence() if presence is None else presence
-        self.longest, self.budget = max(longest, MAX_BODY), keeping.Budget(held)
+        self.longest, self.budget = max(longest, MAX_BODY), buffering.Budget(held)
         self.closing = False  # every further reply closes its connection
         self.ended = False  # nothing further is begun
         self._met = 0  # connections that have come
--- a/oliveloft/gatekeeper/process.py
+++ b/oliveloft/gatekeeper/process.py
@@ -30,13 +30,13 @@
 from oliveloft.manage.operations import Operations
 from oliveloft.manage.server import MOST as CALLERS
 from oliveloft.manage.server import Management
-from oliveloft.shapes import News
+from oliveloft.shared_types import News
 
 if TYPE_CHECKING:  # the platform's gatekeeper has no planners, knows no others, and loads nothing of them
     from oliveloft.fleet.config import FleetConfig
     from oliveloft.fleet.member import Member
     from oliveloft.planners.config import PlannersConfig
-    from oliveloft.takeover.place import Place
+    from oliveloft.takeover.handoff import Place
 
 log = logging.getLogger("oliveloft")
 
@@ -83,7 +83,7 @@
     place: Place | None = None
     shared = os.environ.get("TMPDIR") if config.accept_fd is not None else None
     if shared:  # another process may take this one's place, or this one another's; else nothing of it is loaded
-        from oliveloft.takeover.place import Place
+        from oliveloft.takeover.handoff import Place
 
         place = Place(loop, gateway, dispatcher, server, workers, presence, offset, start_times)
     member: Member | None = None
--- a/oliveloft/takeover/place.py
+++ b/oliveloft/takeover/handoff.py
@@ -20,10 +20,10 @@
 from oliveloft.front.http import Server
 from oliveloft.front.listener import ClientListener
 from oliveloft.manage import protocol
-from oliveloft.shapes import Endpoint, News
+from oliveloft.shared_types import Endpoint, News
 from oliveloft.takeover import wire
-from oliveloft.takeover.giver import Giver
-from oliveloft.takeover.taker import Taker
+from oliveloft.takeover.predecessor import Giver
+from oliveloft.takeover.successor import Taker
 
 log = logging.getLogger("oliveloft")
 
--- a/oliveloft/takeover/taker.py
+++ b/oliveloft/takeover/successor.py
@@ -15,7 +15,7 @@
 from micagate.handover.fields import Damaged
 from oliveloft.takeover import wire
 from oliveloft.takeover.channel import Channel
-from oliveloft.takeover.giver import path
+from oliveloft.takeover.predecessor import path
 
 log = logging.getLogger("oliveloft")
 
--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -2,7 +2,7 @@
 
 `simulation` a clock and a network that run by the thousand from a seed; `capacity` what a worker can take;
 `planning` forwarders and planners on those; `fleet` decisions against modelled workers in simulated time;
-`scripted` and `modelled` servers on sockets; `traffic` clients with a shape; `faults` a TCP proxy that breaks
+`fake_servers` and `limited_worker` on sockets; `traffic` clients with a shape; `faults` a TCP proxy that breaks
 links on command; `etcd` a stand-in store; `installation` all of it with the real program in processes;
 `traces` records days.
 """
--- a/rig/agent.py
+++ b/rig/agent.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rig.scripted import Listener, read_message
+from rig.fake_servers import Listener, read_message
 
 
 @dataclass
--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -12,7 +12,7 @@
 import zlib
 from typing import Any, Self
 
-from rig.scripted import Listener, Message
+from rig.fake_servers import Listener, Message
 
 BLOCK = 4096
 
--- a/rig/remembering.py
+++ b/rig/crash_recovery.py
@@ -12,9 +12,9 @@
 
 from micagate import Plan
 from micagate.quotas import Quotas
-from micagate.recovery.mark import Mark
-from micagate.recovery.marks import Marks
-from rig.modelled import overspent
+from micagate.recovery.high_water_mark import Mark
+from micagate.recovery.write_ahead import Marks
+from rig.limited_worker import overspent
 
 PLAN = Plan("capped", rate=1000.0, burst=1000.0, ceiling_rate=12.0, ceiling_depth=24.0)
 CUSTOMERS = 2
--- a/rig/installation.py
+++ b/rig/installation.py
@@ -21,9 +21,9 @@
 from oliveloft.planners.config import PlannersConfig, load
 from rig.capacity import Capacity
 from rig.etcd import EtcdStandIn
+from rig.fake_servers import Discovery, Gatekeeper, spawn
 from rig.faults import FaultProxy
-from rig.modelled import Meter, ModelledWorker, Record
-from rig.scripted import Discovery, Gatekeeper, spawn
+from rig.limited_worker import Meter, ModelledWorker, Record
 from rig.traffic import PlanShape
 
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "example.json"
--- a/rig/members.py
+++ b/rig/members.py
@@ -15,9 +15,9 @@
 from oliveloft.fleet.config import FleetConfig, load
 from oliveloft.fleet.status import States, gather
 from rig.disks import turn
+from rig.fake_servers import Gatekeeper, spawn
 from rig.faults import FaultProxy
 from rig.installation import Installation, free_port
-from rig.scripted import Gatekeeper, spawn
 
 
 class MemberSite(Installation):
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -12,13 +12,13 @@
 from random import Random
 
 from micagate import interface as i
-from micagate.moves import move
 from micagate.planning.holder import Demand, Holder
 from micagate.planning.ledger import Ledger
 from micagate.planning.messages import Again, Report, Word
 from micagate.planning.terms import Terms
 from micagate.quotas import Quotas
-from micagate.told import customer_key
+from micagate.resource_keys import customer_key
+from micagate.share_transfers import move
 from rig.simulation import Clock, Link, LocalClock, Network
 
 TICK = 0.05  # seconds between looks at what is due, at forwarders and planners
--- a/rig/house.py
+++ b/rig/process_host.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from rig.scripted import Client, Discovery, Gatekeeper, config, spawn, until
+from rig.fake_servers import Client, Discovery, Gatekeeper, config, spawn, until
 
 
 class House:
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from rig.agent import AgentFaults, FakeAgent
-from rig.scripted import Client, Gatekeeper, Message, Worker, config, launch, reset
+from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch, reset
 
 GRACE = 0.25  # seconds after a notification in which requests may still go out
 NOTIFIED_AT_LATEST = 6.0  # seconds after discovery had a change and could be reached
--- a/rig/choices.py
+++ b/rig/worker_selection.py
@@ -1,6 +1,6 @@
 """Choices of a worker on a simulated fleet: the decision module beside others, one of which sees all true queues.
 
-    python -m rig.choices [--workers N] [--gateways N] [--load SHARE] [--seconds S] [--seed N]
+    python -m rig.worker_selection [--workers N] [--gateways N] [--load SHARE] [--seconds S] [--seed N]
 
 Workers have one core and a queue each. A part of them is slow, and some lose answers; nobody is told which.
 """
@@ -138,7 +138,7 @@
 
 def main() -> None:
     """Print the share served in time by each choice, over the share of the one that sees all."""
-    parser = argparse.ArgumentParser(prog="python -m rig.choices", description=main.__doc__)
+    parser = argparse.ArgumentParser(prog="python -m rig.worker_selection", description=main.__doc__)
     parser.add_argument("--workers", type=int, default=1000, help="workers (default %(default)s)")
     parser.add_argument("--gateways", type=int, default=1, help="gatekeepers (default %(default)s)")
     parser.add_argument("--load", type=float, default=0.8, help="of what all can do (default %(default)s)")
--- a/tests/backend/test_connections.py
+++ b/tests/backend/test_connections.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from oliveloft.backend.rest import Rest
-from rig.scripted import Client, Worker, answer, reset, run, scene, until
+from oliveloft.backend.idle_timeout import Rest
+from rig.fake_servers import Client, Worker, answer, reset, run, scene, until
 
 
 def held() -> tuple[asyncio.Event, object]:
--- a/tests/backend/test_losses.py
+++ b/tests/backend/test_losses.py
@@ -5,7 +5,7 @@
 
 from micagate import interface as i
 from rig.driver import Driver, answered, losing, sends
-from rig.scripted import Message, Worker, answer, hang, run, scene, until
+from rig.fake_servers import Message, Worker, answer, hang, run, scene, until
 
 
 async def loses_writes(request: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/backend/test_outcomes.py
+++ b/tests/backend/test_outcomes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rig.scripted import Message, Script, Worker, answer, hang, reset, run, scene, until
+from rig.fake_servers import Message, Script, Worker, answer, hang, reset, run, scene, until
 
 NOT_RUN = "X-Not-Processed: 1\r\n"
 SEEN = {
--- a/tests/bodies/test_keeping.py
+++ b/tests/bodies/test_buffering.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from micagate.bodies import keeping
+from micagate.bodies import buffering
 from oliveloft.bodies.body import BLOCK, Body
 
 
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_what_comes_in_pieces_of_any_size_is_read_as_it_came_and_again_while_kept(seed):
     random = Random(seed)
-    budget = keeping.Budget(10 * BLOCK)
+    budget = buffering.Budget(10 * BLOCK)
     sent = random.randbytes(random.randrange(1, 8 * BLOCK))
     body, at = Body(budget, len(sent)), 0
     while at < len(sent):
@@ -32,7 +32,7 @@
 
 
 def test_without_room_a_body_flows_and_is_read_once():
-    budget = keeping.Budget(3 * BLOCK)
+    budget = buffering.Budget(3 * BLOCK)
     body, got, number = Body(budget, None), b"", 0
     for n in range(50):
         body.append(bytes([n]) * BLOCK)
@@ -46,7 +46,7 @@
 
 
 def test_who_can_take_none_waits_and_is_called_once_there_is_room():
-    budget, called = keeping.Budget(2 * BLOCK), []
+    budget, called = buffering.Budget(2 * BLOCK), []
     body, other = Body(budget, None), Body(budget, None)
     body.append(b"x" * 2 * BLOCK)
     other.append(b"y" * 5 * BLOCK)
@@ -58,7 +58,7 @@
 
 
 def test_a_body_that_nobody_needs_takes_nothing_more_in():
-    budget = keeping.Budget(10 * BLOCK)
+    budget = buffering.Budget(10 * BLOCK)
     body = Body(budget, None)
     body.append(b"x" * BLOCK)
     body.drop()
@@ -68,7 +68,7 @@
 
 
 def test_a_slow_sender_holds_no_worker_unless_memory_is_scarce():
-    assert not keeping.begins(keeping.FIRST - 1, whole=False, scarce=False)
-    assert keeping.begins(keeping.FIRST, False, False) and keeping.begins(1, True, False)
-    assert keeping.begins(1, False, True)
-    assert keeping.reads_on(10**9, scarce=False) and not keeping.reads_on(keeping.WINDOW, scarce=True)
+    assert not buffering.begins(buffering.FIRST - 1, whole=False, scarce=False)
+    assert buffering.begins(buffering.FIRST, False, False) and buffering.begins(1, True, False)
+    assert buffering.begins(1, False, True)
+    assert buffering.reads_on(10**9, scarce=False) and not buffering.reads_on(buffering.WINDOW, scarce=True)
--- a/tests/bodies/test_streaming.py
+++ b/tests/bodies/test_streaming.py
@@ -6,8 +6,8 @@
 import pytest
 
 from rig.bulk import BulkClient, BulkWorker, at_once, check
+from rig.fake_servers import Client, run, scene, until
 from rig.memory import highest, resident
-from rig.scripted import Client, run, scene, until
 
 MB = 1 << 20
 
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -5,9 +5,9 @@
 import pytest
 
 from micagate import interface as i
-from micagate.debts import SLOTS, Debts
-from micagate.moves import move
+from micagate.deficit_sketch import SLOTS, Debts
 from micagate.quotas import Quotas
+from micagate.share_transfers import move
 from rig.driver import Driver, sends
 
 CAPPED = i.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0)
--- a/tests/decisions/test_large_fleets.py
+++ b/tests/decisions/test_large_fleets.py
@@ -8,7 +8,7 @@
 from micagate import interface as i
 from micagate.fleet import LOOK, LOOKS, Fleet
 from micagate.shares import Shares
-from rig.choices import Field, served
+from rig.worker_selection import Field, served
 
 READ = i.RequestClass("read", aim=0.4, deadline=1.0)
 ONCE = i.RequestClass("once", aim=0.4, deadline=1.0, effect=i.SIDE_EFFECT)
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -4,8 +4,8 @@
 
 from micagate import interface as i
 from micagate.estimates.metering import STALE, Meter
-from micagate.moves import move
 from micagate.quotas import AIMED, IDLE, Quotas
+from micagate.share_transfers import move
 from rig.customers import Day, play, total
 from rig.driver import Driver, sends
 
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -5,10 +5,10 @@
 import pytest
 
 from micagate import interface as i
-from micagate.moves import move
 from micagate.quotas import Quotas
+from micagate.resource_keys import customer_key, worker_key
+from micagate.share_transfers import move
 from micagate.shares import MOVED, Shares
-from micagate.told import customer_key, worker_key
 from rig.driver import Driver, sends
 
 CAPPED = i.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0)
--- a/tests/decisions/test_seldom.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -6,7 +6,6 @@
 import pytest
 
 from micagate import interface as i
-from micagate.arcs import NEAR, Arcs
 from micagate.estimates.metering import Meter
 from micagate.estimates.recent import Recent
 from micagate.fleet import Fleet
@@ -14,6 +13,7 @@
 from micagate.shares import Shares
 from micagate.throttle import LEAST_SIGNALS, PERIOD, Throttle
 from micagate.worker import LONGEST_BACKOFF, Worker
+from micagate.worker_subset import NEAR, Arcs
 from rig.capacity import Capacity
 from rig.cluster import Cluster
 
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -7,9 +7,9 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy
 from oliveloft.discovery.watch import DiscoveryWatch
-from oliveloft.shapes import News
+from oliveloft.shared_types import News
 from rig.agent import FakeAgent
-from rig.scripted import BusyDiscovery, Discovery, Worker, config, launch, run, scene, until
+from rig.fake_servers import BusyDiscovery, Discovery, Worker, config, launch, run, scene, until
 
 
 def watch_of(agent, told, offset=0.0, **how):
--- a/tests/endings/test_left_clients.py
+++ b/tests/endings/test_client_disconnects.py
@@ -8,7 +8,7 @@
 
 from micagate import interface as i
 from rig.driver import Driver, sends
-from rig.scripted import Client, Plugged, Worker, answer, hang, once, run, scene, tcp_states, until
+from rig.fake_servers import Client, Plugged, Worker, answer, hang, once, run, scene, tcp_states, until
 
 SLOW = {"Caps": {"ConnectTimeoutUs": 10_000_000}}  # so that only a client's leaving ends what is coming up
 
--- a/tests/endings/test_second_copies.py
+++ b/tests/endings/test_hedges.py
@@ -7,8 +7,8 @@
 from micagate import interface as i
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import RequestDispatcher
-from oliveloft.shapes import News
-from rig.scripted import Plugged, Worker, answer, run, until
+from oliveloft.shared_types import News
+from rig.fake_servers import Plugged, Worker, answer, run, until
 
 SETTINGS = i.Settings((i.RequestClass("read", 1.0, 4.0),), (i.Plan("free"),), max_attempts=2, second_copies=True)
 
--- a/tests/endings/test_second_answers.py
+++ b/tests/endings/test_late_responses.py
@@ -5,8 +5,8 @@
 from micagate import interface as i
 from oliveloft.backend.attempt import Attempt
 from oliveloft.backend.pool import ConnectionPool
-from oliveloft.shapes import News
-from rig.scripted import Worker, run, until
+from oliveloft.shared_types import News
+from rig.fake_servers import Worker, run, until
 
 HEAD = b"POST / HTTP/1.1\r\nX-Request-ID: %b\r\nContent-Length: 0\r\n"
 
--- a/tests/endings/test_exits.py
+++ b/tests/endings/test_shutdown.py
@@ -4,7 +4,7 @@
 import copy
 import signal
 
-from rig.scripted import FACTS, Client, Worker, answer, hang, once, run, scene, until
+from rig.fake_servers import FACTS, Client, Worker, answer, hang, once, run, scene, until
 
 LATEST = 3.7  # seconds after SIGTERM: SIGKILL comes no sooner, whatever the deadlines beyond 3 s
 
@@ -18,7 +18,7 @@
 
 
 def with_deadlines(seconds, monkeypatch):
-    monkeypatch.setattr("rig.scripted.FACTS", deadlines(seconds))
+    monkeypatch.setattr("rig.fake_servers.FACTS", deadlines(seconds))
 
 
 def test_what_is_out_beyond_the_kill_is_answered_before_it(monkeypatch):
--- a/tests/endings/test_silence.py
+++ b/tests/endings/test_stalled_watch.py
@@ -7,7 +7,7 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy
 from oliveloft.discovery.watch import DiscoveryWatch
-from rig.scripted import Discovery, run, until
+from rig.fake_servers import Discovery, run, until
 
 TOLD = 6.0  # seconds after a watch fell silent, or ...
 AFTER_WAIT = 2.0  # ... after its wait was over, if that is later
--- a/tests/fleet/test_planner_processes.py
+++ b/tests/fleet/test_planner_processes.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from rig.limited_worker import overspent
 from rig.members import MemberSite
-from rig.modelled import overspent
 from rig.power import everywhere
 from rig.traffic import Traffic
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -15,11 +15,11 @@
 from oliveloft.memory.files import PlainDisk
 from oliveloft.memory.log import NAME, Log
 from rig.capacity import Capacity
+from rig.fake_servers import Client, spawn, until
 from rig.installation import free_port
+from rig.limited_worker import overspent
 from rig.members import MemberSite
-from rig.modelled import overspent
 from rig.power import Loss, everywhere
-from rig.scripted import Client, spawn, until
 from rig.traffic import Traffic
 
 PLAN = {"Name": "team", "Refill": 40, "MostAtOnce": 40, "HardRate": 24, "CapDepth": 24, "CapSlack": 3}
--- a/tests/front/test_clients.py
+++ b/tests/front/test_clients.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from rig.fake_servers import Client, Worker, answer, hang, run, scene, until
 from rig.memory import resident
-from rig.scripted import Client, Worker, answer, hang, run, scene, until
 
 CHUNKED = Client.request("write").replace(b"Content-Length: 0\r\n", b"Transfer-Encoding: chunked\r\n")
 BAD = {
--- a/tests/front/test_forms.py
+++ b/tests/front/test_forms.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rig.scripted import Client, Worker, answer, run, scene
+from rig.fake_servers import Client, Worker, answer, run, scene
 
 PLAIN = Client.request("write", id="form", body=b"abc")
 HEAD = PLAIN.partition(b"\r\n\r\n")[0]
--- a/tests/front/test_guarded_closes.py
+++ b/tests/front/test_guarded_closes.py
@@ -4,7 +4,7 @@
 
 from micagate.invariants import Reason, close_refusal
 from oliveloft.guard import MOST_LINES, Guard
-from rig.scripted import Worker, run, scene
+from rig.fake_servers import Worker, run, scene
 from tests.front.test_one_answer import Case
 
 
--- a/tests/gatekeeper/test_dispatcher.py
+++ b/tests/gatekeeper/test_dispatcher.py
@@ -12,8 +12,8 @@
 from oliveloft.backend.connection import Connection
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
-from oliveloft.shapes import News
-from rig.scripted import Worker, answer, hang, run, until
+from oliveloft.shared_types import News
+from rig.fake_servers import Worker, answer, hang, run, until
 
 CLASSES = (i.RequestClass("write", 1.0, 4.0, i.SIDE_EFFECT), i.RequestClass("read", 1.0, 4.0))
 SETTINGS = i.Settings(CLASSES, (i.Plan("free"),), max_attempts=2)
--- a/tests/gatekeeper/test_generated_settings.py
+++ b/tests/gatekeeper/test_generated_settings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rig.scripted import FACTS, Client, Worker, answer, config, hang, launch, reset, run, scene, until
+from rig.fake_servers import FACTS, Client, Worker, answer, config, hang, launch, reset, run, scene, until
 
 EFFECTS = ("pure", "token", "side_effect")
 
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_it_starts_serves_and_keeps_the_rules(seed, monkeypatch):
     facts = generated(seed)
-    monkeypatch.setattr("rig.scripted.FACTS", facts)
+    monkeypatch.setattr("rig.fake_servers.FACTS", facts)
 
     async def scenario():
         workers = [Worker(name) for name in "uvw"]
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -9,13 +9,13 @@
 from micagate import interface as i
 from micagate.invariants import AttemptState
 from oliveloft.backend.connection import Connection, EndpointIncarnation
-from oliveloft.backend.rest import Rest
+from oliveloft.backend.idle_timeout import Rest
 from oliveloft.discovery.call import DiscoveryCall
 from oliveloft.front.http import SLOW, Client
 from rig.driver import Driver, sends
+from rig.fake_servers import Client as Peer
+from rig.fake_servers import Worker, run, scene, until
 from rig.memory import resident
-from rig.scripted import Client as Peer
-from rig.scripted import Worker, run, scene, until
 
 
 class Transport(asyncio.Transport):
--- a/tests/gatekeeper/test_process.py
+++ b/tests/gatekeeper/test_process.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from rig.fake_servers import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, until
 from rig.memory import resident
-from rig.scripted import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, until
 
 
 def without(key, **changes):
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from micagate.facts import FACTS, stated
+from micagate.settings_keys import FACTS, stated
 from oliveloft.cli import main
 from oliveloft.config import loading as config
 from oliveloft.config.explain import UNKNOWN, rows
--- a/tests/incidents/test_failing_calls.py
+++ b/tests/incidents/test_failing_calls.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rig.scripted import Client, Discovery, Worker, config, launch, run
+from rig.fake_servers import Client, Discovery, Worker, config, launch, run
 from tests.incidents.conftest import Call
 
 REQUESTS = 24
--- a/tests/incidents/test_slow_agent.py
+++ b/tests/incidents/test_slow_agent.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rig.agent import FakeAgent
-from rig.scripted import Worker, config, launch, run, until
+from rig.fake_servers import Worker, config, launch, run, until
 
 
 class TimedWorker(Worker):
--- a/tests/incidents/test_stepped_clocks.py
+++ b/tests/incidents/test_stepped_clocks.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rig.scripted import Client, Worker, answer, hang, run
+from rig.fake_servers import Client, Worker, answer, hang, run
 from tests.incidents.test_failing_calls import gatekeeper_with
 
 STEPS = [5, -5, 3600, -3600]
--- a/tests/manage/test_operations.py
+++ b/tests/manage/test_operations.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from rig.scripted import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, spawn, until
+from rig.fake_servers import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, spawn, until
 
 
 def test_calls_are_answered_whatever_form_they_come_in():
--- a/tests/memory/test_memory.py
+++ b/tests/memory/test_memory.py
@@ -10,7 +10,7 @@
 from oliveloft.memory.log import Log
 from oliveloft.memory.memory import Memory, Unusable
 from rig.disks import Broken, Knobs
-from rig.scripted import run, until
+from rig.fake_servers import run, until
 
 
 async def started(folder, knobs=None, **told):
--- a/tests/planners/test_failures.py
+++ b/tests/planners/test_failures.py
@@ -8,9 +8,9 @@
 
 from micagate.planning.ownership import first
 from oliveloft.planners.status import gather
+from rig.fake_servers import until
 from rig.installation import QUICK, Installation
-from rig.modelled import overspent
-from rig.scripted import until
+from rig.limited_worker import overspent
 from rig.traffic import Customer, Traffic
 
 # The ceiling binds before the quota: whoever asks for much is held by what may never be passed.
--- a/tests/planners/test_paces.py
+++ b/tests/planners/test_paces.py
@@ -10,12 +10,12 @@
 
 from micagate import interface as i
 from micagate.planning.ledger import Ledger
-from micagate.told import worker_key
+from micagate.resource_keys import worker_key
 from oliveloft.planners.status import gather, table
 from rig.capacity import Capacity
 from rig.cluster import TERMS, Cluster
+from rig.fake_servers import run, until
 from rig.installation import Installation
-from rig.scripted import run, until
 from rig.traffic import Customer, Traffic
 
 FORWARDERS = 20
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -21,8 +21,8 @@
 from oliveloft.planners.status import ask
 from oliveloft.store.etcd import Etcd
 from rig.etcd import EtcdStandIn
+from rig.fake_servers import run, until
 from rig.installation import free_port
-from rig.scripted import run, until
 
 SECRET = "sixteen bytes or more"
 
--- a/tests/planners/test_status.py
+++ b/tests/planners/test_status.py
@@ -5,8 +5,8 @@
 import sys
 from pathlib import Path
 
+from rig.fake_servers import run, spawn
 from rig.installation import Installation, free_port
-from rig.scripted import run, spawn
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/planning/test_no_double_grants.py
+++ b/tests/planning/test_no_double_grants.py
@@ -10,7 +10,7 @@
 from micagate.planning.holder import Holder, Session
 from micagate.planning.ledger import Ledger, _Grant
 from micagate.planning.terms import Terms
-from micagate.told import customer_key
+from micagate.resource_keys import customer_key
 from rig.planning import PLAN, World
 
 SCHEDULES, SECONDS = 250, 20.0
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_persisted_state.py
@@ -4,12 +4,12 @@
 
 from micagate import Gateway
 from micagate import interface as i
-from micagate.recovery import room
-from micagate.recovery.kept import ROWS, SPAN, Kept, Walk, account_row
-from micagate.recovery.marks import Marks
-from micagate.recovery.trust import Case, Disk, End
+from micagate.recovery import slow_start
+from micagate.recovery.persisted_state import ROWS, SPAN, Kept, Walk, account_row
+from micagate.recovery.recovery_policy import Case, Disk, End
+from micagate.recovery.write_ahead import Marks
 from rig.driver import SETTINGS, Driver, answered, workers
-from rig.returns import Return, by_second
+from rig.fleet_restart import Return, by_second
 
 PLAN = i.Plan("metered", rate=3.0, burst=12.0)
 
@@ -103,27 +103,27 @@
 
 def test_control_begins_where_workers_are_cold_together_follows_them_and_ends_with_their_cold():
     after = gateway(100.0, cold=99.0)
-    assert room.begin(after, 100.0, 50.0, 1.0)
-    warm = room.warmth(after, 100.0)
+    assert slow_start.begin(after, 100.0, 50.0, 1.0)
+    warm = slow_start.warmth(after, 100.0)
     assert after.throttle.on and after.throttle.rate == pytest.approx(50.0 * warm) and warm < 0.5
-    room.follow(after, 104.0)
-    assert after.throttle.rate == pytest.approx(50.0 * room.warmth(after, 104.0))
-    room.follow(after, 110.0)
+    slow_start.follow(after, 104.0)
+    assert after.throttle.rate == pytest.approx(50.0 * slow_start.warmth(after, 104.0))
+    slow_start.follow(after, 110.0)
     assert not after.throttle.on
 
 
 def test_control_does_not_begin_before_warm_workers_nor_where_little_was_asked_nor_by_nothing():
-    assert not room.begin(gateway(100.0), 100.0, 50.0, 1.0)
-    assert not room.begin(gateway(100.0, cold=92.0), 100.0, 50.0, 0.5)
-    assert not room.begin(gateway(100.0, cold=99.0), 100.0, 0.0, 1.0)
+    assert not slow_start.begin(gateway(100.0), 100.0, 50.0, 1.0)
+    assert not slow_start.begin(gateway(100.0, cold=92.0), 100.0, 50.0, 0.5)
+    assert not slow_start.begin(gateway(100.0, cold=99.0), 100.0, 0.0, 1.0)
 
 
 def test_signals_hold_control_on_over_the_end_of_the_cold():
     after = gateway(100.0, cold=99.0)
-    room.begin(after, 100.0, 50.0, 1.0)
+    slow_start.begin(after, 100.0, 50.0, 1.0)
     after.throttle.advance(108.0)  # its look is due: what is signalled after it is of the present rate
     after.throttle.signal(108.9, "w0", "free", 108.8)
-    room.follow(after, 109.0)
+    slow_start.follow(after, 109.0)
     assert after.throttle.on
 
 
@@ -142,11 +142,11 @@
         def restore(after, later):
             kept = Kept(made, Case(Disk.OWN, End.POWER, age=1.0, all_lost=True))
             kept.learned(after, later)
-            room.begin(after, later, kept.pace(), kept.load())
+            slow_start.begin(after, later, kept.pace(), kept.load())
 
         return restore
 
-    case = Return(seed, remember=remember if on else None, follow=room.follow)
+    case = Return(seed, remember=remember if on else None, follow=slow_start.follow)
     step()
     calm = sum(by_second(case.served(5))[2:]) / 3
     case.lose()
--- a/tests/recovery/test_trust.py
+++ b/tests/recovery/test_recovery_policy.py
@@ -4,7 +4,7 @@
 
 from micagate.membership.messages import Knows
 from micagate.recovery.answers import TOGETHER, Questions
-from micagate.recovery.trust import Case, Disk, End, Kind, Peers, Way, judge, loans_over
+from micagate.recovery.recovery_policy import Case, Disk, End, Kind, Peers, Way, judge, loans_over
 
 OWN, KILLED = Case(), End.KILLED
 
--- a/tests/rig/test_demo.py
+++ b/tests/rig/test_demo.py
@@ -10,8 +10,8 @@
 
 from oliveloft import cli
 from rig.capacity import Capacity
-from rig.modelled import Meter, ModelledWorker, Record
-from rig.scripted import run
+from rig.fake_servers import run
+from rig.limited_worker import Meter, ModelledWorker, Record
 from rig.traffic import Customer, PlanShape, Traffic
 
 ROOT = Path(__file__).parents[2]
--- a/tests/rig/test_faults.py
+++ b/tests/rig/test_faults.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from rig.fake_servers import run, until
 from rig.faults import FaultProxy
-from rig.scripted import run, until
 
 
 @contextlib.asynccontextmanager
--- a/tests/rig/test_pressed.py
+++ b/tests/rig/test_overload.py
@@ -7,7 +7,7 @@
 from benchmarks.deployments import PRESSED
 from micagate.fleet import Fleet
 from rig.fleet import UNIT
-from rig.pressed import arrivals, bound, fell, play
+from rig.overload import arrivals, bound, fell, play
 
 SECOND = PRESSED["second"]
 
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -8,8 +8,8 @@
 from oliveloft.store.etcd import Etcd
 from oliveloft.store.interface import Change, Put, StoreError
 from rig.etcd import EtcdStandIn
+from rig.fake_servers import run, until
 from rig.installation import free_port
-from rig.scripted import run, until
 
 
 @contextlib.asynccontextmanager
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from rig.house import House, Load
-from rig.scripted import Client, Worker, answer, config, once, run, until
+from rig.fake_servers import Client, Worker, answer, config, once, run, until
+from rig.process_host import House, Load
 
 PLANS = [
     {
