--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -19,7 +19,7 @@
 from dataclasses import replace
 
 from benchmarks.planners import spread
-from micagate import interface as i
+from micagate import interface
 from rig.capacity import Capacity
 from rig.customers import Day, play, total, wide
 from rig.overload import Kind
@@ -39,17 +39,21 @@
     marked=False,
     wait=0.12,
     plans=(
-        i.Plan("small", rate=1.6, burst=8.0, beyond_earns=0.1),
-        i.Plan("middle", rate=5.3, burst=22.0, at_once=2.0, excess_cost=1.2),
-        i.Plan("large", rate=21.0, burst=42.0, excess_cost=0.6),
+        interface.Plan("small", rate=1.6, burst=8.0, beyond_earns=0.1),
+        interface.Plan("middle", rate=5.3, burst=22.0, at_once=2.0, excess_cost=1.2),
+        interface.Plan("large", rate=21.0, burst=42.0, excess_cost=0.6),
     ),
 )
 KINDS = {"first": replace(wide(3), seconds=40.0), "second": SLOW_METER}
 PRESSED = {
     "first": Kind(
         (
-            (i.RequestClass("fetch", aim=1.0, deadline=4.0, importance=3.0), 0.6, 4.0),
-            (i.RequestClass("file", aim=1.0, deadline=4.0, effect=i.SIDE_EFFECT, importance=2.0), 0.4, 5.0),
+            (interface.RequestClass("fetch", aim=1.0, deadline=4.0, importance=3.0), 0.6, 4.0),
+            (
+                interface.RequestClass("file", aim=1.0, deadline=4.0, effect=interface.SIDE_EFFECT, importance=2.0),
+                0.4,
+                5.0,
+            ),
         ),
         gateways=3,
         workers=10,
@@ -59,15 +63,19 @@
     ),
     "second": Kind(
         (
-            (i.RequestClass("read", aim=1.2, deadline=3.0, importance=1.0), 0.61, 5.0),
+            (interface.RequestClass("read", aim=1.2, deadline=3.0, importance=1.0), 0.61, 5.0),
             (
-                i.RequestClass(
-                    "change", aim=0.6, deadline=1.5, effect=i.TOKEN, group="cell", window=3.0, importance=2.0
+                interface.RequestClass(
+                    "change", aim=0.6, deadline=1.5, effect=interface.TOKEN, group="cell", window=3.0, importance=2.0
                 ),
                 0.20,
                 3.5,
             ),
-            (i.RequestClass("pay", aim=1.2, deadline=4.0, effect=i.SIDE_EFFECT, importance=3.0), 0.19, 5.0),
+            (
+                interface.RequestClass("pay", aim=1.2, deadline=4.0, effect=interface.SIDE_EFFECT, importance=3.0),
+                0.19,
+                5.0,
+            ),
         ),
         gateways=2,
         workers=10,
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -25,8 +25,7 @@
 from random import Random
 
 from benchmarks.planners import spread
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.estimates import metering
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy as times
@@ -42,11 +41,11 @@
 WORKERS, RATE, GRACE = 60, 280.0, 0.5  # requests a second; seconds in which a drained worker may still be sent to
 RAMP, FALL, FACTOR, FROM = 8.0, 3.0, 2.0, 0.25
 WARM = Capacity(cores=2, speed=1 / 7, queue=20, cold_from=FROM, ramp=RAMP)
-PLAN = i.Plan("p", rate=1.2, burst=5.0, excess_cost=0.8)
-SETTINGS = i.Settings(
+PLAN = interface.Plan("p", rate=1.2, burst=5.0, excess_cost=0.8)
+SETTINGS = interface.Settings(
     (
-        i.RequestClass("fetch", aim=1.0, deadline=4.0, importance=3.0),
-        i.RequestClass("file", aim=1.0, deadline=4.0, effect=i.SIDE_EFFECT, importance=2.0),
+        interface.RequestClass("fetch", aim=1.0, deadline=4.0, importance=3.0),
+        interface.RequestClass("file", aim=1.0, deadline=4.0, effect=interface.SIDE_EFFECT, importance=2.0),
     ),
     (PLAN,),
     zone="a",
@@ -68,21 +67,21 @@
     fleet: Fleet
     stores: dict[str, Store] = field(default_factory=dict)
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Let in what is inside its quota, and send it where it is done first."""
-        if isinstance(event, i.Outcome) and not event.terminal:
-            return [i.Fail(event.request)]
-        if not isinstance(event, i.Request):
+        if isinstance(event, interface.Outcome) and not event.terminal:
+            return [interface.Fail(event.request)]
+        if not isinstance(event, interface.Request):
             return []
         store = self.stores.setdefault(event.customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
         if not store.take(now, 1):
-            return [i.Refuse(event.request)]
+            return [interface.Refuse(event.request)]
         up = [
             (p.load.free(now) + 0.14 / p.load.warmth(now), n)
             for n, p in self.fleet.places.items()
             if p.up and not p.hung
         ]
-        return [i.Send(event.request, min(up)[1])]
+        return [interface.Send(event.request, min(up)[1])]
 
 
 class Day:
@@ -130,28 +129,28 @@
         period = int((self.clock.now - 0.8) / 0.5) - 1
         return self.use[customer][period] / 0.5 / PLAN.rate if period >= 0 else None
 
-    def _handle(self, n: int) -> Callable[[float, i.Event], list[i.Action]]:
-        def handle(now: float, event: i.Event) -> list[i.Action]:
+    def _handle(self, n: int) -> Callable[[float, interface.Event], list[interface.Action]]:
+        def handle(now: float, event: interface.Event) -> list[interface.Action]:
             gate = self.gates[n]
             was = isinstance(gate, Gateway) and gate.throttle.on
             actions = gate.handle(now, event)
-            if isinstance(event, i.Outcome) and event.status == i.SUCCESS:
+            if isinstance(event, interface.Outcome) and event.status == interface.SUCCESS:
                 self.got += now - self.inside.pop(event.request, -math.inf) <= SETTINGS.classes[0].aim
             self.controls += isinstance(gate, Gateway) and gate.throttle.on and not was
             for action in actions:
-                if isinstance(action, i.Send):
+                if isinstance(action, interface.Send):
                     self._sent(n, now, action, event)
             return actions
 
         return handle
 
-    def _sent(self, n: int, now: float, action: i.Send, event: i.Event) -> None:
+    def _sent(self, n: int, now: float, action: interface.Send, event: interface.Event) -> None:
         key = n, action.worker
         self.peak[key] = max(
             self.peak[key], 1 + sum(action.worker in attempts for attempts in self.entrances[n]._attempts.values())
         )
         self.drain_breaks += now > self.told.get(key, math.inf) + GRACE
-        if isinstance(event, i.Request):
+        if isinstance(event, interface.Request):
             customer = event.customer
             store = self.stores.setdefault(customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
             self.use[customer][int(now / 0.5)] += 1
@@ -180,11 +179,11 @@
 
     def _tell(self, n: int, entrance: Entrance, name: str) -> None:
         entry = self.fleet.entry(name)
-        if entry.state == i.HEALTHY:
+        if entry.state == interface.HEALTHY:
             self.told.pop((n, name), None)
         else:
             self.told[n, name] = self.clock.now
-        entrance.hand(i.WorkerList((entry,)), "")
+        entrance.hand(interface.WorkerList((entry,)), "")
 
     def _replace(self, name: str) -> None:
         self.fleet.places[name].up = False
@@ -207,7 +206,9 @@
     def _return(self, n: int) -> None:
         if self.policy != "sees_all":
             self.gates[n] = self._gate(n, self.clock.now)
-            self.entrances[n].hand(i.WorkerList(tuple(map(self.fleet.entry, self.fleet.places)), whole=True), "")
+            self.entrances[n].hand(
+                interface.WorkerList(tuple(map(self.fleet.entry, self.fleet.places)), whole=True), ""
+            )
         self.down.discard(n)
 
     def play(self) -> Day:
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -25,8 +25,7 @@
 
 import uvloop
 
-from micagate import Gateway, Plan, RequestClass, Settings
-from micagate import interface as i
+from micagate import Gateway, Plan, RequestClass, Settings, interface
 from oliveloft.takeover.predecessor import Giver
 from oliveloft.takeover.successor import Taker
 from rig.bulk import BulkClient, BulkWorker, at_once, check
@@ -258,21 +257,21 @@
         )
         gateway = Gateway(settings, seed, 0.0)
         names = [f"w{n}" for n in range(60)]
-        gateway.handle(0.0, i.WorkerList(tuple(i.WorkerEntry(name) for name in names), whole=True))
+        gateway.handle(0.0, interface.WorkerList(tuple(interface.WorkerEntry(name) for name in names), whole=True))
         now, back, victim = 0.0, 0.0, random.choice(names)
         open_: list[tuple[float, str, str]] = []
         for n in range(3000):
             now += random.expovariate(300.0)
             if n == 1000:
-                gateway.handle(now, i.Maintain(victim, True))
+                gateway.handle(now, interface.Maintain(victim, True))
             if n == 1500:
-                gateway.handle(now, i.Maintain(victim, False))
+                gateway.handle(now, interface.Maintain(victim, False))
                 back = now
             while open_ and open_[0][0] <= now:
                 due, name, worker = open_.pop(0)
-                gateway.handle(due, i.Outcome(name, 0, worker, i.SUCCESS, terminal=True, took=0.05))
-            for action in gateway.handle(now, i.Request(f"r{n}", "read", "basic", f"{n:016x}", 4.0)):
-                if isinstance(action, i.Send):
+                gateway.handle(due, interface.Outcome(name, 0, worker, interface.SUCCESS, terminal=True, took=0.05))
+            for action in gateway.handle(now, interface.Request(f"r{n}", "read", "basic", f"{n:016x}", 4.0)):
+                if isinstance(action, interface.Send):
                     open_.append((now + 0.05, f"r{n}", action.worker))
             known = gateway.fleet.workers.get(victim)
             if n > 1500 and known is not None:
--- a/benchmarks/planner_workers.py
+++ b/benchmarks/planner_workers.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from benchmarks.planners import settled, spread
-from micagate import interface as i
+from micagate import interface
 from micagate.planning.terms import Terms
 from rig.capacity import Capacity
 from rig.cluster import Cluster
@@ -32,9 +32,9 @@
     "small and large": [Capacity(cores=n, queue=16 * n, thrash=0.05) for n in (1, 1, 2, 2, 4, 4, 8, 8)],
     "slow and fast": [Capacity(cores=4, queue=64, speed=s, thrash=0.05) for s in (0.25, 0.25, 0.5, 0.5, 1, 1, 2, 2)],
 }
-SETTINGS = i.Settings(
-    (i.RequestClass("fetch", aim=0.4, deadline=1.0),),
-    (i.Plan("free"),),
+SETTINGS = interface.Settings(
+    (interface.RequestClass("fetch", aim=0.4, deadline=1.0),),
+    (interface.Plan("free"),),
     gateways=FORWARDERS,
     zone="a",
     max_attempts=3,
--- a/benchmarks/quiet_quotas.py
+++ b/benchmarks/quiet_quotas.py
@@ -13,21 +13,21 @@
 from dataclasses import replace
 from statistics import mean, stdev
 
-from micagate import interface as i
+from micagate import interface
 from rig.customers import PLANS, Day, play, wide
 
 SEES = 0.25  # seconds by which the policy that is compared with sees the true state late (ours)
 MOST = 0.1  # more cost than that policy's
 MIX = (("calm", 0.62), ("full", 0.2), ("heavy", 0.1), ("spiky", 0.08))
 SIZED = (
-    i.Plan("one", rate=1.7, burst=7.0, excess_cost=0.8),
-    i.Plan("two", rate=3.0, burst=14.0, beyond_earns=0.3),
-    i.Plan("three", rate=12.0, burst=28.0, excess_cost=1.0, price=1.6),
+    interface.Plan("one", rate=1.7, burst=7.0, excess_cost=0.8),
+    interface.Plan("two", rate=3.0, burst=14.0, beyond_earns=0.3),
+    interface.Plan("three", rate=12.0, burst=28.0, excess_cost=1.0, price=1.6),
 )
 CAPPED = (
-    i.Plan("one", rate=12.0, burst=48.0, excess_cost=0.8),
-    i.Plan("two", rate=24.0, burst=110.0, beyond_earns=0.3),
-    i.Plan(
+    interface.Plan("one", rate=12.0, burst=48.0, excess_cost=0.8),
+    interface.Plan("two", rate=24.0, burst=110.0, beyond_earns=0.3),
+    interface.Plan(
         "three",
         rate=80.0,
         burst=170.0,
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -18,31 +18,30 @@
 from dataclasses import replace
 
 from benchmarks.planners import spread
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from rig.customers import play, total, wide
 from rig.memory import resident
 from rig.worker_selection import Field, served
 
-CLASSES = (i.RequestClass("fetch", aim=0.4, deadline=1.0),)
-PLANS = (i.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0),)
+CLASSES = (interface.RequestClass("fetch", aim=0.4, deadline=1.0),)
+PLANS = (interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0),)
 SIZES = (6, 60, 200, 1000)
 
 
 def module_us(workers: int, requests: int) -> float:
     """Microseconds of a request and its outcome, with so many workers."""
-    gate = Gateway(i.Settings(CLASSES, PLANS, max_attempts=2), 1, 0.0)
-    gate.handle(0.0, i.WorkerList(tuple(i.WorkerEntry(f"w{n}") for n in range(workers)), whole=True))
+    gate = Gateway(interface.Settings(CLASSES, PLANS, max_attempts=2), 1, 0.0)
+    gate.handle(0.0, interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(workers)), whole=True))
     now = 0.0
     spent = 0.0
     for n in range(requests):
         now += 0.005
         began = time.perf_counter()
-        actions = gate.handle(now, i.Request(f"r{n}", "fetch", "capped", f"c{n % 100}", 1.0))
+        actions = gate.handle(now, interface.Request(f"r{n}", "fetch", "capped", f"c{n % 100}", 1.0))
         spent += time.perf_counter() - began
         for action in actions:
-            if isinstance(action, i.Send):
-                outcome = i.Outcome(action.request, 0, action.worker, i.SUCCESS, True, 0.02)
+            if isinstance(action, interface.Send):
+                outcome = interface.Outcome(action.request, 0, action.worker, interface.SUCCESS, True, 0.02)
                 began = time.perf_counter()
                 gate.handle(now + 0.004, outcome)
                 spent += time.perf_counter() - began
@@ -54,8 +53,8 @@
 
     A step's time is the thread's on the processor: what else runs on the machine doesn't count.
     """
-    gate = Gateway(i.Settings(CLASSES, PLANS), 1, -100.0)
-    gate.handle(0.0, i.WorkerList((i.WorkerEntry("w"),), whole=True))
+    gate = Gateway(interface.Settings(CLASSES, PLANS), 1, -100.0)
+    gate.handle(0.0, interface.WorkerList((interface.WorkerEntry("w"),), whole=True))
     gc.collect()
     gc.freeze()
     gc.disable()  # the collector's own pauses are the process's matter: it freezes what it starts with
--- a/micagate/accounts.py
+++ b/micagate/accounts.py
@@ -4,7 +4,7 @@
 
 import math
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.metering import UNSEEN, Meter, Whole
 from micagate.recovery.high_water_mark import Mark
 
@@ -49,7 +49,7 @@
         "held",
     )
 
-    def __init__(self, plan: i.Plan, key: str, spread: int, now: float, born: float) -> None:
+    def __init__(self, plan: interface.Plan, key: str, spread: int, now: float, born: float) -> None:
         self.plan, self.key, self.spread = plan, key, spread
         # What the whole rate, and the whole stores, are divided by to give this gateway's.
         self.over: float = spread
--- a/micagate/adapter.py
+++ b/micagate/adapter.py
@@ -7,21 +7,21 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 from micagate.settings_keys import check
 
 MICRO = 1_000_000
-STATES = {"healthy": i.HEALTHY, "cordoned": i.DRAINING, "deregistered": i.GONE}
+STATES = {"healthy": interface.HEALTHY, "cordoned": interface.DRAINING, "deregistered": interface.GONE}
 STATUSES = {
-    "success": i.SUCCESS,
-    "failure": i.FAILURE,
-    "overloaded": i.FULL,
-    "timed_out": i.TIMED_OUT,
-    "unreachable": i.UNREACHABLE,
-    "broken": i.BROKEN,
-    "withdrawn": i.CANCELLED,
-    "void": i.VOID,
+    "success": interface.SUCCESS,
+    "failure": interface.FAILURE,
+    "overloaded": interface.FULL,
+    "timed_out": interface.TIMED_OUT,
+    "unreachable": interface.UNREACHABLE,
+    "broken": interface.BROKEN,
+    "withdrawn": interface.CANCELLED,
+    "void": interface.VOID,
 }
 REPEAT = 2  # bit of `Options`
 
@@ -40,12 +40,12 @@
     return round(value * MICRO)
 
 
-def settings(facts: dict[str, Any]) -> i.Settings:
+def settings(facts: dict[str, Any]) -> interface.Settings:
     """Settings from the `Facts` of a `LAUNCH`; unknown keys are skipped, what can't be followed is a ValueError."""
     check(facts)
     caps, rules, family = facts["Caps"], facts["Rules"], facts["FamilyInfo"]
     classes = tuple(
-        i.RequestClass(
+        interface.RequestClass(
             name=c["Name"],
             aim=c["SloUs"] / MICRO,
             deadline=c["DeadlineUs"] / MICRO,
@@ -59,7 +59,7 @@
         for c in facts["Classes"]
     )
     plans = tuple(
-        i.Plan(
+        interface.Plan(
             name=p["Name"],
             rate=p["Refill"],
             burst=p["MostAtOnce"],
@@ -73,7 +73,7 @@
         )
         for p in facts["Plans"]
     )
-    return i.Settings(
+    return interface.Settings(
         classes=classes,
         plans=plans,
         gateways=facts["NInstances"],
@@ -94,7 +94,7 @@
     )
 
 
-def entry(line: str) -> i.WorkerEntry:
+def entry(line: str) -> interface.WorkerEntry:
     """A line of a workers list."""
     word, worker, area, _kind, cohort, state, hint, boot = line.split(" ")[:8]
     if word != "ENTRY":
@@ -102,7 +102,7 @@
     if state not in STATES:
         raise Malformed(f"unknown state {state!r}")
     started = seconds(boot)
-    return i.WorkerEntry(
+    return interface.WorkerEntry(
         worker=worker,
         zone=area,
         cell=int(cohort),
@@ -112,10 +112,10 @@
     )
 
 
-def submit(v: list[str]) -> i.Event:
+def submit(v: list[str]) -> interface.Event:
     """SUBMIT: OpId Class Tariff Account TimeLeftUs PriceUnits Spread Base Options."""
     options = 0 if v[8] == "-" else int(v[8])
-    return i.Request(
+    return interface.Request(
         request=v[0],
         klass=v[1],
         plan=v[2],
@@ -128,12 +128,12 @@
     )
 
 
-def response(v: list[str]) -> i.Event:
+def response(v: list[str]) -> interface.Event:
     """RESPONSE: OpId Shot FinalUnits Worker Terminal Status SpentUs Used Metrics."""
     if v[5] not in STATUSES:
         raise Malformed(f"unknown status {v[5]!r}")
     used = 0 if v[7] == "-" else int(v[7])
-    return i.Outcome(
+    return interface.Outcome(
         request=v[0],
         attempt=int(v[1]),
         worker=v[3],
@@ -145,47 +145,47 @@
     )
 
 
-def counted(v: list[str]) -> i.Event:
+def counted(v: list[str]) -> interface.Event:
     """SUM: Status Reading SlotName SpentUs."""
     if v[0] not in STATUSES:
         raise Malformed(f"unknown status {v[0]!r}")
-    return i.Counted(
+    return interface.Counted(
         name=int(v[2]), status=STATUSES[v[0]], total=0.0 if v[1] == "-" else float(v[1]), took=seconds(v[3])
     )
 
 
 # Events of an instance: how many values follow the instance, and what they become. The module asks for no
 # probes or messages, so answers to these are read and left.
-EVENTS: dict[str, tuple[int, Callable[[list[str]], i.Event | None]]] = {
+EVENTS: dict[str, tuple[int, Callable[[list[str]], interface.Event | None]]] = {
     "SUBMIT": (9, submit),
     "RESPONSE": (9, response),
-    "STARTED": (4, lambda v: i.StreamStarted(v[0], int(v[3]), v[2], seconds(v[1]))),
-    "WAKE": (1, lambda v: i.TimerFired(int(v[0]))),
-    "ABANDONED": (1, lambda v: i.Abandoned(v[0])),
+    "STARTED": (4, lambda v: interface.StreamStarted(v[0], int(v[3]), v[2], seconds(v[1]))),
+    "WAKE": (1, lambda v: interface.TimerFired(int(v[0]))),
+    "ABANDONED": (1, lambda v: interface.Abandoned(v[0])),
     "SUM": (4, counted),
     "SAMPLED": (4, lambda v: None),
     "MAIL": (2, lambda v: None),
 }
 
 
-def action_line(instance: int, action: i.Action) -> str:
+def action_line(instance: int, action: interface.Action) -> str:
     """The wire's line for an action."""
     match action:
-        case i.Send(request, worker, within):
+        case interface.Send(request, worker, within):
             return f"SUBMIT_TO {instance} {request} {worker} {micros(within)}"
-        case i.Refuse(request, retry_after):
+        case interface.Refuse(request, retry_after):
             return f"TURN_AWAY {instance} {request} {micros(retry_after)}"
-        case i.Fail(request):
+        case interface.Fail(request):
             return f"FINISH_ERROR {instance} {request}"
-        case i.Cancel(request, attempt):
+        case interface.Cancel(request, attempt):
             return f"WITHDRAW {instance} {request} {attempt}"
-        case i.SetTimer(delay, ref):
+        case interface.SetTimer(delay, ref):
             return f"SET_TIMER {instance} {max(0, micros(delay))} {ref}"
-        case i.Subscribe():
+        case interface.Subscribe():
             return f"SUBSCRIBE {instance} 1"
-        case i.Count(name, amount, life):
+        case interface.Count(name, amount, life):
             return f"ADD {instance} {name} {amount:.7g} {micros(life)}"
-        case i.Tallies() | i.Freed() | i.Maintained():
+        case interface.Tallies() | interface.Freed() | interface.Maintained():
             raise ValueError("the wire has no planners or operators")  # nor an event that calls for these
 
 
@@ -196,7 +196,7 @@
         self._lines = self._numbered(source)
         self._sink = sink
         self._gateways: dict[int, Gateway] = {}
-        self._tables: dict[int, tuple[i.WorkerEntry, ...]] = {}
+        self._tables: dict[int, tuple[interface.WorkerEntry, ...]] = {}
         self._number = 0
         self._line = ""
 
@@ -258,18 +258,18 @@
         else:
             raise Malformed(f"unknown message {word!r}")
 
-    def _update(self, values: list[str]) -> i.Event:
+    def _update(self, values: list[str]) -> interface.Event:
         scope = values[1]
         if scope == "unavailable":
-            return i.WorkerList(failed=True)
+            return interface.WorkerList(failed=True)
         if scope not in ("update", "replace", "restored"):
             raise Malformed(f"unknown scope {scope!r}")
         table = int(values[3])
         if table not in self._tables:
             raise Malformed(f"no DIRECTORY {table}")
-        return i.WorkerList(self._tables[table], whole=scope != "update")
+        return interface.WorkerList(self._tables[table], whole=scope != "update")
 
-    def _hand(self, now: float, instance: int, event: i.Event, out: list[str]) -> None:
+    def _hand(self, now: float, instance: int, event: interface.Event, out: list[str]) -> None:
         gateway = self._gateways.get(instance)
         if gateway is None:
             raise Malformed(f"no instance {instance}")
--- a/micagate/counting/budget.py
+++ b/micagate/counting/budget.py
@@ -15,7 +15,7 @@
 import math
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 
 LAST = 20  # answers that the average goes back (ours)
 EASY, LEAST = 0.33, 0.02  # of the wait: what answers take while the level is full; what is left of that at least (ours)
@@ -43,20 +43,20 @@
 
     def heard(self, now: float, status: str, took: float) -> None:
         """An answer, or that none came in time."""
-        if status == i.LATE:
+        if status == interface.LATE:
             self._heard, self._unheard = now, 0
             return  # it counted when it had timed out
-        bad = status != i.SUCCESS or took > SLOW * self._wait
+        bad = status != interface.SUCCESS or took > SLOW * self._wait
         self._row = self._row + 1 if bad else 0
         if self._row >= ROW:
             # Guards against a line that stays as long as callers wait, where each call is worked off too late.
             self._row, self._held = 0, now + HOLD * (1 + 2 * self._random.random())
-        if status in (i.TIMED_OUT, i.UNREACHABLE):
+        if status in (interface.TIMED_OUT, interface.UNREACHABLE):
             self._unheard += 1
         else:
             self._heard, self._unheard = now, 0
         if not self.silent(now):
-            self._took += ((took / self._wait if status == i.SUCCESS else MISSED) - self._took) / LAST
+            self._took += ((took / self._wait if status == interface.SUCCESS else MISSED) - self._took) / LAST
 
     def silent(self, now: float) -> bool:
         """Whether nothing has been answered lately."""
--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.counting.budget import Budget
 from micagate.counting.stores import (
@@ -54,7 +54,7 @@
 class Counting:
     """The calls that are out, and what they become."""
 
-    def __init__(self, settings: i.Settings, now: float, offset: float, random: Random) -> None:
+    def __init__(self, settings: interface.Settings, now: float, offset: float, random: Random) -> None:
         self._offset, self._number = offset, settings.number
         self._gateways = settings.gateways
         self._longest = max(c.deadline for c in settings.classes)
@@ -64,14 +64,14 @@
         self._out: dict[int, deque[Call]] = {}  # by name: answers for one come in the order of the calls
         self._late: OrderedDict[int, deque[Call]] = OrderedDict()  # those that have timed out, in their order
         self._again: list[Call] = []
-        self.actions: list[i.Count] = []  # asked for since they were last taken
+        self.actions: list[interface.Count] = []  # asked for since they were last taken
 
     def clock(self, offset: float) -> None:
         """The clock's offset to Unix time, as the process that this one follows has it: epochs stay the same."""
         self._offset = offset
 
     @staticmethod
-    def _order(plans: Sequence[i.Plan]) -> list[str]:
+    def _order(plans: Sequence[interface.Plan]) -> list[str]:
         """The plans whose tries beyond the quota cost more than they earn, those first that cost most.
 
         Under a ceiling only where that leaves room for what the counter may lose: what is counted stays within the
@@ -141,11 +141,11 @@
 
     def _call(self, call: Call) -> None:
         self._out.setdefault(call.where.name, deque()).append(call)
-        self.actions.append(i.Count(call.where.name, call.amount, LIFE))
+        self.actions.append(interface.Count(call.where.name, call.amount, LIFE))
 
-    def answered(self, now: float, event: i.Counted) -> Verdict | None:
+    def answered(self, now: float, event: interface.Counted) -> Verdict | None:
         """Follow an answer; the verdict on the try that waited for it, if one did."""
-        table = self._late if event.status == i.LATE else self._out
+        table = self._late if event.status == interface.LATE else self._out
         calls = table.get(event.name)
         if not calls:
             return None
@@ -154,23 +154,27 @@
             del table[event.name]
         a = call.account
         self.budget.heard(now, event.status, event.took)
-        if event.status == i.SUCCESS:
+        if event.status == interface.SUCCESS:
             a.silent = None
         elif a.silent is None:
             a.silent = now
-        if event.status == i.LATE and call.kind == TRY and not call.sent:
+        if event.status == interface.LATE and call.kind == TRY and not call.sent:
             self.give_back(call)  # guards against places and units that stay taken for a try that was refused
-        elif event.status == i.TIMED_OUT:
+        elif event.status == interface.TIMED_OUT:
             self._late.setdefault(event.name, deque()).append(call)
             if len(self._late) > MOST:  # where none is told late they would pile up
                 self._late.popitem(last=False)
             if call.kind == TRY and now - call.where.begin < a.plan.burst / a.plan.rate:
                 # Guards against an epoch whose first call was this one: nobody would hand over. Harm: it is done twice.
                 self._call(Call(OLD, a, before(call.where, self._offset, a.key), 0.0))
-        elif event.status in (i.FULL, i.UNREACHABLE) and call.kind == BACK and now < call.where.begin + LIFE:
+        elif (
+            event.status in (interface.FULL, interface.UNREACHABLE)
+            and call.kind == BACK
+            and now < call.where.begin + LIFE
+        ):
             self._again.append(call)
-        if event.status != i.SUCCESS:
-            return Verdict(call, None) if call.kind == TRY and event.status != i.LATE else None
+        if event.status != interface.SUCCESS:
+            return Verdict(call, None) if call.kind == TRY and event.status != interface.LATE else None
         self.retry()
         elapsed, depth = now - call.where.begin, a.plan.burst / a.plan.rate
         if call.kind == BACK:
--- a/micagate/demand_reports.py
+++ b/micagate/demand_reports.py
@@ -4,14 +4,14 @@
 
 import math
 
-from micagate import interface as i
+from micagate import interface
 from micagate.fleet import Fleet
 from micagate.resource_keys import worker_key
 from micagate.shares import Shares
 from micagate.workload import Workload, sent_to
 
 
-def survey(now: float, fleet: Fleet, shares: Shares, gateways: int) -> list[i.Tally]:
+def survey(now: float, fleet: Fleet, shares: Shares, gateways: int) -> list[interface.Tally]:
     """What was and would be sent to each worker since the last survey, and what it can do."""
     passed, fleet.surveyed_at = now - fleet.surveyed_at, now
     if fleet.brisk == math.inf or passed <= 0:
@@ -24,7 +24,7 @@
     return sent_to(standing, fleet.workload, fleet.rate(now) * passed, 1.0 / fleet.brisk, gateways)
 
 
-def works(now: float, fleet: Fleet) -> list[i.Work]:
+def works(now: float, fleet: Fleet) -> list[interface.Work]:
     """What became of the attempts at each worker since the last call; the first one begins the count."""
     fleet.workload = fleet.workload or Workload()
     return fleet.workload.take(now, {name: len(worker.out) for name, worker in fleet.workers.items()})
--- a/micagate/estimates/waits.py
+++ b/micagate/estimates/waits.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 
 WAITS, ALIKE = 32, 0.02  # latest first tries of a class whose waits are kept; those this near are alike
 
@@ -14,14 +14,14 @@
 class Waits:
     """How long clients wait for a first try, lately."""
 
-    def __init__(self, classes: Iterable[i.RequestClass]) -> None:
+    def __init__(self, classes: Iterable[interface.RequestClass]) -> None:
         self._waits = {c.name: deque[float](maxlen=WAITS) for c in classes}
 
-    def first(self, klass: i.RequestClass, time_left: float) -> None:
+    def first(self, klass: interface.RequestClass, time_left: float) -> None:
         """A first try has come."""
         self._waits[klass.name].append(time_left)
 
-    def too_late(self, klass: i.RequestClass, time_left: float) -> bool:
+    def too_late(self, klass: interface.RequestClass, time_left: float) -> bool:
         """Whether a later try comes when its aim has surely passed, so that it would spend units for nothing.
 
         A client waits for each try as long as for its first, until the deadline cuts a try short or, at its
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -5,7 +5,7 @@
 import math
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.recent import OLD_SHARE, Recent
 from micagate.estimates.tails import Tails
 from micagate.resource_keys import worker_key
@@ -31,7 +31,7 @@
 class Fleet:
     """The list of workers, their health, the cold guard and the choice of one."""
 
-    def __init__(self, settings: i.Settings, random: Random, now: float, shares: Shares) -> None:
+    def __init__(self, settings: interface.Settings, random: Random, now: float, shares: Shares) -> None:
         self._s, self._random, self._shares = settings, random, shares
         self.workers: dict[str, Worker] = {}
         self.among = settings.gateways  # those that may send to a cold worker
@@ -49,7 +49,7 @@
         self._pooled: tuple[float, list[Worker]] | None = None  # the last pool, until anything changes
         self._aim = min(c.aim for c in settings.classes)
 
-    def update(self, now: float, news: i.WorkerList) -> None:
+    def update(self, now: float, news: interface.WorkerList) -> None:
         """Follow the list; a drained or gone worker gets nothing from here on, a restarted one is new."""
         if news.whole:
             named = {entry.worker for entry in news.entries}
@@ -72,7 +72,7 @@
                     self._unlist(known)
                 self.workers[entry.worker] = known = fresh
             known.entry = entry
-            if entry.state != i.HEALTHY:
+            if entry.state != interface.HEALTHY:
                 self._leave(known)
             elif not known.usable:
                 known.usable = True
@@ -91,7 +91,7 @@
         if not worker.out:
             del self.workers[worker.entry.worker]
 
-    def usual(self, klass: i.RequestClass) -> float:
+    def usual(self, klass: interface.RequestClass) -> float:
         """The usual answer time of a class; its aim's tenth until something is known."""
         return self._usual.get(klass.name, klass.aim / 10)
 
@@ -260,7 +260,12 @@
         return self.recent.pressed(now, waiting, self._aim, self._answers < ENOUGH, self.arcs.keeps)
 
     def pick(
-        self, now: float, klass: i.RequestClass, tried: set[str], zone: str | None = None, cell: int | None = None
+        self,
+        now: float,
+        klass: interface.RequestClass,
+        tried: set[str],
+        zone: str | None = None,
+        cell: int | None = None,
     ) -> str | None:
         """The worker with the least expected wait, or None.
 
@@ -300,7 +305,7 @@
                 return name
         return None
 
-    def _best(self, now: float, klass: i.RequestClass, fit: list[Worker]) -> str:
+    def _best(self, now: float, klass: interface.RequestClass, fit: list[Worker]) -> str:
         """The worker with the least expected wait.
 
         To a wait belongs what a lost answer would cost: until it is missed where the request may be repeated,
@@ -308,7 +313,7 @@
         whatever cause: what may be repeated goes there first, and all of it where the others are busy. Harm:
         a few losses by chance make the load uneven for seconds.
         """
-        once = klass.effect == i.SIDE_EFFECT
+        once = klass.effect == interface.SIDE_EFFECT
         lost = max(STALL, klass.aim / max(self.usual(klass), 1e-6)) if once else STALL
         waits = self._paced(now, klass, fit) if self._shares.paces else None
         waits = waits or [self._slow(now, w) * (1 + len(self._queued(now, w))) * self._far(w) for w in fit]
@@ -321,7 +326,7 @@
         """What a wait elsewhere counts for next to one in the own zone."""
         return 1.0 if worker.entry.zone == self._s.zone else FAR
 
-    def _paced(self, now: float, klass: i.RequestClass, fit: list[Worker]) -> list[float] | None:
+    def _paced(self, now: float, klass: interface.RequestClass, fit: list[Worker]) -> list[float] | None:
         """The expected wait at each worker, over the usual answer time, by this gateway's part of its pace.
 
         None unless the paces of all are known. What is out here over the part of the pace is the time that it
@@ -340,7 +345,7 @@
             waits.append(self._far(worker) * out * over / pace / max(self.usual(klass), 1e-6))
         return waits
 
-    def silent(self, now: float, name: str, klass: i.RequestClass, lost: bool = True) -> None:
+    def silent(self, now: float, name: str, klass: interface.RequestClass, lost: bool = True) -> None:
         """An attempt at a worker goes without an answer, or has one.
 
         Kept by class, since a worker may serve one well and lose another.
@@ -349,7 +354,7 @@
         if worker is not None and (lost or klass.name in worker.losses):
             worker.lose(now, klass.name, lost, LEARN)
 
-    def sent(self, now: float, name: str, key: tuple[str, int], klass: i.RequestClass) -> None:
+    def sent(self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass) -> None:
         """An attempt has gone to a worker."""
         worker, self._pooled = self.workers[name], None
         if self.workload is not None:
@@ -376,7 +381,7 @@
         """Whether the worker has answered something that was sent to it later."""
         return (worker := self.workers.get(name)) is not None and sent <= worker.latest
 
-    def loses(self, now: float, name: str, klass: i.RequestClass) -> bool:
+    def loses(self, now: float, name: str, klass: interface.RequestClass) -> bool:
         """Whether a worker goes on losing much of a class where another loses little.
 
         Its silence then tells of lost answers, not of load. Guards against lossy ways and half-dead workers,
@@ -390,7 +395,7 @@
         return worker.loss(now, klass.name) > max(LOSSY, LOSSIER * least)
 
     def returned(
-        self, now: float, name: str, key: tuple[str, int], klass: i.RequestClass, status: str, took: float
+        self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass, status: str, took: float
     ) -> None:
         """An attempt's outcome, whatever became of its request."""
         self._waiting.pop(key, None)
@@ -403,20 +408,20 @@
             self._leave(worker)
         if self.workload is not None:
             self.workload.ended(now, name, len(worker.out) + 1, klass.name, self.usual(klass), status, took)
-        if status == i.FULL and self.arcs.keeps:
+        if status == interface.FULL and self.arcs.keeps:
             worker.turned_away(now)
-        if status in (i.TIMED_OUT, i.FULL, i.UNREACHABLE):
+        if status in (interface.TIMED_OUT, interface.FULL, interface.UNREACHABLE):
             worker.held.append(now + self._s.fall_time)
-        if status in (i.CANCELLED, i.VOID):
+        if status in (interface.CANCELLED, interface.VOID):
             return
-        if status != i.UNREACHABLE:
+        if status != interface.UNREACHABLE:
             self.owed.pop(name, None)
-        if status in (i.SUCCESS, i.FULL, i.FAILURE, i.SPOILT):
+        if status in (interface.SUCCESS, interface.FULL, interface.FAILURE, interface.SPOILT):
             worker.heard, worker.latest = now, max(worker.latest, sent)
             self.silent(now, name, klass, lost=False)
-        elif status == i.BROKEN:
+        elif status == interface.BROKEN:
             self.silent(now, name, klass)
-        if status == i.SUCCESS:
+        if status == interface.SUCCESS:
             self._fade(now)
             self._done += 1
             usual = self._usual.setdefault(klass.name, took)
@@ -430,7 +435,12 @@
             self._answers += 1
             if self._answers >= ENOUGH:
                 self.brisk = min(self.brisk, max(self._usual.values()))
-        elif status not in (i.FULL, i.SPOILT):  # answers spoilt by chance tell nothing of a worker's health
+        elif status not in (
+            interface.FULL,
+            interface.SPOILT,
+        ):  # answers spoilt by chance tell nothing of a worker's health
             # Errors that come at once draw ever more; who meets a worker seldom sees too few in a row.
-            sudden = status in (i.UNREACHABLE, i.BROKEN) or self.arcs.keeps and status == i.FAILURE
+            sudden = (
+                status in (interface.UNREACHABLE, interface.BROKEN) or self.arcs.keeps and status == interface.FAILURE
+            )
             worker.failed(now, sudden, self.arcs.keeps)
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -8,7 +8,7 @@
 
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.counting.counting import Counting, Verdict
 from micagate.demand_reports import survey, works
 from micagate.estimates.waits import Waits
@@ -30,7 +30,7 @@
 class Gateway:
     """One gateway: `handle` turns an event into actions."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: float, offset: float = 0.0) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, now: float, offset: float = 0.0) -> None:
         self._s = settings
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: p for p in settings.plans}
@@ -54,47 +54,47 @@
         self.waits = Waits(settings.classes)
         self.budget = RETRY_DEPTH
         self._subscribed = not settings.must_subscribe
-        self._actions: list[i.Action] = []
+        self._actions: list[interface.Action] = []
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """The actions that an event calls for."""
         self._actions = []
         match event:
-            case i.Request():
+            case interface.Request():
                 self._request(now, event)
-            case i.Outcome():
+            case interface.Outcome():
                 self._outcome(now, event)
-            case i.TimerFired(ref):
+            case interface.TimerFired(ref):
                 self._timer(now, *self._timers.pop(ref, ("", "", 0)))
-            case i.WorkerList():
+            case interface.WorkerList():
                 self._list(now, event)
-            case i.Whole(request, kept):
+            case interface.Whole(request, kept):
                 self._whole(now, request, kept)
-            case i.Maintain():
+            case interface.Maintain():
                 self._maintain(now, event)
-            case i.StreamStarted(request, number):
+            case interface.StreamStarted(request, number):
                 self._started(now, request, number, event.took)
-            case i.Abandoned(request):
+            case interface.Abandoned(request):
                 self._held.pop(request, None)
                 self._over(request)
-            case i.Ending(request):
+            case interface.Ending(request):
                 self._ending(now, request)
-            case i.Counted():
+            case interface.Counted():
                 if (verdict := self.counting.answered(now, event)) is not None:
                     self._counted(now, verdict)
-            case i.Shares():
+            case interface.Shares():
                 if freed := move(self.quotas, now, event, self.plans):
-                    self._actions.append(i.Freed(tuple(freed)))
-            case i.Survey():
+                    self._actions.append(interface.Freed(tuple(freed)))
+            case interface.Survey():
                 seen = survey(now, self.fleet, self.quotas.shares, self._s.gateways)
                 tallies = (*self.quotas.survey(), *seen)
-                self._actions.append(i.Tallies(tallies, tuple(works(now, self.fleet)) if event.works else ()))
+                self._actions.append(interface.Tallies(tallies, tuple(works(now, self.fleet)) if event.works else ()))
         if self.counting.actions:
             self._actions += self.counting.actions
             self.counting.actions.clear()
         return self._actions
 
-    def _list(self, now: float, event: i.WorkerList) -> None:
+    def _list(self, now: float, event: interface.WorkerList) -> None:
         if not event.failed:
             self.fleet.update(now, self.maintenance.follow(event))
             self.throttle.among(self.fleet.arcs.met, self.fleet.arcs.keeps)
@@ -103,20 +103,20 @@
             if event.failed:  # ask again a little later: the list's service may be drowning
                 self._set_timer(1.0 + self._random.random(), "subscribe", "", 0)
             else:
-                self._actions.append(i.Subscribe())
+                self._actions.append(interface.Subscribe())
 
-    def _maintain(self, now: float, event: i.Maintain) -> None:
+    def _maintain(self, now: float, event: interface.Maintain) -> None:
         change = self.maintenance.out if event.out else self.maintenance.online
         if (news := change(now, event.worker, event.since)) is not None:
             self.fleet.update(now, news)
             if not event.out and news.entries:
                 self.fleet.owed[event.worker] = now
-        self._actions.append(i.Maintained(event.worker, news is not None))
+        self._actions.append(interface.Maintained(event.worker, news is not None))
 
-    def _request(self, now: float, event: i.Request) -> None:
+    def _request(self, now: float, event: interface.Request) -> None:
         klass, plan = self.classes.get(event.klass), self.plans.get(event.plan)
         if klass is None or plan is None or event.time_left <= self._s.tick:
-            self._actions.append(i.Refuse(event.request, 0.0))
+            self._actions.append(interface.Refuse(event.request, 0.0))
             return
         account = self.quotas.account(now, event.customer, plan, event.spread)
         self.quotas.count(account, event)
@@ -180,7 +180,7 @@
     def _refuse(self, request: str, aim: float) -> None:
         """Refuse with advice that leaves several tries before the aim: later ones spend units for nothing."""
         advice = min(self._s.max_retry_advice, ADVICE * aim) * (0.5 + 0.5 * self._random.random())
-        self._actions.append(i.Refuse(request, advice))
+        self._actions.append(interface.Refuse(request, advice))
 
     def _send(self, now: float, pending: Pending, worker: str) -> None:
         name, number, klass = pending.request.request, len(pending.attempts), pending.klass
@@ -188,7 +188,7 @@
         pending.attempts.append(attempt)
         pending.account.out += 1
         self.out[name, number] = attempt
-        self._actions.append(i.Send(name, worker))
+        self._actions.append(interface.Send(name, worker))
         if pending.whole:
             self._began(now, pending, number)
 
@@ -216,10 +216,10 @@
         if attempt.worker in self.fleet.workers:
             self.fleet.sent(now, attempt.worker, (name, number), klass)
         attempt.timers.append(self._set_timer(klass.aim, "aim", name, number))
-        if pending.kept and number + 1 < self._s.max_attempts and klass.effect != i.SIDE_EFFECT:
+        if pending.kept and number + 1 < self._s.max_attempts and klass.effect != interface.SIDE_EFFECT:
             attempt.timers.append(self._set_timer(self._silence(klass), "hedge", name, number))
 
-    def _silence(self, klass: i.RequestClass) -> float:
+    def _silence(self, klass: interface.RequestClass) -> float:
         """How long an attempt may be out before its silence is unusual."""
         return min(STALL * self.fleet.usual(klass), klass.aim / 2)
 
@@ -240,20 +240,20 @@
     def _set_timer(self, delay: float, kind: str, name: str, number: int) -> int:
         self._refs += 1
         self._timers[self._refs] = (kind, name, number)
-        self._actions.append(i.SetTimer(max(0.0, delay), self._refs))
+        self._actions.append(interface.SetTimer(max(0.0, delay), self._refs))
         return self._refs
 
     def _timer(self, now: float, kind: str, name: str, number: int) -> None:
         attempt, pending = self.out.get((name, number)), self._pending.get(name)
         if kind == "subscribe":
-            self._actions.append(i.Subscribe())
+            self._actions.append(interface.Subscribe())
         elif kind == "aim" and attempt is not None and not attempt.signalled:
             attempt.signalled = True
             self.fleet.given_up(now, (name, number))
             if overtaken := self.fleet.overtaken(attempt.worker, attempt.sent):
                 self.fleet.tails.missed(now)
                 attempt.free()  # its answer was written and got lost: the customer's place is free
-            if overtaken or attempt.klass.effect == i.SIDE_EFFECT:
+            if overtaken or attempt.klass.effect == interface.SIDE_EFFECT:
                 self.fleet.silent(now, attempt.worker, attempt.klass)
             lost = self.fleet.loses(now, attempt.worker, attempt.klass)
             if not lost and not self.fleet.recent.lossy():
@@ -280,8 +280,13 @@
             return
         if self._s.second_copies:
             self._again(now, pending)
-        elif pending.klass.effect == i.PURE and self._s.can_cancel and self.budget >= 1 and self.fleet.tails.lost():
-            self._actions.append(i.Cancel(pending.request.request, number))  # its outcome sends it again
+        elif (
+            pending.klass.effect == interface.PURE
+            and self._s.can_cancel
+            and self.budget >= 1
+            and self.fleet.tails.lost()
+        ):
+            self._actions.append(interface.Cancel(pending.request.request, number))  # its outcome sends it again
 
     def _started(self, now: float, name: str, number: int, took: float) -> None:
         pending, attempt = self._pending.get(name), self.out.get((name, number))
@@ -296,7 +301,7 @@
         if took > attempt.klass.aim and not attempt.signalled:
             self.throttle.signal(now, attempt.worker, attempt.account.plan.name, attempt.sent)
 
-    def _outcome(self, now: float, event: i.Outcome) -> None:
+    def _outcome(self, now: float, event: interface.Outcome) -> None:
         key = (event.request, event.attempt)
         attempt, pending = self.out.pop(key, None), self._pending.get(event.request)
         if attempt is None:
@@ -309,24 +314,24 @@
         if event.used is not None:
             attempt.account.metered(now, event.used, self.quotas.meter, event.used_age)
         self.fleet.returned(now, attempt.worker, key, attempt.klass, event.status, event.took)
-        if event.status == i.SUCCESS and event.took > self._silence(attempt.klass):
+        if event.status == interface.SUCCESS and event.took > self._silence(attempt.klass):
             self.fleet.tails.came(now, event.took > attempt.klass.aim)
-        if event.status in (i.FULL, i.TIMED_OUT):
-            if not attempt.signalled and (event.status == i.FULL or not self.fleet.recent.lossy()):
+        if event.status in (interface.FULL, interface.TIMED_OUT):
+            if not attempt.signalled and (event.status == interface.FULL or not self.fleet.recent.lossy()):
                 self.throttle.signal(now, attempt.worker, attempt.account.plan.name, attempt.sent)
         elif attempt.group.whole:  # else its time is that of whoever sends the request
             self._late(now, attempt, event.took)
         if pending is None:
             settle(self.counting, attempt.group, self._pending)
             return
-        if event.status == i.SUCCESS and event.final_units and pending.inside and pending.account.plan.rate:
+        if event.status == interface.SUCCESS and event.final_units and pending.inside and pending.account.plan.rate:
             pending.account.store += pending.request.units - event.final_units
-        if event.terminal or event.status == i.SUCCESS:
+        if event.terminal or event.status == interface.SUCCESS:
             self._over(event.request)
             if self._s.can_cancel:
                 for number, other in enumerate(pending.attempts):
                     if not other.status:
-                        self._actions.append(i.Cancel(event.request, number))
+                        self._actions.append(interface.Cancel(event.request, number))
         elif any(not other.status for other in pending.attempts):
             pass  # another copy is still out
         elif not event.kept or now >= pending.deadline - self._s.tick or not self._again(now, pending):
@@ -336,17 +341,17 @@
     def _again(self, now: float, pending: Pending) -> bool:
         """Send a further attempt if effect, group, window, budget and bucket allow."""
         klass, zone, cell = pending.klass, None, None
-        anchor = next((a for a in pending.attempts if a.status not in i.NEVER_RAN), None)
+        anchor = next((a for a in pending.attempts if a.status not in interface.NEVER_RAN), None)
         if anchor is not None:
-            if klass.effect == i.SIDE_EFFECT:
+            if klass.effect == interface.SIDE_EFFECT:
                 return False
-            if klass.effect == i.TOKEN:
+            if klass.effect == interface.TOKEN:
                 if now > anchor.sent + klass.window - self._s.tick:
                     return False
                 zone = anchor.zone if klass.group == "zone" else None
                 cell = anchor.cell if klass.group == "cell" else None
         # What did not come up cost the workers nothing, and a lost zone takes a third of all tries.
-        free = self.fleet.arcs.keeps and pending.attempts[-1].status == i.UNREACHABLE
+        free = self.fleet.arcs.keeps and pending.attempts[-1].status == interface.UNREACHABLE
         if len(pending.attempts) >= self._s.max_attempts or self.budget < 1 and not free:
             return False
         worker = self.fleet.pick(now, klass, {a.worker for a in pending.attempts}, zone, cell)
@@ -364,7 +369,7 @@
         name = pending.request.request
         if self._over(name) is None:
             return
-        if all(a.status in i.NEVER_RAN for a in pending.attempts):
+        if all(a.status in interface.NEVER_RAN for a in pending.attempts):
             self._refuse(name, pending.klass.aim)
         else:
-            self._actions.append(i.Fail(name))
+            self._actions.append(interface.Fail(name))
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.gateway import Gateway
 from micagate.handover.fields import Damaged, put, take
@@ -316,9 +316,11 @@
     units, sent = float(row["units"]), float(row["sent"])
     if spends and number == 0:
         gateway.quotas.take(account, units, bool(row["inside"]))
-    request = i.Request(name, klass.name, plan.name, customer, klass.deadline, units=units, spread=int(row["spread"]))
+    request = interface.Request(
+        name, klass.name, plan.name, customer, klass.deadline, units=units, spread=int(row["spread"])
+    )
     stub = Pending(request, klass, account, sent + klass.deadline)
-    entry = worker.entry if worker is not None else i.WorkerEntry(str(row["worker"]))
+    entry = worker.entry if worker is not None else interface.WorkerEntry(str(row["worker"]))
     attempt = Attempt(entry, klass, sent, stub)
     attempt.signalled, attempt.counted = bool(row["signalled"]), bool(row["counted"])
     stub.attempts.append(attempt)
@@ -329,10 +331,10 @@
         worker.out[name, number] = sent
 
 
-def left_out(gateway: Gateway, theirs: Iterable[tuple[str, int]]) -> list[i.Outcome]:
+def left_out(gateway: Gateway, theirs: Iterable[tuple[str, int]]) -> list[interface.Outcome]:
     """The giver is gone, and with it what it had out, as its connections are closed: the outcomes of that."""
     return [
-        i.Outcome(name, number, gateway.out[name, number].worker, i.CANCELLED, terminal=True, took=0.0)
+        interface.Outcome(name, number, gateway.out[name, number].worker, interface.CANCELLED, terminal=True, took=0.0)
         for name, number in theirs
         if (name, number) in gateway.out
     ]
--- a/micagate/invariants.py
+++ b/micagate/invariants.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from micagate import interface as i
+from micagate import interface
 
 
 class Reason(enum.Enum):
@@ -69,7 +69,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether an endpoint may have run it, or may yet."""
-        return self.status not in i.NEVER_RAN
+        return self.status not in interface.NEVER_RAN
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,10 +108,10 @@
 
 def _repeat_refusal(now: float, effect: str, window_seconds: float, earlier: Sequence[EarlierAttempt]) -> Reason | None:
     """A request with an effect is repeated only where nothing can have run, or where duplicates are discarded."""
-    if effect == i.PURE:
+    if effect == interface.PURE:
         return None
     first = next((attempt for attempt in earlier if attempt.may_have_run), None)
-    if first is None or effect == i.TOKEN and now <= first.sent_at + window_seconds:
+    if first is None or effect == interface.TOKEN and now <= first.sent_at + window_seconds:
         return None
     return Reason.REPEAT_MAY_RUN_TWICE
 
--- a/micagate/pending.py
+++ b/micagate/pending.py
@@ -4,7 +4,7 @@
 
 import math
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.counting.counting import Call
 
@@ -28,7 +28,9 @@
         "group",
     )
 
-    def __init__(self, entry: i.WorkerEntry, klass: i.RequestClass, sent: float, pending: Pending) -> None:
+    def __init__(
+        self, entry: interface.WorkerEntry, klass: interface.RequestClass, sent: float, pending: Pending
+    ) -> None:
         self.worker, self.zone, self.cell = entry.worker, entry.zone, entry.cell
         self.klass, self.sent, self.account = klass, sent, pending.account
         self.group = pending  # the request's, also when that is over
@@ -67,7 +69,9 @@
         "counted",
     )
 
-    def __init__(self, request: i.Request, klass: i.RequestClass, account: Account, deadline: float) -> None:
+    def __init__(
+        self, request: interface.Request, klass: interface.RequestClass, account: Account, deadline: float
+    ) -> None:
         self.request, self.klass, self.account, self.deadline = request, klass, account, deadline
         self.inside, self.streaming = True, False
         self.attempts: list[Attempt] = []
--- a/micagate/planning/holder.py
+++ b/micagate/planning/holder.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Container, Iterable
 from dataclasses import dataclass
 
-from micagate import interface as i
+from micagate import interface
 from micagate.interface import Share, Shares
 from micagate.planning.allocate import TINY
 from micagate.planning.messages import AMOUNTS, MOST, Amount, Call, Fill, Need, Report, Word, Work
@@ -200,7 +200,7 @@
                 if moved or abs(need - before) >= max(LEAST, CHANGE * before):
                     session.due[demand.key] = None
 
-    def saw(self, works: Iterable[i.Work]) -> None:
+    def saw(self, works: Iterable[interface.Work]) -> None:
         """Take in what was seen of workers since the last time; what no planner asks for is forgotten."""
         for work in works:
             session = self._current.get(self._shard_of(work.key))
@@ -365,8 +365,8 @@
                     Share(key, session.lent.get(key, 0.0), session.borrowed.get(key, 0.0), self._count(session, key))
                     for key in session.touched
                 )
-                fills = tuple(i.Fill(fill.key, fill.store, fill.ceiling) for fill in session.fills)
-                paces = tuple(i.Pace(key, pace) for key, pace in session.paces.items())
+                fills = tuple(interface.Fill(fill.key, fill.store, fill.ceiling) for fill in session.fills)
+                paces = tuple(interface.Pace(key, pace) for key, pace in session.paces.items())
                 session.touched.clear()
                 session.fills.clear()
                 session.paces.clear()
@@ -379,7 +379,7 @@
         known = self._needs.get(key)
         return known.count if known is not None else session.counts.get(key, 1)
 
-    def freed(self, number: int, fills: Iterable[i.Fill]) -> None:
+    def freed(self, number: int, fills: Iterable[interface.Fill]) -> None:
         """What a session's moves have taken out of stores: the planner is told, with what is lent."""
         for session in self._sessions:
             if session.number == number and session.live:
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from micagate import interface as i
+from micagate import interface
 from micagate.account_table import Table
 from micagate.accounts import Account
 from micagate.deficit_sketch import Debts
@@ -35,7 +35,7 @@
         self.table, self.debts = Table(most), Debts(salt)
         self.marks: Marks | None = None  # of ceilings, where there is a memory that lasts
 
-    def account(self, now: float, customer: str, plan: i.Plan, spread: int) -> Account:
+    def account(self, now: float, customer: str, plan: interface.Plan, spread: int) -> Account:
         """The customer's entry brought up to now; entries idle for long and full again are dropped.
 
         Guards against requests that name a customer wrongly: another plan has an entry of its own, and
@@ -158,7 +158,7 @@
             return False
         return a.ceiling >= units + (a.plan.ceiling_depth / a.span / 2 if beyond else 0.0)
 
-    def count(self, a: Account, request: i.Request) -> None:
+    def count(self, a: Account, request: interface.Request) -> None:
         """Count what is asked, for the next survey."""
         a.asked += 0.0 if request.repeat else request.units  # a repeat asks for nothing more
         if self._surveyed is not None:
@@ -167,7 +167,7 @@
             a.most = max(a.most, a.out + 1)
             self._surveyed[a.key] = a
 
-    def survey(self) -> list[i.Tally]:
+    def survey(self) -> list[interface.Tally]:
         """What was asked since the last survey."""
         surveyed, self._surveyed = self._surveyed or {}, {}
         return asked_of(surveyed.values())
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.counting.counting import Counting
 from micagate.pending import Pending
@@ -17,7 +17,7 @@
     """
     if pending.request.request in owed or not all(attempt.status for attempt in pending.attempts):
         return
-    reached = any(attempt.status not in i.NEVER_SENT for attempt in pending.attempts)
+    reached = any(attempt.status not in interface.NEVER_SENT for attempt in pending.attempts)
     if not reached:
         untake(pending.account, pending.request.units, pending.inside, pending.counted, pending.whole)
     if pending.call is not None:
--- a/micagate/settings_keys.py
+++ b/micagate/settings_keys.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,8 +70,8 @@
     "Caps.SecondCopies": Fact("flag", "a hedge may be a second attempt beside the first"),
     "Classes[].AimStretch": _left("the aim is taken unstretched, which is the earlier one"),
     "Classes[].DeadlineUs": Fact("number", "when a request ends"),
-    "Classes[].Effect": Fact("text", "whether a further attempt may go", among=i.EFFECTS),
-    "Classes[].Group": Fact("text", "where a further attempt of a token may go", among=i.GROUPS),
+    "Classes[].Effect": Fact("text", "whether a further attempt may go", among=interface.EFFECTS),
+    "Classes[].Group": Fact("text", "where a further attempt of a token may go", among=interface.GROUPS),
     "Classes[].Importance": Fact(
         "number", "under pressure: where the bucket is full, from when on one is late", needed=False
     ),
--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -4,12 +4,14 @@
 
 from collections.abc import Mapping
 
-from micagate import interface as i
+from micagate import interface
 from micagate.quotas import Quotas
 from micagate.resource_keys import customer_of
 
 
-def move(quotas: Quotas, now: float, event: i.Shares, plans: Mapping[str, i.Plan]) -> list[i.Fill]:
+def move(
+    quotas: Quotas, now: float, event: interface.Shares, plans: Mapping[str, interface.Plan]
+) -> list[interface.Fill]:
     """Follow what planners moved; what leaves the stores with shares that are given away.
 
     What is lent is spent here no more from now on. Fills that come are put in, as far as the share holds
@@ -33,7 +35,7 @@
             kept, whole, top = span / a.span, a.plan.burst, a.plan.ceiling_depth
             a.store, a.ceiling = min(store, store * kept), ceiling * kept
             freed.append(
-                i.Fill(
+                interface.Fill(
                     key,
                     max(0.0, store - a.store) / whole if whole else 0.0,
                     (ceiling - a.ceiling) / top if top else 0.0,
--- a/micagate/shares.py
+++ b/micagate/shares.py
@@ -10,7 +10,7 @@
 
 import math
 
-from micagate import interface as i
+from micagate import interface
 from micagate.resource_keys import Told, put
 
 MOVED = 0.7  # of the stores behind a share, which moves with it (ours)
@@ -24,7 +24,7 @@
         self._amounts: Told = {}  # by session: what is lent and what is borrowed
         self.paces: Told = {}  # by session: what a worker can do
 
-    def change(self, event: i.Shares) -> None:
+    def change(self, event: interface.Shares) -> None:
         """Follow a session; one whose both ends are past is forgotten with its amounts."""
         if event.over:
             self._ends.pop(event.session, None)
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -11,40 +11,40 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 
 # The written name of each class, which never changes. A field is written under its own name, or under that of its
 # metadata `WRITTEN`.
 _KINDS: dict[str, type[Any]] = {
-    "WorkerEntry": i.WorkerEntry,
-    "WorkerList": i.WorkerList,
-    "Request": i.Request,
-    "Outcome": i.Outcome,
-    "StreamStarted": i.StreamStarted,
-    "TimerFired": i.TimerFired,
-    "Abandoned": i.Abandoned,
-    "Send": i.Send,
-    "Refuse": i.Refuse,
-    "Fail": i.Fail,
-    "Cancel": i.Cancel,
-    "SetTimer": i.SetTimer,
-    "Subscribe": i.Subscribe,
-    "RequestClass": i.RequestClass,
-    "Plan": i.Plan,
-    "Settings": i.Settings,
-    "Share": i.Share,
-    "Shares": i.Shares,
-    "Fill": i.Fill,
-    "Freed": i.Freed,
-    "Survey": i.Survey,
-    "Tally": i.Tally,
-    "Tallies": i.Tallies,
-    "Pace": i.Pace,
-    "Work": i.Work,
+    "WorkerEntry": interface.WorkerEntry,
+    "WorkerList": interface.WorkerList,
+    "Request": interface.Request,
+    "Outcome": interface.Outcome,
+    "StreamStarted": interface.StreamStarted,
+    "TimerFired": interface.TimerFired,
+    "Abandoned": interface.Abandoned,
+    "Send": interface.Send,
+    "Refuse": interface.Refuse,
+    "Fail": interface.Fail,
+    "Cancel": interface.Cancel,
+    "SetTimer": interface.SetTimer,
+    "Subscribe": interface.Subscribe,
+    "RequestClass": interface.RequestClass,
+    "Plan": interface.Plan,
+    "Settings": interface.Settings,
+    "Share": interface.Share,
+    "Shares": interface.Shares,
+    "Fill": interface.Fill,
+    "Freed": interface.Freed,
+    "Survey": interface.Survey,
+    "Tally": interface.Tally,
+    "Tallies": interface.Tallies,
+    "Pace": interface.Pace,
+    "Work": interface.Work,
 }
 _NAMES = {kind: name for name, kind in _KINDS.items()}
 _ATTRIBUTES = {
-    kind: {field.metadata.get(i.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
+    kind: {field.metadata.get(interface.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
     for kind in _KINDS.values()
 }
 
@@ -60,7 +60,7 @@
     if not dataclasses.is_dataclass(value):
         return value
     fields = {
-        field.metadata.get(i.WRITTEN, field.name): pack(getattr(value, field.name))
+        field.metadata.get(interface.WRITTEN, field.name): pack(getattr(value, field.name))
         for field in dataclasses.fields(value)
         if getattr(value, field.name) != field.default
     }
@@ -85,8 +85,8 @@
 
     def __init__(
         self,
-        handle: Callable[[float, i.Event], list[i.Action]],
-        settings: i.Settings,
+        handle: Callable[[float, interface.Event], list[interface.Action]],
+        settings: interface.Settings,
         seed: int,
         now: float,
         write: Callable[[str], object],
@@ -94,7 +94,7 @@
         self._handle, self._write = handle, write
         write(json.dumps({"settings": pack(settings), "seed": seed, "now": now}))
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Handle an event and record it with what it called for."""
         actions = self._handle(now, event)
         self._write(json.dumps([now, pack(event), [pack(action) for action in actions]], separators=(",", ":")))
@@ -107,15 +107,15 @@
 
     line: int
     now: float
-    event: i.Event
-    actions: list[i.Action]
+    event: interface.Event
+    actions: list[interface.Action]
 
 
-def read(lines: Iterable[str]) -> tuple[i.Settings, int, float, Iterator[Step]]:
+def read(lines: Iterable[str]) -> tuple[interface.Settings, int, float, Iterator[Step]]:
     """Settings, seed and start of a trace, and its steps; TraceError names the line that is wrong."""
     numbered = enumerate(lines, 1)
 
-    def head() -> tuple[i.Settings, int, float]:
+    def head() -> tuple[interface.Settings, int, float]:
         for number, line in numbered:
             try:
                 raw = json.loads(line)
--- a/micagate/worker.py
+++ b/micagate/worker.py
@@ -5,7 +5,7 @@
 import math
 from collections import deque
 
-from micagate import interface as i
+from micagate import interface
 
 FORGET = 10.0  # seconds in which an old judgement of a worker's speed, or of what it loses, fades (ours)
 
@@ -36,7 +36,7 @@
         "fulls",
     )
 
-    def __init__(self, entry: i.WorkerEntry, slow: float, now: float, rank: float) -> None:
+    def __init__(self, entry: interface.WorkerEntry, slow: float, now: float, rank: float) -> None:
         self.entry = entry
         self.rank = rank  # drawn by chance: a gateway among many keeps to the first few
         self.usable = False
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -5,11 +5,14 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.resource_keys import worker_key
 
-KINDS = {i.FULL: "refused", i.TIMED_OUT: "missed"}  # all else that is no answer, and was not called off: failed
+KINDS = {
+    interface.FULL: "refused",
+    interface.TIMED_OUT: "missed",
+}  # all else that is no answer, and was not called off: failed
 
 
 class _Counts:
@@ -47,11 +50,11 @@
     def ended(self, now: float, worker: str, out: int, klass: str, usual: float, status: str, took: float) -> None:
         """One of so many out has ended; `usual` is the usual answer time of its class."""
         counts = self._ticked(now, worker, out)
-        if status == i.SUCCESS:
+        if status == interface.SUCCESS:
             least = self._least[klass] = min(self._least.get(klass, math.inf), usual)
             counts.answered += 1
             counts.load += took / max(least, 1e-6)
-        elif status not in (i.CANCELLED, i.VOID):
+        elif status not in (interface.CANCELLED, interface.VOID):
             kind = KINDS.get(status, "failed")
             setattr(counts, kind, getattr(counts, kind) + 1)
 
@@ -60,14 +63,14 @@
         counts = self._counts.get(worker)
         return counts.asked if counts is not None else 0
 
-    def take(self, now: float, out: Mapping[str, int]) -> list[i.Work]:
+    def take(self, now: float, out: Mapping[str, int]) -> list[interface.Work]:
         """What was counted, and begin anew, for workers with so many out; others are forgotten."""
         made = []
         before, self._counts = self._counts, {}
         for worker, many in out.items():
             if (counts := before.get(worker)) is not None:
                 counts.tick(now, many)
-                work = i.Work(
+                work = interface.Work(
                     worker_key(worker),
                     counts.answered,
                     counts.load,
@@ -82,7 +85,7 @@
         return made
 
 
-def asked_of(accounts: Iterable[Account]) -> list[i.Tally]:
+def asked_of(accounts: Iterable[Account]) -> list[interface.Tally]:
     """What was asked of customers' quotas since the last survey, and begin anew."""
     tallies = []
     for a in accounts:
@@ -93,7 +96,7 @@
                 a.plan.ceiling_depth if a.plan.ceiling_rate else math.inf,
             )
             tallies.append(
-                i.Tally(
+                interface.Tally(
                     a.key,
                     a.first,
                     a.spread,
@@ -114,7 +117,7 @@
     usual: float,
     core: float,
     gateways: int,
-) -> list[i.Tally]:
+) -> list[interface.Tally]:
     """What was sent to each warm worker of known pace; what would be to each cold one, were it warm.
 
     `standing` gives a worker's warmth, if it is cold, and its pace, answers a second, if that is known. `usual`
@@ -125,5 +128,5 @@
         asked: float = usual if warm is not None else workload.asked(name) if workload is not None else 0
         whole = warm * core if warm is not None else pace
         if whole:
-            tallies.append(i.Tally(worker_key(name), 0, gateways, asked, 0.0, whole, 0.0, 0.0))
+            tallies.append(interface.Tally(worker_key(name), 0, gateways, asked, 0.0, whole, 0.0, 0.0))
     return tallies
--- a/oliveloft/backend/attempt.py
+++ b/oliveloft/backend/attempt.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from micagate import interface as i
+from micagate import interface
 from micagate.invariants import AttemptState
 from oliveloft.bodies.body import Body
 from oliveloft.shared_types import Sink
@@ -105,7 +105,7 @@
         """End it before anything of it is written; the connection that is coming up for it is of use to others."""
         if self.connection is not None:
             self.connection.attempt = None
-        self.finish(i.VOID)
+        self.finish(interface.VOID)
 
     def unsent(self) -> bool:
         """Whether nothing of it has been written: its connection is still coming up."""
--- a/oliveloft/backend/connection.py
+++ b/oliveloft/backend/connection.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from micagate import interface as i
+from micagate import interface
 from micagate.invariants import AttemptState, EndpointState, write_refusal
 from oliveloft.backend.attempt import Answer, Attempt
 from oliveloft.backend.limits import HOP_BY_HOP, MAX_HEAD, STANDS
@@ -123,7 +123,7 @@
         elif attempt is None:  # another process has opened it, or who asked for it has taken that back
             self._pool.keep(self)
         elif not self.process.ready:  # it has begun to drain while this connection came up: nothing was written
-            self._end(i.VOID)
+            self._end(interface.VOID)
         else:
             self.send(attempt)
 
@@ -139,7 +139,7 @@
                 state=self.process.state.value,
             )
             self.attempt = None
-            attempt.finish(i.VOID)
+            attempt.finish(interface.VOID)
             self._pool.keep(self)
             return
         attempt.state = AttemptState.WRITTEN
@@ -168,7 +168,7 @@
         if source is None or transport is None or transport.is_closing():
             return
         if source.broken:
-            self._end(i.UNREACHABLE)  # its client has gone, and the worker sees that it is not whole
+            self._end(interface.UNREACHABLE)  # its client has gone, and the worker sees that it is not whole
             return
         while transport.get_write_buffer_size() <= FLOW:
             if transport.is_closing():
@@ -208,7 +208,7 @@
     def stop(self) -> None:
         """Nobody is there for a long answer any more."""
         self._sink = None
-        self._end(i.CANCELLED)
+        self._end(interface.CANCELLED)
 
     def stands(self, now: float) -> bool:
         """Whether a long body has stood still for too long, by the worker's doing."""
@@ -218,7 +218,7 @@
 
     def give_up(self) -> None:
         """A long body stands still: what the worker has of a request is not whole, what it began never will be."""
-        self._end(i.UNREACHABLE if self._source is not None else i.BROKEN)
+        self._end(interface.UNREACHABLE if self._source is not None else interface.BROKEN)
 
     def data_received(self, data: bytes) -> None:
         """A piece of an answer, or something that nobody asked for."""
@@ -235,13 +235,13 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reusable = False
             if not self._complete:
-                self._end(i.SPOILT)
+                self._end(interface.SPOILT)
                 return
         if self._complete:
             self._finish()
         elif self._sink is None and self._unread > MAX_HEAD + (4 * self._pool.max_body if self._headed else 0):
             # Guards the memory: the parser gathers a header to its end, and tells only then.
-            self._end(i.SPOILT)
+            self._end(interface.SPOILT)
 
     def eof_received(self) -> bool:
         """The worker has ended its sending: that frames an answer which announced it, and cuts any other."""
@@ -257,7 +257,7 @@
         if self.attempt is not None and self.transport is not None:
             self._pool.rest.tell(self._age, not (self._headed or self._unread))
         self.transport = self._parser = None  # parser and protocol refer to each other
-        self._end(i.BROKEN if self._written else i.UNREACHABLE)
+        self._end(interface.BROKEN if self._written else interface.UNREACHABLE)
         self._pool.lost(self)
 
     # The parser's side.
@@ -385,11 +385,11 @@
         if attempt is None:
             return
         if answer.status == 200:
-            attempt.finish(i.SUCCESS, answer)
+            attempt.finish(interface.SUCCESS, answer)
         elif answer.status in (503, 504) and answer.not_processed:
-            attempt.finish(i.FULL, answer)
+            attempt.finish(interface.FULL, answer)
         else:
-            attempt.finish(i.FAILURE, answer)
+            attempt.finish(interface.FAILURE, answer)
 
     def _end(self, status: str) -> None:
         attempt, self.attempt = self.attempt, None
@@ -419,9 +419,9 @@
 
     def give_back(self) -> None:
         """It can't come up for want of something here; nothing was written, and no worker is to blame."""
-        self._end(i.VOID)
+        self._end(interface.VOID)
 
     def connect_expired(self) -> None:
         """It did not come up in time; nothing was written."""
         if self.transport is None:
-            self._end(i.UNREACHABLE)
+            self._end(interface.UNREACHABLE)
--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Iterable, Iterator
 
-from micagate import interface as i
+from micagate import interface
 from micagate.bodies import buffering
 from micagate.invariants import EndpointState, Reason
 from oliveloft.backend.attempt import Attempt
@@ -71,7 +71,7 @@
             entry = endpoint.entry
             named.add(entry.worker)
             process = self._processes.get(entry.worker)
-            if entry.state == i.GONE:
+            if entry.state == interface.GONE:
                 if process is not None:
                     process.retire(EndpointState.REMOVED)
                     del self._processes[entry.worker]
@@ -82,11 +82,11 @@
                 process = self._processes[entry.worker] = EndpointIncarnation(
                     entry.worker, endpoint.address, entry.started
                 )
-            if entry.state == i.HEALTHY and entry.worker not in self._banned:
+            if entry.state == interface.HEALTHY and entry.worker not in self._banned:
                 process.state = EndpointState.READY
             else:
                 process.retire(EndpointState.DRAINING)
-            process.listed = entry.state == i.HEALTHY
+            process.listed = entry.state == interface.HEALTHY
         if whole:
             for name in [name for name in self._processes if name not in named]:
                 self._processes.pop(name).retire(EndpointState.REMOVED)
@@ -157,14 +157,14 @@
                 endpoint=attempt.worker,
                 state=state.value,
             )
-            attempt.finish(i.VOID)
+            attempt.finish(interface.VOID)
             return
         if (idle := self._rested(process, now)) is not None:
             idle.send(attempt, now - idle.idle_since)
             return
         if len(self._open) >= self._limit and not self._make_room():
             # Guards against running out of descriptors: it was never sent, and no worker is to blame.
-            attempt.finish(i.VOID)
+            attempt.finish(interface.VOID)
             return
         connection = Connection(self, process, attempt)
         attempt.connection = connection
--- a/oliveloft/counter/client.py
+++ b/oliveloft/counter/client.py
@@ -18,7 +18,7 @@
 
 import hiredis
 
-from micagate import interface as i
+from micagate import interface
 
 log = logging.getLogger("oliveloft")
 
@@ -26,7 +26,7 @@
 CONNECT_SECONDS = 1.0  # that a connection has to come up
 MOST = 512  # calls that may be out: a counter that answers nothing must not fill the memory
 
-Heard = Callable[[i.Counted], None]
+Heard = Callable[[interface.Counted], None]
 
 
 class Pending:
@@ -44,10 +44,10 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.over:
-            status = i.LATE if status == i.SUCCESS else ""
+            status = interface.LATE if status == interface.SUCCESS else ""
         self.over = True
         if status:
-            self.heard(i.Counted(self.name, status, total, now - self.began))
+            self.heard(interface.Counted(self.name, status, total, now - self.began))
 
 
 class Line(asyncio.Protocol):
@@ -98,12 +98,12 @@
         if isinstance(answer, hiredis.ReplyError):
             if not str(answer).startswith("BUSY"):
                 log.warning("counter: %s", answer)
-            self._waiting.popleft().end(i.FULL, 0.0, now)
+            self._waiting.popleft().end(interface.FULL, 0.0, now)
             return
         total = float(answer) if isinstance(answer, bytes) else math.nan
         if not math.isfinite(total):
             raise ValueError(f"no total: {answer!r}")
-        self._waiting.popleft().end(i.SUCCESS, total, now)
+        self._waiting.popleft().end(interface.SUCCESS, total, now)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """What was written whole may have been added."""
@@ -111,7 +111,7 @@
         self._counter.down(self)
         now = self._counter.loop.time()
         while self._waiting:
-            self._waiting.popleft().end(i.TIMED_OUT, 0.0, now)
+            self._waiting.popleft().end(interface.TIMED_OUT, 0.0, now)
 
     def drop(self) -> None:
         """Close at once."""
@@ -130,7 +130,7 @@
         self._after, self._tries, self._stopped = 0.0, 0, False
         self._open()
 
-    def call(self, count: i.Count, heard: Heard) -> None:
+    def call(self, count: interface.Count, heard: Heard) -> None:
         """Make a call; `heard` is called once, later."""
         pending = Pending(count.name, self.loop.time(), heard)
         line = self._line
@@ -139,9 +139,11 @@
         if line is None or len(line) >= MOST:
             if line is None:
                 self._open()
-            self.loop.call_soon(pending.end, i.UNREACHABLE, 0.0, pending.began)
+            self.loop.call_soon(pending.end, interface.UNREACHABLE, 0.0, pending.began)
             return
-        pending.timer = self.loop.call_later(self._wait, pending.end, i.TIMED_OUT, 0.0, pending.began + self._wait)
+        pending.timer = self.loop.call_later(
+            self._wait, pending.end, interface.TIMED_OUT, 0.0, pending.began + self._wait
+        )
         line.call(pending, count.amount, count.life)
 
     def move(self, where: tuple[str, int]) -> None:
--- a/oliveloft/dispatch/dispatcher.py
+++ b/oliveloft/dispatch/dispatcher.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 from micagate.invariants import (
     AttemptLimits,
@@ -49,7 +49,13 @@
     )
 
     def __init__(
-        self, event: i.Request, head: bytes, body: bytes | Body, deadline: float, reply: Reply, sink: Sink | None = None
+        self,
+        event: interface.Request,
+        head: bytes,
+        body: bytes | Body,
+        deadline: float,
+        reply: Reply,
+        sink: Sink | None = None,
     ) -> None:
         self.event, self.head, self.body, self.deadline = event, head, body, deadline
         self.reply: Reply | None = reply
@@ -76,7 +82,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: i.Settings,
+        settings: interface.Settings,
         module: Gateway,
         workers: ConnectionPool,
         counter: Counter | None = None,
@@ -87,18 +93,24 @@
         self._limits = AttemptLimits(settings.max_attempts, settings.second_copies)
         self._requests: dict[str, Request] = {}
         self._counter = counter
-        self._inbox: deque[tuple[i.Event, str]] = deque()  # events, and the request that each is about
+        self._inbox: deque[tuple[interface.Event, str]] = deque()  # events, and the request that each is about
         self._busy = False
         # Told of each attempt once another process takes this one's place.
         self.began: Callable[[str, int], None] | None = None
-        self.ended: Callable[[Attempt, i.Outcome], None] | None = None
+        self.ended: Callable[[Attempt, interface.Outcome], None] | None = None
 
     def holds(self, name: str) -> bool:
         """Whether a request of this id is still held, or an attempt of it still out."""
         return name in self._requests
 
     def submit(
-        self, event: i.Request, head: bytes, body: bytes | Body, deadline: float, reply: Reply, sink: Sink | None = None
+        self,
+        event: interface.Request,
+        head: bytes,
+        body: bytes | Body,
+        deadline: float,
+        reply: Reply,
+        sink: Sink | None = None,
     ) -> Request:
         """Take in a request; `reply` is called once unless the client leaves before, or a long answer began."""
         request = self._requests[event.request] = Request(event, head, body, deadline, reply, sink)
@@ -123,7 +135,7 @@
     def _told(self, request: Request) -> None:
         if request.state is RequestState.ARRIVING:
             request.state = RequestState.PENDING
-            self._hand(i.Whole(request.event.request, request.kept()), request.event.request)
+            self._hand(interface.Whole(request.event.request, request.kept()), request.event.request)
 
     def _written(self, attempt: Attempt) -> None:
         """A worker has all of a request."""
@@ -145,7 +157,7 @@
         self._take_back(request)
         name = attempt.request
         attempt.first = self._loop.time()
-        self._hand(i.StreamStarted(name, attempt.number, attempt.worker, attempt.first - attempt.began), name)
+        self._hand(interface.StreamStarted(name, attempt.number, attempt.worker, attempt.first - attempt.began), name)
         sink.begin(b"".join(answer.headers), length, source)
         return sink
 
@@ -157,10 +169,10 @@
         """
         if not request.ended:
             self._close(request, RequestState.CLIENT_GONE)
-            self._hand(i.Abandoned(request.event.request), request.event.request)
+            self._hand(interface.Abandoned(request.event.request), request.event.request)
         if isinstance(request.body, Body) and not request.body.whole:
             for attempt in request.attempts:
-                attempt.give_up(i.CANCELLED)
+                attempt.give_up(interface.CANCELLED)
 
     def leave(self) -> None:
         """The process ends before the time of what is held: whoever still waits hears so now, once.
@@ -170,19 +182,19 @@
         for name, request in list(self._requests.items()):
             if request.ended:
                 continue
-            self._hand(i.Ending(name), name)
+            self._hand(interface.Ending(name), name)
             for attempt in list(request.attempts):
                 if attempt.unsent():
                     attempt.take_back()
                 else:
-                    attempt.give_up(i.TIMED_OUT)
+                    attempt.give_up(interface.TIMED_OUT)
             if not request.ended:
                 self._expired(request)  # guards against a request that the module forgot
 
     def news(self, news: News) -> None:
         """Discovery has told of changes."""
         self._workers.update(news.endpoints, news.whole)
-        self._hand(i.WorkerList(tuple(e.entry for e in news.endpoints), whole=news.whole), "")
+        self._hand(interface.WorkerList(tuple(e.entry for e in news.endpoints), whole=news.whole), "")
 
     def maintain(self, worker: str, out: bool, since: float | None = None) -> bool:
         """An operator takes a worker out or puts it back; whether anything is known of it.
@@ -190,38 +202,42 @@
         With `since` it was so said elsewhere, then, and holds whether or not it is known here.
         """
         known = False
-        for action in self._module.handle(self._loop.time(), i.Maintain(worker, out, since)):
-            known = known or isinstance(action, i.Maintained) and action.known
+        for action in self._module.handle(self._loop.time(), interface.Maintain(worker, out, since)):
+            known = known or isinstance(action, interface.Maintained) and action.known
         if known and out:
             self._workers.ban(worker)
         elif known:
             self._workers.unban(worker)
         return known
 
-    def handle(self, event: i.Event) -> None:
+    def handle(self, event: interface.Event) -> None:
         """Let the module handle an event that is about no request here."""
         self._hand(event, "")
 
-    def shares(self, event: i.Shares) -> tuple[i.Fill, ...]:
+    def shares(self, event: interface.Shares) -> tuple[interface.Fill, ...]:
         """Planners have moved shares: they hold from now on. What left the stores with what was given
         away."""
         return next(
-            (action.fills for action in self._module.handle(self._loop.time(), event) if isinstance(action, i.Freed)),
+            (
+                action.fills
+                for action in self._module.handle(self._loop.time(), event)
+                if isinstance(action, interface.Freed)
+            ),
             (),
         )
 
-    def survey(self, works: bool) -> i.Tallies:
+    def survey(self, works: bool) -> interface.Tallies:
         """What was asked of each thing since the last survey, and what became of attempts at workers."""
         return next(
             (
                 action
-                for action in self._module.handle(self._loop.time(), i.Survey(works))
-                if isinstance(action, i.Tallies)
+                for action in self._module.handle(self._loop.time(), interface.Survey(works))
+                if isinstance(action, interface.Tallies)
             ),
-            i.Tallies(()),
+            interface.Tallies(()),
         )
 
-    def _hand(self, event: i.Event, about: str) -> None:
+    def _hand(self, event: interface.Event, about: str) -> None:
         """Let the module handle an event, and after it all that came of its actions."""
         self._inbox.append((event, about))
         if self._busy:
@@ -245,41 +261,43 @@
         request = self._requests.get(about)
         if request is not None and not request.ended:
             self._end(request, 500, b"", b"")
-            self._inbox.append((i.Abandoned(about), about))
+            self._inbox.append((interface.Abandoned(about), about))
             for attempt in request.attempts:
                 if attempt.connection is None:
-                    attempt.finish(i.VOID)  # it never got as far as a connection: else it would be held for ever
+                    attempt.finish(
+                        interface.VOID
+                    )  # it never got as far as a connection: else it would be held for ever
 
-    def _act(self, action: i.Action, about: str) -> None:
+    def _act(self, action: interface.Action, about: str) -> None:
         match action:
-            case i.SetTimer(delay, ref):
+            case interface.SetTimer(delay, ref):
                 timer = self._loop.call_later(max(0.0, delay), self._fired, ref, about)
                 if (request := self._requests.get(about)) is not None:
                     request.timers.append(timer)
-            case i.Send(name, worker, within):
+            case interface.Send(name, worker, within):
                 self._send(name, worker, within)
-            case i.Refuse(name, retry_after):
+            case interface.Refuse(name, retry_after):
                 advice = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0 else b""
                 self._end(self._requests.get(name), 503, advice, b"")
-            case i.Fail(name):
+            case interface.Fail(name):
                 self._end(self._requests.get(name), 502, b"", b"")
-            case i.Cancel(name, number):
+            case interface.Cancel(name, number):
                 request = self._requests.get(name)
                 if request is not None and number < len(request.attempts):
-                    request.attempts[number].give_up(i.CANCELLED)
-            case i.Count():
+                    request.attempts[number].give_up(interface.CANCELLED)
+            case interface.Count():
                 if self._counter is not None:
                     self._counter.call(action, self._counted)
                 else:
-                    self._counted(i.Counted(action.name, i.UNREACHABLE))
-            case i.Subscribe() | i.Tallies() | i.Freed() | i.Maintained():
+                    self._counted(interface.Counted(action.name, interface.UNREACHABLE))
+            case interface.Subscribe() | interface.Tallies() | interface.Freed() | interface.Maintained():
                 pass  # discovery is watched from the start; who asks takes the others itself
 
-    def _counted(self, answer: i.Counted) -> None:
+    def _counted(self, answer: interface.Counted) -> None:
         self._hand(answer, "")
 
     def _fired(self, ref: int, about: str) -> None:
-        self._hand(i.TimerFired(ref), about)
+        self._hand(interface.TimerFired(ref), about)
 
     def _send(self, name: str, worker: str, within: float) -> None:
         request, now = self._requests.get(name), self._loop.time()
@@ -305,11 +323,11 @@
         request.out += 1
         if refusal is not None:
             self.guard.refuse(refusal, "send", id=name, attempt=attempt.number, state=request.state.value)
-            attempt.finish(i.VOID)
+            attempt.finish(interface.VOID)
             return
         if 0 < within < request.deadline - now:
             attempt.deadline = now + within
-            attempt.timer = self._loop.call_later(within, attempt.give_up, i.TIMED_OUT)
+            attempt.timer = self._loop.call_later(within, attempt.give_up, interface.TIMED_OUT)
         if self.began is not None:
             self.began(name, attempt.number)
         self._workers.send(attempt)
@@ -324,9 +342,9 @@
         """An attempt has ended: the first success answers the client, the module hears of each."""
         request = self._requests[attempt.request]
         request.out -= 1
-        if status == i.SUCCESS and answer is not None and not request.ended:
+        if status == interface.SUCCESS and answer is not None and not request.ended:
             self._end(request, 200, b"".join(answer.headers), answer.body)
-        outcome = i.Outcome(
+        outcome = interface.Outcome(
             request=attempt.request,
             attempt=attempt.number,
             worker=attempt.worker,
@@ -350,12 +368,12 @@
         """
         name = request.event.request
         if not request.ended:
-            self._hand(i.Ending(name), name)
+            self._hand(interface.Ending(name), name)
         for attempt in list(request.attempts):
-            attempt.give_up(i.TIMED_OUT)
+            attempt.give_up(interface.TIMED_OUT)
         if not request.ended:  # the module forgot it: it would be lost
             self._end(request, 504, b"", b"")
-            self._hand(i.Abandoned(name), name)
+            self._hand(interface.Abandoned(name), name)
 
     def _end(self, request: Request | None, status: int, headers: bytes, body: bytes) -> None:
         """The final reply; a second one is none."""
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 from micagate.membership.clock import HybridClock
 from micagate.membership.members import Members, News
@@ -70,7 +70,7 @@
         dispatcher: RequestDispatcher,
         presence: Presence,
         offset: float,
-        settings: i.Settings,
+        settings: interface.Settings,
     ) -> None:
         self._loop, self.name, self.fleet = loop, name, fleet
         self._gateway, self._dispatcher, self._presence = gateway, dispatcher, presence
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from micagate import interface as i
+from micagate import interface
 from micagate.bodies import buffering
 from micagate.invariants import Reason, RequestState, close_refusal
 from micagate.operating.presence import Presence
@@ -679,7 +679,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: i.Settings,
+        settings: interface.Settings,
         units_top: float,
         limit: int,
         kept: int,
@@ -849,7 +849,7 @@
                 return False
         return True
 
-    def read(self, incoming: Incoming, path: bytes, query: bytes, now: float) -> tuple[i.Request, bytes, float]:
+    def read(self, incoming: Incoming, path: bytes, query: bytes, now: float) -> tuple[interface.Request, bytes, float]:
         """The module's event, the head for a worker and the deadline, or what is wrong with a request."""
         first = path[1:].partition(b"/")[0]
         fields = incoming.fields
@@ -859,9 +859,9 @@
             raise BadRequest(404, "path")  # one that begins with no class is none of this service's
         if named != first:
             raise BadRequest(400, "X-Priority-Class")  # the class stands in both places
-        if incoming.method != (b"GET" if klass.effect == i.PURE else b"POST"):
+        if incoming.method != (b"GET" if klass.effect == interface.PURE else b"POST"):
             raise BadRequest(405, "method")
-        if (incoming.body or incoming.long is not None) and klass.effect == i.PURE:
+        if (incoming.body or incoming.long is not None) and klass.effect == interface.PURE:
             raise BadRequest(400, "body")
         if incoming.twice:
             raise BadRequest(400, incoming.twice.decode("latin-1"))
@@ -887,7 +887,7 @@
         request = name.decode()
         if self.dispatcher.holds(request):
             raise BadRequest(400, "X-Request-ID is in use")
-        event = i.Request(
+        event = interface.Request(
             request=request,
             klass=named.decode(),
             plan=plan.decode(),
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from micagate import interface as i
+from micagate import interface
 from micagate.planning.demand import Demands
 from micagate.planning.holder import Holder
 from micagate.planning.messages import Again, Word, check
@@ -30,10 +30,10 @@
 class Decisions(Protocol):
     """What the links need of the dispatcher."""
 
-    def shares(self, event: i.Shares) -> tuple[i.Fill, ...]:
+    def shares(self, event: interface.Shares) -> tuple[interface.Fill, ...]:
         """Take shares; what left the stores with those that were given away."""
 
-    def survey(self, works: bool) -> i.Tallies:
+    def survey(self, works: bool) -> interface.Tallies:
         """What was asked of each thing since the last survey, and, if told so, what became of attempts at
         workers."""
 
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.start_times import StartTimes
 from oliveloft.config.loading import address
 
-STATES = {"up": i.HEALTHY, "draining": i.DRAINING, "removed": i.GONE}
+STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.GONE}
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """A line of discovery's list: the module's entry and where the worker listens."""
 
-    entry: i.WorkerEntry
+    entry: interface.WorkerEntry
     address: tuple[str, int]
 
 
@@ -67,7 +67,7 @@
     for value in (size, since):
         if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < 1e15:
             raise ValueError(f"weight or since_ms: {value!r}")
-    entry = i.WorkerEntry(
+    entry = interface.WorkerEntry(
         worker=name,
         zone=zone,
         cell=cell,
@@ -106,7 +106,7 @@
         there = set()
         for place, (found, wall) in enumerate(zip(self.endpoints, self._starts, strict=True)):
             name = found.entry.worker
-            if found.entry.state == i.GONE:
+            if found.entry.state == interface.GONE:
                 times.forget(name)
                 continue
             there.add(name)
--- a/oliveloft/takeover/handoff.py
+++ b/oliveloft/takeover/handoff.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.start_times import StartTimes
 from micagate.gateway import Gateway
 from micagate.handover import state
@@ -124,7 +124,7 @@
         if self.giver is not None and (attempt := self._gateway.out.get((name, number))) is not None:
             self.giver.tell(wire.Began(state.out_row(name, number, attempt)))
 
-    def _ended(self, attempt: Attempt, outcome: i.Outcome) -> None:
+    def _ended(self, attempt: Attempt, outcome: interface.Outcome) -> None:
         if self.giver is not None:
             self.giver.tell(
                 wire.Ended(attempt.request, attempt.number, attempt.worker, outcome.status, outcome.took, outcome.used)
@@ -159,7 +159,7 @@
             self._presence.leave(float(left))
         news = News({"index": 0, "snapshot": True, "endpoints": []})
         for worker, zone, cell, status, size, started, host, port in parts["list"]:
-            entry = i.WorkerEntry(worker, zone, cell, status, size, started)
+            entry = interface.WorkerEntry(worker, zone, cell, status, size, started)
             news.endpoints.append(Endpoint(entry, (host, port)))
         if news.endpoints:
             self._dispatcher.news(news)
--- a/oliveloft/takeover/successor.py
+++ b/oliveloft/takeover/successor.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 from micagate.handover import state
 from micagate.handover.fields import Damaged
@@ -48,7 +48,7 @@
         gateway: Gateway,
         receiver: Receiver,
         clock: Callable[[], float],
-        handle: Callable[[i.Event], None],
+        handle: Callable[[interface.Event], None],
     ) -> None:
         self._loop, self._name, self._gateway, self._receiver, self._clock = loop, name, gateway, receiver, clock
         self._handle = handle
@@ -154,7 +154,7 @@
             case wire.Ended():
                 self._theirs.discard((message.request, message.number))
                 self._handle(
-                    i.Outcome(
+                    interface.Outcome(
                         message.request,
                         message.number,
                         message.worker,
--- a/rig/cluster.py
+++ b/rig/cluster.py
@@ -11,8 +11,7 @@
 from dataclasses import replace
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.planning.demand import Demands
 from micagate.planning.holder import Holder
 from micagate.planning.ledger import Ledger
@@ -36,7 +35,7 @@
         seed: int,
         rates: Sequence[float],
         capacities: dict[str, Capacity],
-        settings: i.Settings,
+        settings: interface.Settings,
         planner: bool,
         paces: bool = False,
         zones: str = "a",
@@ -77,7 +76,9 @@
     def _exchange(self) -> None:
         now = self.clock.now
         for n, holder in enumerate(self.holders):
-            (tallies,) = (a for a in self.gates[n].handle(now, i.Survey(self.paces)) if isinstance(a, i.Tallies))
+            (tallies,) = (
+                a for a in self.gates[n].handle(now, interface.Survey(self.paces)) if isinstance(a, interface.Tallies)
+            )
             holder.demand(now, self.demands[n].survey(now, tallies.tallies))
             holder.saw(tallies.works)
             for event in [*holder.moves(now), *holder.ended(now)]:
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -17,16 +17,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.quotas import Quotas
 from rig.traffic import PlanShape, Store
 
 KINDS = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # shares of the customers
 PLANS = (
-    i.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
-    i.Plan("middle", rate=4.1, burst=14.0, at_once=2.0, excess_cost=1.2),
-    i.Plan("large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_depth=41.0, ceiling_slack=4.0, excess_cost=0.8),
+    interface.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
+    interface.Plan("middle", rate=4.1, burst=14.0, at_once=2.0, excess_cost=1.2),
+    interface.Plan(
+        "large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_depth=41.0, ceiling_slack=4.0, excess_cost=0.8
+    ),
 )
 OF_PLAN = (0,) * 12 + (1,) * 5 + (2,)  # of eighteen customers in a row
 AIM, DEADLINE = 0.33, 1.76
@@ -47,7 +49,7 @@
     late: float = 0.8  # from the end of the meter's period to its first reading
     period: float = 0.5  # of the meter
     lost: float = 0.0  # share of the attempts whose answers never come
-    plans: tuple[i.Plan, ...] = PLANS
+    plans: tuple[interface.Plan, ...] = PLANS
     units: int = 1  # the most that a try counts; all up to it are as frequent
     marked: bool = True  # whether repeats are marked
     wait: float = 0.002  # before a repeat, beside what was advised
@@ -69,7 +71,7 @@
 
     name: str
     kind: str
-    plan: i.Plan
+    plan: interface.Plan
     first: int
     weights: list[tuple[float, list[float]]]  # from when on
     store: Store
@@ -114,7 +116,7 @@
     refused_with_room: int = 0  # with half of the whole store or more unused
 
 
-def whole(plan: i.Plan) -> Store:
+def whole(plan: interface.Plan) -> Store:
     """A full store of the whole quota."""
     return Store(PlanShape(plan.rate, plan.burst), 0.0)
 
@@ -184,7 +186,8 @@
         kind.tries += units
         account = part.account(now, who.name, who.plan, spread)
         part.count(
-            account, i.Request("r", "k", who.plan.name, who.name, 1.0, units, spread, day.marked and attempt > 0)
+            account,
+            interface.Request("r", "k", who.plan.name, who.name, 1.0, units, spread, day.marked and attempt > 0),
         )
         room = who.has_room(now, units)
         lets = (
--- a/rig/driver.py
+++ b/rig/driver.py
@@ -4,22 +4,22 @@
 
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 
 SETTINGS: dict[str, Any] = {
     "classes": (
-        i.RequestClass("read", aim=1.0, deadline=4.0),
-        i.RequestClass("keyed", aim=1.0, deadline=4.0, effect=i.TOKEN, group="zone", window=2.0),
-        i.RequestClass("write", aim=1.0, deadline=4.0, effect=i.SIDE_EFFECT),
+        interface.RequestClass("read", aim=1.0, deadline=4.0),
+        interface.RequestClass("keyed", aim=1.0, deadline=4.0, effect=interface.TOKEN, group="zone", window=2.0),
+        interface.RequestClass("write", aim=1.0, deadline=4.0, effect=interface.SIDE_EFFECT),
     ),
     "plans": (
-        i.Plan("free"),
-        i.Plan("metered", rate=3.0, burst=12.0),
-        i.Plan(
+        interface.Plan("free"),
+        interface.Plan("metered", rate=3.0, burst=12.0),
+        interface.Plan(
             "capped", rate=3.0, burst=6.0, ceiling_rate=6.0, ceiling_depth=24.0, ceiling_slack=3.0, beyond_earns=0.2
         ),
-        i.Plan("few", at_once=4),
+        interface.Plan("few", at_once=4),
     ),
     "gateways": 3,
     "zone": "a",
@@ -36,10 +36,11 @@
 }
 
 
-def workers(count: int = 6, **changes: Any) -> i.WorkerList:
+def workers(count: int = 6, **changes: Any) -> interface.WorkerList:
     """A whole list: workers w0, w1, ... in the zones a, b, c by turns."""
-    return i.WorkerList(
-        tuple(i.WorkerEntry(f"w{n}", zone="abc"[n % 3], cell=n // 2, **changes) for n in range(count)), whole=True
+    return interface.WorkerList(
+        tuple(interface.WorkerEntry(f"w{n}", zone="abc"[n % 3], cell=n // 2, **changes) for n in range(count)),
+        whole=True,
     )
 
 
@@ -47,23 +48,23 @@
     """A gateway with six warm workers, a clock, and counters of what it did."""
 
     def __init__(self, count: int = 6, **changes: Any) -> None:
-        self.gateway = Gateway(i.Settings(**{**SETTINGS, **changes}), seed=7, now=0.0)
+        self.gateway = Gateway(interface.Settings(**{**SETTINGS, **changes}), seed=7, now=0.0)
         self.now = 0.0
         self.made = 0
         self.timers: list[tuple[float, int]] = []
         self.shots: dict[str, int] = {}
         self.give(workers(count))
 
-    def give(self, event: i.Event, after: float = 0.0) -> list[i.Action]:
+    def give(self, event: interface.Event, after: float = 0.0) -> list[interface.Action]:
         """Hand an event over, `after` seconds later; the actions other than timers."""
         self.now += after
         actions = self.gateway.handle(self.now, event)
         for action in actions:
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, interface.SetTimer):
                 self.timers.append((self.now + action.delay, action.ref))
-            elif isinstance(action, i.Send):
+            elif isinstance(action, interface.Send):
                 self.shots[action.request] = self.shots.get(action.request, -1) + 1
-        return [action for action in actions if not isinstance(action, i.SetTimer)]
+        return [action for action in actions if not isinstance(action, interface.SetTimer)]
 
     def ask(
         self,
@@ -75,44 +76,44 @@
         time_left: float = 4.0,
         after: float = 0.0,
         repeat: bool = False,
-    ) -> tuple[str, list[i.Action]]:
+    ) -> tuple[str, list[interface.Action]]:
         """A new request: its id and what came of it."""
         self.made += 1
         name = f"r{self.made}"
-        request = i.Request(name, klass, plan, customer, time_left, units, spread, repeat)
+        request = interface.Request(name, klass, plan, customer, time_left, units, spread, repeat)
         return name, self.give(request, after)
 
     def answer(
         self,
         name: str,
         worker: str,
-        status: str = i.SUCCESS,
+        status: str = interface.SUCCESS,
         *,
         attempt: int | None = None,
         took: float = 0.1,
         after: float = 0.0,
         terminal: bool | None = None,
         **more: Any,
-    ) -> list[i.Action]:
+    ) -> list[interface.Action]:
         """The outcome of a request's latest attempt (or the named one)."""
         number = self.shots[name] if attempt is None else attempt
-        done = status == i.SUCCESS if terminal is None else terminal
-        return self.give(i.Outcome(name, number, worker, status, done, took, **more), after)
+        done = status == interface.SUCCESS if terminal is None else terminal
+        return self.give(interface.Outcome(name, number, worker, status, done, took, **more), after)
 
-    def pass_time(self, seconds: float) -> list[i.Action]:
+    def pass_time(self, seconds: float) -> list[interface.Action]:
         """Let time go by, firing the timers that fall due."""
         end, seen = self.now + seconds, []
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            seen += self.give(i.TimerFired(due[0][1]))
+            seen += self.give(interface.TimerFired(due[0][1]))
         self.now = end
         return seen
 
 
-def sends(actions: list[i.Action]) -> list[str]:
+def sends(actions: list[interface.Action]) -> list[str]:
     """The workers that attempts were sent to."""
-    return [action.worker for action in actions if isinstance(action, i.Send)]
+    return [action.worker for action in actions if isinstance(action, interface.Send)]
 
 
 def answered(d: Driver, count: int) -> list[str]:
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from rig.capacity import Capacity, Load
 from rig.simulation import Clock
 
-Handle = Callable[[float, i.Event], list[i.Action]]
+Handle = Callable[[float, interface.Event], list[interface.Action]]
 UNIT = 0.02  # seconds of a core that a unit takes, on average
 
 
@@ -68,20 +68,20 @@
             total.update(entrance.tally.ends)
         return total
 
-    def entry(self, name: str) -> i.WorkerEntry:
+    def entry(self, name: str) -> interface.WorkerEntry:
         """A worker's line of the list."""
         place = self.places[name]
-        return i.WorkerEntry(
+        return interface.WorkerEntry(
             name,
             zone=place.zone,
             cell=sorted(self.places).index(name) // 2,
-            state=i.HEALTHY if place.up else i.DRAINING,
+            state=interface.HEALTHY if place.up else interface.DRAINING,
             started=place.load.started,
         )
 
     def tell(self, *names: str, whole: bool = False) -> None:
         """All gateways hear of these workers."""
-        news = i.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
+        news = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
         for entrance in self.entrances:
             entrance.hand(news, "")
 
@@ -95,11 +95,11 @@
 class Entrance:
     """One gateway's way to the fleet."""
 
-    def __init__(self, fleet: Fleet, handle: Handle, settings: i.Settings, name: str = "g") -> None:
+    def __init__(self, fleet: Fleet, handle: Handle, settings: interface.Settings, name: str = "g") -> None:
         self.fleet, self.handle, self.settings, self.name = fleet, handle, settings, name
         self.tally = Tally()
         self.served: dict[tuple[str, str], float] = {}  # units served in their aim, by customer and plan
-        self._asked: dict[str, tuple[i.Request, float]] = {}  # open: the request and its deadline
+        self._asked: dict[str, tuple[interface.Request, float]] = {}  # open: the request and its deadline
         self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker while it is out, or ""
         self._made = 0
         self.used: Callable[[str], float | None] = lambda customer: None  # what the meter says
@@ -113,27 +113,27 @@
         self.tally.asked += 1
         kind = next(c for c in self.settings.classes if c.name == klass)
         left = kind.deadline if time_left is None else time_left
-        request = i.Request(f"{self.name}-{self._made}", klass, plan, customer, left, units, spread)
+        request = interface.Request(f"{self.name}-{self._made}", klass, plan, customer, left, units, spread)
         self._asked[request.request] = request, self.fleet.clock.now + left
         self.fleet.clock.after(left, self._expired, request.request)
         self.hand(request, request.request)
 
-    def hand(self, event: i.Event, about: str) -> None:
+    def hand(self, event: interface.Event, about: str) -> None:
         """Let the gateway handle an event, and carry out what it decides."""
         clock = self.fleet.clock
         for action in self.handle(clock.now, event):
             match action:
-                case i.SetTimer(delay, ref):
-                    clock.after(delay, self.hand, i.TimerFired(ref), about)
-                case i.Send(name, worker):
+                case interface.SetTimer(delay, ref):
+                    clock.after(delay, self.hand, interface.TimerFired(ref), about)
+                case interface.Send(name, worker):
                     self._send(name, worker)
-                case i.Refuse(name):
+                case interface.Refuse(name):
                     self._end(name, "refused")
-                case i.Fail(name):
+                case interface.Fail(name):
                     self._end(name, "failed")
-                case i.Cancel(name, number):
-                    clock.after(0.0, self._outcome, name, number, i.CANCELLED, 0.0)
-                case i.Subscribe():
+                case interface.Cancel(name, number):
+                    clock.after(0.0, self._outcome, name, number, interface.CANCELLED, 0.0)
+                case interface.Subscribe():
                     pass
 
     def _send(self, name: str, worker: str) -> None:
@@ -142,28 +142,28 @@
         number = len(attempts)
         attempts.append(worker)
         if name not in self._asked:
-            fleet.clock.after(0.0, self._outcome, name, number, i.VOID, now)
+            fleet.clock.after(0.0, self._outcome, name, number, interface.VOID, now)
             return
         place = fleet.places[worker]
         if place.dead:
-            fleet.clock.after(fleet.way, self._outcome, name, number, i.UNREACHABLE, now)
+            fleet.clock.after(fleet.way, self._outcome, name, number, interface.UNREACHABLE, now)
             return
         request, deadline = self._asked[name]
         work = fleet.random.gammavariate(1 / fleet.work_cv**2, fleet.work_cv**2) * UNIT * request.units
         done = place.load.arrive(now + fleet.way, work)
         fleet.arrived(now + fleet.way, worker, work, done)
         if done is None:
-            fleet.clock.after(2 * fleet.way, self._outcome, name, number, i.FULL, now)
+            fleet.clock.after(2 * fleet.way, self._outcome, name, number, interface.FULL, now)
         elif not place.hung and fleet.random.random() >= place.lost:
             fleet.clock.at(done + fleet.way, self._answered, name, number, now, place.load)
-        fleet.clock.at(deadline, self._outcome, name, number, i.TIMED_OUT, now)
+        fleet.clock.at(deadline, self._outcome, name, number, interface.TIMED_OUT, now)
 
     def _answered(self, name: str, number: int, sent: float, load: Load) -> None:
         attempts = self._attempts.get(name)
         if attempts is None or not attempts[number]:
             return
         if self.fleet.places[attempts[number]].load is load:  # else it was restarted meanwhile
-            self._outcome(name, number, i.SUCCESS, sent)
+            self._outcome(name, number, interface.SUCCESS, sent)
 
     def _outcome(self, name: str, number: int, status: str, sent: float) -> None:
         attempts = self._attempts.get(name)
@@ -172,7 +172,7 @@
         worker, attempts[number] = attempts[number], ""
         now, used = self.fleet.clock.now, None
         open_request = self._asked.get(name)
-        if open_request is not None and status == i.SUCCESS:
+        if open_request is not None and status == interface.SUCCESS:
             request = open_request[0]
             klass = next(c for c in self.settings.classes if c.name == request.klass)
             in_aim = now <= open_request[1] - klass.deadline + klass.aim
@@ -184,7 +184,7 @@
         ended = name not in self._asked
         if ended and not any(attempts):
             del self._attempts[name]
-        self.hand(i.Outcome(name, number, worker, status, ended, now - sent, used), name)
+        self.hand(interface.Outcome(name, number, worker, status, ended, now - sent, used), name)
 
     def _end(self, name: str, how: str) -> None:
         if self._asked.pop(name, None) is not None:
@@ -193,4 +193,4 @@
     def _expired(self, name: str) -> None:
         if name in self._asked:
             self._end(name, "lost")
-            self.hand(i.Abandoned(name), name)
+            self.hand(interface.Abandoned(name), name)
--- a/rig/fleet_restart.py
+++ b/rig/fleet_restart.py
@@ -10,18 +10,17 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from rig.capacity import Capacity
 from rig.fleet import UNIT, Entrance, Fleet
 from rig.simulation import Clock
 
 Remember = Callable[[Gateway, float], Callable[[Gateway, float], None]]
 CLASSES = (
-    i.RequestClass("read", aim=0.4, deadline=1.5),
-    i.RequestClass("write", 0.6, 2.0, i.SIDE_EFFECT, importance=3.0),
+    interface.RequestClass("read", aim=0.4, deadline=1.5),
+    interface.RequestClass("write", 0.6, 2.0, interface.SIDE_EFFECT, importance=3.0),
 )
-PLAN = i.Plan("team", rate=30.0, burst=60.0, ceiling_rate=40.0, ceiling_depth=80.0, excess_cost=0.5)
+PLAN = interface.Plan("team", rate=30.0, burst=60.0, ceiling_rate=40.0, ceiling_depth=80.0, excess_cost=0.5)
 TICK = 0.1  # seconds between looks of a gateway that came back
 
 
@@ -49,7 +48,7 @@
         speed = rate * room * UNIT / (2 * workers)  # of each of two cores
         self.capacity = Capacity(cores=2, queue=24, speed=speed, cold_from=cold_from, ramp=ramp, thrash=0.05)
         self.fleet = Fleet(self.clock, self.random, {f"w{n}": self.capacity for n in range(workers)})
-        self.settings = i.Settings(
+        self.settings = interface.Settings(
             CLASSES,
             (PLAN,),
             gateways=count,
--- a/rig/overload.py
+++ b/rig/overload.py
@@ -13,8 +13,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from rig.capacity import Capacity, Load
 from rig.fleet import UNIT, Entrance, Fleet
 from rig.simulation import Clock
@@ -26,7 +25,7 @@
 class Kind:
     """A deployment: its classes with their share of requests and units, its workers, and the rules' figures."""
 
-    classes: tuple[tuple[i.RequestClass, float, float], ...]
+    classes: tuple[tuple[interface.RequestClass, float, float], ...]
     gateways: int
     workers: int
     capacity: Capacity
@@ -38,12 +37,12 @@
     slow: tuple[float, float, float] = (26.0, 32.0, 0.5)  # from, to, every worker's speed
     release: tuple[float, float] = (3.0, 4.0)  # the first worker's drain, and between two of them
 
-    def settings(self, alike: bool) -> i.Settings:
+    def settings(self, alike: bool) -> interface.Settings:
         """A gateway's settings; `alike`: no class is told to be worth more than another."""
         classes = tuple(replace(klass, importance=1.0) if alike else klass for klass, _, _ in self.classes)
-        return i.Settings(
+        return interface.Settings(
             classes,
-            (i.Plan("free"),),
+            (interface.Plan("free"),),
             gateways=self.gateways,
             zone="a",
             max_attempts=3,
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.planning.holder import Demand, Holder
 from micagate.planning.ledger import Ledger
 from micagate.planning.messages import Again, Report, Word
@@ -22,7 +22,7 @@
 from rig.simulation import Clock, Link, LocalClock, Network
 
 TICK = 0.05  # seconds between looks at what is due, at forwarders and planners
-PLAN = i.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=60.0)
+PLAN = interface.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=60.0)
 PLANS = {PLAN.name: PLAN}
 
 
--- a/rig/schedules.py
+++ b/rig/schedules.py
@@ -6,15 +6,17 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.counting.budget import Budget
 from micagate.counting.counting import Counting
 from rig.counting import Service
 
 WAIT, WAY = 0.03, 0.004  # seconds: how long a call is waited for, and the way there and back
-READ = i.RequestClass("read", aim=0.4, deadline=1.0)
-HELD = i.Plan("team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_depth=10.0, ceiling_slack=1.0)
+READ = interface.RequestClass("read", aim=0.4, deadline=1.0)
+HELD = interface.Plan(
+    "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_depth=10.0, ceiling_slack=1.0
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,16 +40,16 @@
         while waiting and waiting[0][0] <= now:
             when, _, took, late, budget = heapq.heappop(waiting)
             if late:
-                budget.heard(when, i.LATE, took)
+                budget.heard(when, interface.LATE, took)
             else:
-                budget.heard(when, i.SUCCESS if took < WAIT else i.TIMED_OUT, took)
+                budget.heard(when, interface.SUCCESS if took < WAIT else interface.TIMED_OUT, took)
                 answered[min(int(when), int(seconds) - 1)] += took < WAIT
         budget = draw.choice(fleet)
         if 2 * draw.random() < budget.level and budget.may(now):
             asked[int(now)] += 1
             due = service.accept(now, "x")
             if due is None:
-                budget.heard(now, i.FULL, 0.0)
+                budget.heard(now, interface.FULL, 0.0)
                 continue
             took = due + WAY - now
             heapq.heappush(waiting, (now + min(took, WAIT), n, min(took, WAIT), False, budget))
@@ -64,7 +66,7 @@
     draw, service = Random(seed), Service()
     held = replace(HELD, ceiling_depth=2 * HELD.burst + gateways)
     fleet = [
-        Counting(i.Settings((READ,), (held,), gateways, n, counter_wait=WAIT), 0.0, 0.0, Random(n))
+        Counting(interface.Settings((READ,), (held,), gateways, n, counter_wait=WAIT), 0.0, 0.0, Random(n))
         for n in range(gateways)
     ]
     accounts = [Account(held, "c/team/x", gateways, 0.0, 0.0) for _ in range(gateways)]
@@ -87,7 +89,9 @@
             while one.actions:
                 call = one.actions.pop(0)
                 total = service.add(now, str(call.name), call.amount, call.life)
-                verdict = one.answered(now, i.Counted(call.name, i.TIMED_OUT if silent else i.SUCCESS, total, WAY))
+                verdict = one.answered(
+                    now, interface.Counted(call.name, interface.TIMED_OUT if silent else interface.SUCCESS, total, WAY)
+                )
                 goes = goes or verdict is not None and verdict.inside is True
                 silent = False
         if not goes and account.silent is not None and account.ceiling >= 1.0:
--- a/rig/subsets.py
+++ b/rig/subsets.py
@@ -13,19 +13,19 @@
 from functools import cache
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.fleet import Fleet
 from micagate.shares import Shares
 
 Subset = Callable[[Sequence[str], int, int, int], list[str]]  # names, gateway, gateways, size
-CLASSES, PLANS = (i.RequestClass("fetch", aim=0.4, deadline=1.0),), (i.Plan("free"),)
+CLASSES, PLANS = (interface.RequestClass("fetch", aim=0.4, deadline=1.0),), (interface.Plan("free"),)
 
 
 def fleet(names: Sequence[str], gateway: int, gateways: int, numbered: bool = True) -> Fleet:
     """One of the gateways as it sees its workers; not numbered, it does not know its number."""
-    settings = i.Settings(CLASSES, PLANS, gateways=gateways, number=gateway if numbered else None)
+    settings = interface.Settings(CLASSES, PLANS, gateways=gateways, number=gateway if numbered else None)
     made = Fleet(settings, Random(gateway), 0.0, Shares())
-    made.update(0.0, i.WorkerList(tuple(map(i.WorkerEntry, names)), whole=True))
+    made.update(0.0, interface.WorkerList(tuple(map(interface.WorkerEntry, names)), whole=True))
     return made
 
 
--- a/rig/traces.py
+++ b/rig/traces.py
@@ -12,21 +12,20 @@
 from collections.abc import Iterator
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.trace import Recorder
 from rig.capacity import Capacity
 from rig.fleet import Entrance, Fleet
 from rig.simulation import Clock
 
 CLASSES = (
-    i.RequestClass("fetch", aim=0.2, deadline=0.8),
-    i.RequestClass("note", aim=0.3, deadline=1.0, effect=i.TOKEN, group="zone", window=0.6),
-    i.RequestClass("file", aim=0.4, deadline=1.2, effect=i.SIDE_EFFECT),
+    interface.RequestClass("fetch", aim=0.2, deadline=0.8),
+    interface.RequestClass("note", aim=0.3, deadline=1.0, effect=interface.TOKEN, group="zone", window=0.6),
+    interface.RequestClass("file", aim=0.4, deadline=1.2, effect=interface.SIDE_EFFECT),
 )
 PLANS = (
-    i.Plan("solo", rate=3.0, burst=6.0),
-    i.Plan(
+    interface.Plan("solo", rate=3.0, burst=6.0),
+    interface.Plan(
         "team",
         rate=8.0,
         burst=16.0,
@@ -37,7 +36,7 @@
         beyond_earns=0.3,
         excess_cost=0.1,
     ),
-    i.Plan("firm", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=80.0, ceiling_slack=8.0),
+    interface.Plan("firm", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=80.0, ceiling_slack=8.0),
 )
 CUSTOMERS = 60
 DAYS: dict[str, dict[str, int]] = {
@@ -50,7 +49,7 @@
     """Play a day and record what one gateway of it met; troubles come one after another."""
     facts = DAYS[name]
     random, clock = Random(facts["seed"]), Clock()
-    settings = i.Settings(
+    settings = interface.Settings(
         CLASSES,
         PLANS,
         gateways=facts["gateways"],
--- a/rig/upgrades.py
+++ b/rig/upgrades.py
@@ -14,14 +14,13 @@
 from random import Random
 from typing import Any
 
-from micagate import Gateway, Plan, RequestClass, Settings
-from micagate import interface as i
+from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.handover import state
 
 WORKERS = tuple(f"w{n}" for n in range(4))
 CLASSES = (
     RequestClass("read", aim=0.5, deadline=2.0),
-    RequestClass("write", aim=0.5, deadline=2.0, effect=i.SIDE_EFFECT),
+    RequestClass("write", aim=0.5, deadline=2.0, effect=interface.SIDE_EFFECT),
 )
 RATED = Plan("rated", rate=2.0, burst=8.0, excess_cost=1.0)
 PLACED = Plan("placed", at_once=2.0)
@@ -64,7 +63,7 @@
         self.seed, self.count = seed, 0
         self.told = Told(schedules=1)
         self.banned: set[str] = set()
-        self.listed = {name: i.WorkerEntry(name) for name in WORKERS}
+        self.listed = {name: interface.WorkerEntry(name) for name in WORKERS}
         self.began = {n: 0.0 for n in range(CUSTOMERS)}
         self.granted = {n: 0.0 for n in range(CUSTOMERS)}  # units of the rated plan since then
         self.holds: dict[tuple[str, int], int] = {}  # attempts of the placed plan, by customer
@@ -75,13 +74,13 @@
         self.count += 1
         settings = Settings(CLASSES, (RATED, PLACED), max_attempts=2)
         process = Process(Gateway(settings, self.seed + self.count, self.now))
-        process.gateway.handle(self.now, i.WorkerList(tuple(self.listed.values()), whole=True))
+        process.gateway.handle(self.now, interface.WorkerList(tuple(self.listed.values()), whole=True))
         return process
 
-    def _do(self, process: Process, actions: Iterable[i.Action], customer: str) -> None:
+    def _do(self, process: Process, actions: Iterable[interface.Action], customer: str) -> None:
         for action in actions:
             match action:
-                case i.Send(name, worker):
+                case interface.Send(name, worker):
                     key = name, max(number for request, number in process.gateway.out if request == name)
                     process.out[key] = worker, customer
                     self.told.bans_broken += worker in self.banned
@@ -96,9 +95,9 @@
                     if process.taker is not None and self.news:
                         row = state.out_row(*key, process.gateway.out[key])
                         state.adopt(process.taker.gateway, self.now, row, spends=True)
-                case i.Refuse(name) | i.Fail(name):
+                case interface.Refuse(name) | interface.Fail(name):
                     process.owed.discard(name)
-                case i.SetTimer(delay, ref):
+                case interface.SetTimer(delay, ref):
                     process.timers.append((self.now + delay, ref))
 
     def _held(self, key: tuple[str, int]) -> bool:
@@ -122,7 +121,7 @@
         name, customer = f"r{self.count}", f"{who:016x}"
         process.owed.add(name)
         klass = self.random.choice(CLASSES).name
-        event = i.Request(name, klass, plan, customer, 2.0)
+        event = interface.Request(name, klass, plan, customer, 2.0)
         self._do(process, process.gateway.handle(self.now, event), f"{plan}/{customer}")
 
     def answer(self) -> None:
@@ -132,16 +131,25 @@
             self.end(
                 process,
                 self.random.choice(list(process.out)),
-                self.random.choice((i.SUCCESS, i.SUCCESS, i.SUCCESS, i.UNREACHABLE, i.FULL, i.FAILURE)),
+                self.random.choice(
+                    (
+                        interface.SUCCESS,
+                        interface.SUCCESS,
+                        interface.SUCCESS,
+                        interface.UNREACHABLE,
+                        interface.FULL,
+                        interface.FAILURE,
+                    )
+                ),
             )
 
     def end(self, process: Process, key: tuple[str, int], status: str) -> None:
         """The outcome of an attempt; what the old process has out is told to the new one."""
         worker, customer = process.out.pop(key)
         self.holds.pop(key, None)
-        if status == i.SUCCESS:
+        if status == interface.SUCCESS:
             process.owed.discard(key[0])
-        outcome = i.Outcome(*key, worker, status, terminal=status == i.SUCCESS, took=0.1)
+        outcome = interface.Outcome(*key, worker, status, terminal=status == interface.SUCCESS, took=0.1)
         # The new process hears of it no sooner than the old one has drawn its consequences.
         if process.taker is not None and self.news:
             process.taker.gateway.handle(self.now, outcome)
@@ -154,24 +162,24 @@
             return
         for _ in range(self.random.choice((1, 1, 2))):
             process = self.old if self.old is not None and self.random.random() < 0.3 else self.serving
-            actions = process.gateway.handle(self.now, i.Maintain(worker, out))
+            actions = process.gateway.handle(self.now, interface.Maintain(worker, out))
             if process is self.old and process.taker is not None:  # calls are passed on
-                process.taker.gateway.handle(self.now, i.Maintain(worker, out))
-            if any(isinstance(action, i.Maintained) and action.known for action in actions):
+                process.taker.gateway.handle(self.now, interface.Maintain(worker, out))
+            if any(isinstance(action, interface.Maintained) and action.known for action in actions):
                 self.banned.add(worker) if out else self.banned.discard(worker)
         if self.old is not None:  # its further attempts keep to it as well
-            self.old.gateway.handle(self.now, i.Maintain(worker, out))
+            self.old.gateway.handle(self.now, interface.Maintain(worker, out))
 
     def list(self) -> None:
         """The list tells something: a restart, a drain, all of it."""
         name = self.random.choice(WORKERS)
         drains = self.random.random() < 0.3
-        entry = i.WorkerEntry(name, state=i.DRAINING if drains else i.HEALTHY, started=self.now)
-        if drains and sum(e.state == i.HEALTHY for e in self.listed.values()) < 3:
+        entry = interface.WorkerEntry(name, state=interface.DRAINING if drains else interface.HEALTHY, started=self.now)
+        if drains and sum(e.state == interface.HEALTHY for e in self.listed.values()) < 3:
             return
         self.listed[name] = entry
         whole = self.random.random() < 0.3
-        news = i.WorkerList(tuple(self.listed.values()) if whole else (entry,), whole=whole)
+        news = interface.WorkerList(tuple(self.listed.values()) if whole else (entry,), whole=whole)
         for process in filter(None, (self.serving, self.old)):
             process.gateway.handle(self.now, news)
 
@@ -190,7 +198,7 @@
             old.gateway.quotas.debts.rest()
             return
         state.put_accounts(new.gateway, self.now, copy.rest())
-        new.gateway.handle(self.now, i.WorkerList(tuple(self.listed.values()), whole=True))
+        new.gateway.handle(self.now, interface.WorkerList(tuple(self.listed.values()), whole=True))
         outs = list(state.outs(old.gateway)) if self.news else []
         state.put_core(new.gateway, self.now, state.core(old.gateway), outs)
         self.told.upgrades += 1
@@ -225,7 +233,7 @@
             due = [timer for timer in process.timers if timer[0] <= self.now]
             process.timers = [timer for timer in process.timers if timer[0] > self.now]
             for _, ref in due:
-                self._do(process, process.gateway.handle(self.now, i.TimerFired(ref)), "")
+                self._do(process, process.gateway.handle(self.now, interface.TimerFired(ref)), "")
 
     def play(self, steps: int = 120) -> Told:
         """Go through it, let all end, and tell."""
@@ -240,7 +248,7 @@
             self.random.choice(weighted)()
         for process in filter(None, (self.old, self.serving)):
             while process.out:
-                self.end(process, next(iter(process.out)), i.SUCCESS)
+                self.end(process, next(iter(process.out)), interface.SUCCESS)
         self.now += 10.0
         self.tick()
         for process in filter(None, (self.old, self.serving)):
--- a/rig/worker_selection.py
+++ b/rig/worker_selection.py
@@ -13,14 +13,13 @@
 from dataclasses import dataclass
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from rig.capacity import Capacity
 from rig.fleet import Entrance, Fleet
 from rig.simulation import Clock
 
-CLASSES = (i.RequestClass("fetch", aim=0.8, deadline=2.0),)
-PLANS = (i.Plan("free"),)
+CLASSES = (interface.RequestClass("fetch", aim=0.8, deadline=2.0),)
+PLANS = (interface.Plan("free"),)
 UNITS, MEAN = 8.0, 0.16  # of a request, and the seconds that it takes on a worker of speed 1
 
 
@@ -50,13 +49,13 @@
         self.turn = 0
         self.credit = dict.fromkeys(self.names, 0.0)
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Send what comes; count what is out."""
-        if isinstance(event, i.Request):
+        if isinstance(event, interface.Request):
             worker = self.choose(now, self)
             self.out[worker] += 1
-            return [i.Send(event.request, worker)]
-        if isinstance(event, i.Outcome):
+            return [interface.Send(event.request, worker)]
+        if isinstance(event, interface.Outcome):
             self.out[event.worker] -= 1
         return []
 
@@ -105,7 +104,7 @@
     }
     fleet = Fleet(clock, random, capacities, zones="a")
     for number in range(field.gateways):
-        settings = i.Settings(
+        settings = interface.Settings(
             CLASSES,
             PLANS,
             gateways=field.gateways,
--- a/tests/backend/test_losses.py
+++ b/tests/backend/test_losses.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from micagate import interface as i
+from micagate import interface
 from rig.driver import Driver, answered, losing, sends
 from rig.fake_servers import Message, Worker, answer, hang, run, scene, until
 
@@ -36,7 +36,7 @@
 
 def test_a_worker_that_lost_an_answer_is_tried_again_long_before_the_deadline():
     d = Driver(1, second_copies=False)
-    d.give(i.WorkerList((i.WorkerEntry("far", zone="b"),)))
+    d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b"),)))
     answered(d, 30)
     d.ask("write")  # lost: nothing ever comes of it
     (near,) = {"w0", "far"} - set(answered(d, 40)[25:])  # left alone, as stalled
@@ -60,7 +60,7 @@
         if n > 300:
             met[klass][worker] += 1
         lost = worker in ("w0", "w3") and n % 3 == 0
-        d.answer(name, worker, i.BROKEN if lost else i.SUCCESS, after=0.01, took=0.02, terminal=True)
+        d.answer(name, worker, interface.BROKEN if lost else interface.SUCCESS, after=0.01, took=0.02, terminal=True)
     bad = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in met.items()}
     assert bad["write"] < 0.06  # a third loses them
 
@@ -82,7 +82,7 @@
         while worker in ("w0", "w3"):
             actions = d.pass_time(0.01)
             if actions:  # it is given up, and sent again
-                (worker,) = sends(d.answer(name, worker, i.CANCELLED))
+                (worker,) = sends(d.answer(name, worker, interface.CANCELLED))
         d.answer(name, worker, after=0.01, took=0.02)
     shares = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in met.items()}
     assert shares["read"] < 0.25 < shares["write"]
@@ -96,12 +96,12 @@
         d.gateway.fleet.workers["w0"].losses.clear()
         for _ in range(losses):
             d.gateway.fleet.silent(d.now, "w0", d.gateway.classes["read"])
-        d.give(i.WorkerList((i.WorkerEntry("far", zone="b", state=i.DRAINING),)))
+        d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b", state=interface.DRAINING),)))
         d.gateway.throttle.on, d.gateway.throttle.rate, d.gateway.throttle.base = True, 100.0, 50.0
         d.gateway.throttle._due = d.now + 9.0
         name, actions = d.ask()
-        d.give(i.WorkerList((i.WorkerEntry("far", zone="b"),)))
+        d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b"),)))
         d.gateway.fleet.recent._missed = 900.0  # silence would be taken for load
-        assert d.pass_time(0.9).count(i.Cancel(name, 0)) == expected
+        assert d.pass_time(0.9).count(interface.Cancel(name, 0)) == expected
         d.pass_time(0.2)
         assert len(d.gateway.throttle._signals) == 1 - expected
--- a/tests/counting/test_budget.py
+++ b/tests/counting/test_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.counting.budget import EASY, HOLD, LAST, LEAST, LOOK, ROW, SILENT, UNHEARD, Budget
 from rig.counting import Service
 
@@ -18,26 +18,26 @@
 def test_answers_that_come_soon_leave_the_level_full_and_slow_ones_lower_it_until_they_are_forgotten():
     b = budget()
     for n in range(100):
-        b.heard(0.01 * n, i.SUCCESS, EASY * WAIT)
+        b.heard(0.01 * n, interface.SUCCESS, EASY * WAIT)
     assert b.level == 2.0
     for n in range(100):
-        b.heard(1 + 0.01 * n, i.SUCCESS, 0.9 * WAIT)
+        b.heard(1 + 0.01 * n, interface.SUCCESS, 0.9 * WAIT)
     low = b.level
     assert 2 * LEAST <= low < 1.0
     for n in range(8 * LAST):
-        b.heard(2 + 0.01 * n, i.SUCCESS, EASY * WAIT)
+        b.heard(2 + 0.01 * n, interface.SUCCESS, EASY * WAIT)
     assert b.level > 1.99
 
 
 def test_gateways_that_see_one_line_have_one_level_whatever_they_saw_before():
     one, other = budget(), budget()
     for n in range(50):
-        one.heard(0.01 * n, i.TIMED_OUT, WAIT)
-        one.heard(0.01 * n, i.LATE, WAIT)
+        one.heard(0.01 * n, interface.TIMED_OUT, WAIT)
+        one.heard(0.01 * n, interface.LATE, WAIT)
     assert one.level < other.level
     for n in range(200):
         for b in (one, other):
-            b.heard(1 + 0.01 * n, i.SUCCESS, 0.5 * WAIT)
+            b.heard(1 + 0.01 * n, interface.SUCCESS, 0.5 * WAIT)
     assert one.level == pytest.approx(other.level, abs=0.01)
 
 
@@ -45,21 +45,21 @@
     b = budget()
     for _ in range(ROW):
         assert b.may(1.0)
-        b.heard(1.0, i.FULL, 0.0)
+        b.heard(1.0, interface.FULL, 0.0)
     assert not b.may(1.0 + 0.99 * HOLD) and b.may(1.0 + 3.01 * HOLD)
 
 
 def test_a_counter_that_answers_nothing_is_looked_at_now_and_then_and_its_level_stays():
     b = budget()
     for n in range(50):
-        b.heard(0.01 * n, i.TIMED_OUT, WAIT)
+        b.heard(0.01 * n, interface.TIMED_OUT, WAIT)
     level = b.level
     looks = [b.may(1 + 0.01 * n) for n in range(400)].count(True)
     assert 4 / (2 * LOOK) - 1 <= looks <= 4 / LOOK + 1
     for n in range(50):
-        b.heard(5 + 0.01 * n, i.TIMED_OUT, WAIT)
+        b.heard(5 + 0.01 * n, interface.TIMED_OUT, WAIT)
     assert b.level == level and b.silent(6.0) and UNHEARD and SILENT
-    b.heard(6.0, i.SUCCESS, 0.004)
+    b.heard(6.0, interface.SUCCESS, 0.004)
     assert not b.silent(6.0) and b.may(6.0)
 
 
@@ -75,14 +75,14 @@
         for due, began, b in [w for w in waiting if w[0] <= now or w[1] + WAIT <= now]:
             waiting.remove((due, began, b))
             in_time = due - began <= WAIT
-            b.heard(now, i.SUCCESS if in_time else i.TIMED_OUT, min(WAIT, due - began))
+            b.heard(now, interface.SUCCESS if in_time else interface.TIMED_OUT, min(WAIT, due - began))
             answered += in_time and now > 10
         b = draw.choice(all_of)
         if 2 * draw.random() < b.level and b.may(now):
             asked += now > 10
             due = service.accept(now, "x")
             if due is None:
-                b.heard(now, i.FULL, 0.0)
+                b.heard(now, interface.FULL, 0.0)
             else:
                 waiting.append((due + 0.004, now, b))
     assert asked > 0.4 * min(rate, 400.0) * 10
--- a/tests/counting/test_client.py
+++ b/tests/counting/test_client.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from oliveloft.counter.client import Counter as Client
 from rig.counting import Counter, Service
 
@@ -13,14 +13,14 @@
 
 async def up(counter: Counter, wait: float = WAIT) -> Client:
     client = Client(asyncio.get_running_loop(), ("127.0.0.1", counter.port), wait, 1)
-    while (await call(client)).status == i.UNREACHABLE:
+    while (await call(client)).status == interface.UNREACHABLE:
         await asyncio.sleep(0.01)
     return client
 
 
-async def call(client: Client, name: int = 7, amount: float = 0.0) -> i.Counted:
-    heard: asyncio.Queue[i.Counted] = asyncio.Queue()
-    client.call(i.Count(name, amount, 30.0), heard.put_nowait)
+async def call(client: Client, name: int = 7, amount: float = 0.0) -> interface.Counted:
+    heard: asyncio.Queue[interface.Counted] = asyncio.Queue()
+    client.call(interface.Count(name, amount, 30.0), heard.put_nowait)
     return await asyncio.wait_for(heard.get(), 10.0)
 
 
@@ -50,11 +50,11 @@
 def test_a_counter_that_turns_away_or_says_nothing_ends_the_call_as_that():
     async def scenario(counter, client):
         counter.service.busy = True
-        assert (await call(client)).status == i.FULL
+        assert (await call(client)).status == interface.FULL
         counter.service.busy = False
         counter.service.dead = {0}
         answer = await call(client)
-        assert answer.status == i.TIMED_OUT and answer.took >= WAIT
+        assert answer.status == interface.TIMED_OUT and answer.took >= WAIT
 
     play(scenario)
 
@@ -62,7 +62,7 @@
 def test_a_late_answer_is_not_taken_for_that_of_the_next_call():
     async def scenario(counter, client):
         counter.service.rate, counter.service.queue, client._wait = 2.0, 5.0, 0.05  # each takes half a second
-        assert (await call(client, 3, 1.0)).status == i.TIMED_OUT
+        assert (await call(client, 3, 1.0)).status == interface.TIMED_OUT
         client._wait = 5.0
         assert (await call(client, 4, 5.0)).total == 5.0
 
@@ -75,8 +75,8 @@
 def test_a_spoilt_answer_ends_the_connection_and_the_next_call_opens_another(spoilt):
     async def scenario(counter, client):
         counter.spoil = spoilt
-        assert (await call(client, 3, 1.0)).status == i.TIMED_OUT  # it may have been added
-        while (answer := await call(client, 3, 1.0)).status == i.UNREACHABLE:
+        assert (await call(client, 3, 1.0)).status == interface.TIMED_OUT  # it may have been added
+        while (answer := await call(client, 3, 1.0)).status == interface.UNREACHABLE:
             await asyncio.sleep(0.01)
         assert answer.total == 2.0
 
@@ -87,11 +87,11 @@
     async def scenario(counter, client):
         assert (await call(client, 3, 1.0)).total == 1.0
         counter.stop()
-        while (await call(client, 3, 1.0)).status != i.UNREACHABLE:
+        while (await call(client, 3, 1.0)).status != interface.UNREACHABLE:
             await asyncio.sleep(0.01)
         other = await Counter().start()
         client.move(("127.0.0.1", other.port))
-        while (answer := await call(client, 3, 1.0)).status != i.SUCCESS:
+        while (answer := await call(client, 3, 1.0)).status != interface.SUCCESS:
             await asyncio.sleep(0.01)
         assert answer.total == 1.0
         other.stop()
@@ -129,10 +129,10 @@
         loop = RacingLoop(asyncio.get_running_loop())
         client = Client(loop, ("127.0.0.1", counter.port), WAIT, 1)
         statuses = []
-        while not statuses or statuses[-1] == i.UNREACHABLE:
+        while not statuses or statuses[-1] == interface.UNREACHABLE:
             statuses.append((await call(client)).status)
             await asyncio.sleep(0.01)
-        assert loop.raced and statuses[-1] == i.SUCCESS
+        assert loop.raced and statuses[-1] == interface.SUCCESS
         client.stop()
         counter.stop()
 
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.deficit_sketch import SLOTS, Debts
 from micagate.quotas import Quotas
 from micagate.share_transfers import move
 from rig.driver import Driver, sends
 
-CAPPED = i.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0)
+CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0)
 PLANS = {CAPPED.name: CAPPED}
 
 
@@ -84,7 +84,7 @@
     account.out = 1
     key = "c/capped/lender"
     quotas.account(0.0, "lender", CAPPED, 2)
-    move(quotas, 0.0, i.Shares(1, 100.0, 100.0, (i.Share(key, 0.4, 0.0, 2),)), PLANS)
+    move(quotas, 0.0, interface.Shares(1, 100.0, 100.0, (interface.Share(key, 0.4, 0.0, 2),)), PLANS)
     lender = quotas.table.get(key)
     for n in range(500):
         quotas.account(0.5, f"once-{n}", CAPPED, 2)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.tails import Tails
 from rig.driver import Driver, losing, sends, workers
 
@@ -34,7 +34,7 @@
     serve(d, 60)
     name, actions = d.ask()
     (dead,) = sends(actions)
-    d.answer(name, dead, i.UNREACHABLE)
+    d.answer(name, dead, interface.UNREACHABLE)
     assert dead not in serve(d, 10)
     d.now += 1.0
     out = [w for _ in range(12) for w in sends(d.ask()[1])]
@@ -55,15 +55,15 @@
     for _ in range(40):
         name, actions = d.ask(after=0.05)
         assert len(sends(actions)) == 1
-        d.answer(name, sends(actions)[0], i.FAILURE)
+        d.answer(name, sends(actions)[0], interface.FAILURE)
 
 
 def test_a_spoilt_answer_puts_no_worker_out_and_a_break_does():
-    for status, stays in ((i.SPOILT, True), (i.BROKEN, False)):
+    for status, stays in ((interface.SPOILT, True), (interface.BROKEN, False)):
         d = Driver()
         name, actions = d.ask("write")
         (worker,) = sends(actions)
-        assert d.answer(name, worker, status) == [i.Fail(name)]  # either may have run
+        assert d.answer(name, worker, status) == [interface.Fail(name)]  # either may have run
         met = set()
         for _ in range(12):
             name, actions = d.ask("write", plan="free")
@@ -85,8 +85,8 @@
     alone.answer(name, sends(actions)[0])
     losing(alone)
     name, actions = alone.ask()
-    assert alone.pass_time(0.6) == [i.Cancel(name, 0)]
-    assert len(sends(alone.answer(name, sends(actions)[0], i.CANCELLED))) == 1
+    assert alone.pass_time(0.6) == [interface.Cancel(name, 0)]
+    assert len(sends(alone.answer(name, sends(actions)[0], interface.CANCELLED))) == 1
 
 
 def test_long_answers_are_not_called_off_and_lost_ones_are():
@@ -116,7 +116,7 @@
                 d.answer(other, sends(actions)[0], took=0.005)
             d.pass_time(1.1)
             assert account.out == (0 if answered else 1)
-            d.answer(name, "w0", i.TIMED_OUT, terminal=True)
+            d.answer(name, "w0", interface.TIMED_OUT, terminal=True)
             assert account.out == 0
             d.pass_time(5.0)
         assert d.gateway.fleet.tails.lost() is answered
@@ -139,22 +139,22 @@
     for _ in range(200):
         name, actions = d.ask()
         while sent := sends(actions):
-            actions = d.answer(name, sent[0], i.FULL if d.shots[name] else i.FAILURE)
+            actions = d.answer(name, sent[0], interface.FULL if d.shots[name] else interface.FAILURE)
             further += bool(sends(actions))
     assert further <= 10 + 0.2 * 200
 
 
 def test_a_failed_subscription_is_asked_for_again_later():
     d = Driver(must_subscribe=True)
-    assert d.give(i.WorkerList(failed=True)) == []
-    assert d.pass_time(3) == [i.Subscribe()]
+    assert d.give(interface.WorkerList(failed=True)) == []
+    assert d.pass_time(3) == [interface.Subscribe()]
 
 
 def test_settings_that_make_no_sense_name_their_field():
     for make, field in (
-        (lambda: i.Plan("p", rate=-1.0), "Plan.rate"),
+        (lambda: interface.Plan("p", rate=-1.0), "Plan.rate"),
         (lambda: Driver(gateways=0), "Settings.gateways"),
-        (lambda: i.Request("r", "k", "p", "c", 1.0, spread=0), "Request.spread"),
+        (lambda: interface.Request("r", "k", "p", "c", 1.0, spread=0), "Request.spread"),
     ):
         try:
             make()
@@ -168,8 +168,8 @@
     d = Driver(40, gateways=300)
     seen = serve(d, 80)
     assert 1 <= len(seen) <= 8
-    gone = tuple(i.WorkerEntry(w, state=i.GONE) for w in seen)
-    d.give(i.WorkerList(gone))
+    gone = tuple(interface.WorkerEntry(w, state=interface.GONE) for w in seen)
+    d.give(interface.WorkerList(gone))
     again = serve(d, 80)
     assert 1 <= len(again) <= 8 and not set(again) & set(seen)
 
--- a/tests/decisions/test_hard_cases.py
+++ b/tests/decisions/test_hard_cases.py
@@ -3,8 +3,7 @@
 from collections import Counter
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from rig.capacity import Capacity
 from rig.driver import Driver, sends
 from rig.fleet import Entrance, Fleet
@@ -21,9 +20,9 @@
         self.fleet = Fleet(
             self.clock, Random(seed + 1), dict.fromkeys(WORKERS, Capacity(cores=2, queue=24)), zones="ab"
         )
-        settings = i.Settings(
-            (i.RequestClass("read", aim=0.4, deadline=1.0),),
-            (i.Plan("free"),),
+        settings = interface.Settings(
+            (interface.RequestClass("read", aim=0.4, deadline=1.0),),
+            (interface.Plan("free"),),
             gateways=2,
             zone="a",
             max_attempts=3,
@@ -102,11 +101,16 @@
 
 def pod(state):
     """A keyed request that broke at one worker of a pod of two; the other one is in `state`."""
-    d = Driver(0, classes=(i.RequestClass("keyed", aim=1.0, deadline=4.0, effect=i.TOKEN, group="cell", window=2.0),))
+    d = Driver(
+        0,
+        classes=(
+            interface.RequestClass("keyed", aim=1.0, deadline=4.0, effect=interface.TOKEN, group="cell", window=2.0),
+        ),
+    )
     d.give(
-        i.WorkerList(
+        interface.WorkerList(
             tuple(
-                i.WorkerEntry(name, zone="a", cell=cell, state=i.HEALTHY)
+                interface.WorkerEntry(name, zone="a", cell=cell, state=interface.HEALTHY)
                 for name, cell in (("p0", 0), ("p1", 0), ("q0", 1), ("q1", 1))
             ),
             whole=True,
@@ -115,16 +119,16 @@
     name, actions = d.ask("keyed")
     (worker,) = sends(actions)
     mate = {"p0": "p1", "p1": "p0", "q0": "q1", "q1": "q0"}[worker]
-    d.give(i.WorkerList((i.WorkerEntry(mate, zone="a", cell=0 if mate[0] == "p" else 1, state=state),)))
-    return mate, d.answer(name, worker, i.BROKEN, terminal=False)
+    d.give(interface.WorkerList((interface.WorkerEntry(mate, zone="a", cell=0 if mate[0] == "p" else 1, state=state),)))
+    return mate, d.answer(name, worker, interface.BROKEN, terminal=False)
 
 
 def test_a_keyed_repeat_goes_to_the_pods_other_member_and_nowhere_else_where_that_one_drains():
-    mate, actions = pod(i.HEALTHY)
+    mate, actions = pod(interface.HEALTHY)
     assert sends(actions) == [mate]
-    for state in (i.DRAINING, i.GONE):
+    for state in (interface.DRAINING, interface.GONE):
         _, actions = pod(state)
-        assert not sends(actions) and [type(action) for action in actions] == [i.Fail]
+        assert not sends(actions) and [type(action) for action in actions] == [interface.Fail]
 
 
 def test_a_worker_that_looks_idle_since_it_answers_nothing_is_left_alone():
--- a/tests/decisions/test_large_fleets.py
+++ b/tests/decisions/test_large_fleets.py
@@ -4,24 +4,23 @@
 
 import pytest
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.fleet import LOOK, LOOKS, Fleet
 from micagate.shares import Shares
 from rig.worker_selection import Field, served
 
-READ = i.RequestClass("read", aim=0.4, deadline=1.0)
-ONCE = i.RequestClass("once", aim=0.4, deadline=1.0, effect=i.SIDE_EFFECT)
-SETTINGS = i.Settings((READ, ONCE), (i.Plan("free"),), zone="a", max_attempts=2)
+READ = interface.RequestClass("read", aim=0.4, deadline=1.0)
+ONCE = interface.RequestClass("once", aim=0.4, deadline=1.0, effect=interface.SIDE_EFFECT)
+SETTINGS = interface.Settings((READ, ONCE), (interface.Plan("free"),), zone="a", max_attempts=2)
 
 
-def entries(count: int, **more) -> tuple[i.WorkerEntry, ...]:
-    return tuple(i.WorkerEntry(f"w{n}", zone="abcd"[n % 4], **more) for n in range(count))
+def entries(count: int, **more) -> tuple[interface.WorkerEntry, ...]:
+    return tuple(interface.WorkerEntry(f"w{n}", zone="abcd"[n % 4], **more) for n in range(count))
 
 
-def fleet(count: int, settings: i.Settings = SETTINGS, seed: int = 1, **more) -> Fleet:
+def fleet(count: int, settings: interface.Settings = SETTINGS, seed: int = 1, **more) -> Fleet:
     made = Fleet(settings, Random(seed), 0.0, Shares())
-    made.update(0.0, i.WorkerList(entries(count, **more), whole=True))
+    made.update(0.0, interface.WorkerList(entries(count, **more), whole=True))
     return made
 
 
@@ -40,14 +39,18 @@
 @pytest.mark.parametrize("workers", [LOOK, 60, 1000])
 def test_a_request_looks_at_no_more_workers_the_more_there_are(workers, monkeypatch):
     gateway = Gateway(SETTINGS, 1, 0.0)
-    gateway.handle(0.0, i.WorkerList(entries(workers), whole=True))
+    gateway.handle(0.0, interface.WorkerList(entries(workers), whole=True))
     looked = counted(monkeypatch)
     for n in range(200):
         now = 0.01 * n
         looked.clear()
-        sends = [a for a in gateway.handle(now, i.Request(f"r{n}", "read", "free", "c", 1.0)) if isinstance(a, i.Send)]
+        sends = [
+            a
+            for a in gateway.handle(now, interface.Request(f"r{n}", "read", "free", "c", 1.0))
+            if isinstance(a, interface.Send)
+        ]
         assert len(sends) == 1 and 0 < len(looked) <= LOOK
-        gateway.handle(now + 0.005, i.Outcome(f"r{n}", 0, sends[0].worker, i.SUCCESS, True, 0.005))
+        gateway.handle(now + 0.005, interface.Outcome(f"r{n}", 0, sends[0].worker, interface.SUCCESS, True, 0.005))
 
 
 def test_no_worker_of_a_large_fleet_is_favoured():
@@ -71,7 +74,7 @@
         assert f.pick(0.0, READ, set()) == f"w{n}"
         for m in range(LOOK):
             if m != n:
-                f.returned(0.0, f"w{m}", (f"r{m}", n), READ, i.CANCELLED, 0.0)
+                f.returned(0.0, f"w{m}", (f"r{m}", n), READ, interface.CANCELLED, 0.0)
 
 
 def test_where_the_first_few_cannot_take_it_others_are_looked_at():
@@ -104,7 +107,7 @@
         assert not f.overdue(now, 1.0)
         f.sent(now, worker, (f"r{n}", 0), READ)
         if n >= 40:
-            f.returned(now, gone[n - 40], (f"r{n - 40}", 0), READ, i.SUCCESS, 0.04)
+            f.returned(now, gone[n - 40], (f"r{n - 40}", 0), READ, interface.SUCCESS, 0.04)
 
 
 def test_a_jam_of_a_large_fleet_is_seen_by_the_few_that_are_looked_at():
@@ -116,7 +119,7 @@
         f.sent(now, worker, (f"r{n}", 0), READ)
         if n % 5 == 0:
             key = next(iter(f._waiting))
-            f.returned(now, f._waiting[key][2].entry.worker, key, READ, i.SUCCESS, now - f._waiting[key][0])
+            f.returned(now, f._waiting[key][2].entry.worker, key, READ, interface.SUCCESS, now - f._waiting[key][0])
     assert late > 4000
 
 
@@ -128,24 +131,27 @@
         now, name = 0.01 * step, f"w{random.randrange(80)}"
         match random.randrange(6):
             case 0:
-                f.update(now, i.WorkerList((i.WorkerEntry(name, zone="a"),)))
+                f.update(now, interface.WorkerList((interface.WorkerEntry(name, zone="a"),)))
                 told.add(name)
             case 1:
-                f.update(now, i.WorkerList((i.WorkerEntry(name, zone="a", state=i.DRAINING),)))
+                f.update(now, interface.WorkerList((interface.WorkerEntry(name, zone="a", state=interface.DRAINING),)))
                 told.discard(name)
             case 2:
-                f.update(now, i.WorkerList((i.WorkerEntry(name, zone="a", started=now),)))
+                f.update(now, interface.WorkerList((interface.WorkerEntry(name, zone="a", started=now),)))
                 told.add(name)
             case 3 if random.random() < 0.1:
                 told = set(random.sample(sorted(told), len(told) // 2))
-                f.update(now, i.WorkerList(tuple(i.WorkerEntry(n, zone="a") for n in sorted(told)), whole=True))
+                f.update(
+                    now,
+                    interface.WorkerList(tuple(interface.WorkerEntry(n, zone="a") for n in sorted(told)), whole=True),
+                )
             case 4 if (worker := f.pick(now, READ, set())) is not None:
                 assert worker in told
                 f.sent(now, worker, (f"r{step}", 0), READ)
                 out[f"r{step}", 0] = worker
             case _ if out:
                 key = random.choice(list(out))
-                f.returned(now, out.pop(key), key, READ, i.SUCCESS, 0.02)
+                f.returned(now, out.pop(key), key, READ, interface.SUCCESS, 0.02)
         assert {w.entry.worker for w in f.arcs.ring} == told and len(f.arcs.ring) == f.serving == len(told)
         assert all(f.workers[w.entry.worker] is w and w.usable for w in f.arcs.ring)
         assert set(f.workers) - told <= set(out.values())  # what is gone is kept while something is out there
--- a/tests/decisions/test_long_bodies.py
+++ b/tests/decisions/test_long_bodies.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from micagate import Gateway, Plan, RequestClass, Settings
-from micagate import interface as i
+from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.interface import (
     Abandoned,
     Cancel,
@@ -20,7 +19,7 @@
     WorkerList,
 )
 
-EFFECTS = {"read": i.PURE, "keyed": i.TOKEN, "write": i.SIDE_EFFECT}
+EFFECTS = {"read": interface.PURE, "keyed": interface.TOKEN, "write": interface.SIDE_EFFECT}
 CLASSES = tuple(
     RequestClass(name, aim=0.5, deadline=2.0, effect=effect, window=5.0) for name, effect in EFFECTS.items()
 )
@@ -48,7 +47,7 @@
     worker = begin(module, 0.0)
     actions = module.handle(30.0, Whole("r"))
     assert max(timer.delay for timer in of(actions, SetTimer)) == pytest.approx(2.0, abs=0.01)
-    module.handle(30.2, Outcome("r", 0, worker, i.SUCCESS, terminal=True, took=0.2))
+    module.handle(30.2, Outcome("r", 0, worker, interface.SUCCESS, terminal=True, took=0.2))
     assert not module.out and not module._timers and not module._pending
 
 
@@ -59,7 +58,7 @@
     for n in range(40):
         worker = module.out[f"slow{n}", 0].worker
         module.handle(9.0, Abandoned(f"slow{n}"))
-        module.handle(9.0, Outcome(f"slow{n}", 0, worker, i.CANCELLED, terminal=True, took=9.0))
+        module.handle(9.0, Outcome(f"slow{n}", 0, worker, interface.CANCELLED, terminal=True, took=9.0))
     assert not module.throttle.on
     seen = {of(module.handle(9.1, Request(f"x{n}", "write", "basic", "d", 2.0)), Send)[0].worker for n in range(30)}
     assert len(seen) == 3
@@ -67,15 +66,17 @@
 
 @pytest.mark.parametrize("klass", EFFECTS)
 @pytest.mark.parametrize("kept", [True, False])
-@pytest.mark.parametrize("status", [i.UNREACHABLE, i.FULL, i.BROKEN, i.FAILURE, i.SPOILT])
+@pytest.mark.parametrize(
+    "status", [interface.UNREACHABLE, interface.FULL, interface.BROKEN, interface.FAILURE, interface.SPOILT]
+)
 def test_what_may_follow_by_class_and_by_what_is_kept_and_known(klass, kept, status):
     module = gateway()
     worker = begin(module, 0.0, klass)
-    whole = status != i.UNREACHABLE
+    whole = status != interface.UNREACHABLE
     if whole:
         module.handle(1.0, Whole("r", kept))
     actions = module.handle(1.1, Outcome("r", 0, worker, status, terminal=False, took=0.1, kept=kept))
-    never = status in i.NEVER_RAN
+    never = status in interface.NEVER_RAN
     again = kept and (never or klass != "write")
     assert bool(of(actions, Send)) == again
     assert bool(of(actions, Refuse)) == (not again and never) and bool(of(actions, Fail)) == (not again and not never)
@@ -84,11 +85,11 @@
 def test_a_second_attempt_before_the_last_byte_waits_for_it_too():
     module = gateway()
     first = begin(module, 0.0)
-    actions = module.handle(1.0, Outcome("r", 0, first, i.UNREACHABLE, terminal=False, took=1.0))
+    actions = module.handle(1.0, Outcome("r", 0, first, interface.UNREACHABLE, terminal=False, took=1.0))
     second = of(actions, Send)[0].worker
     assert second != first and not of(actions, SetTimer)
     assert of(module.handle(5.0, Whole("r")), SetTimer)
-    module.handle(5.1, Outcome("r", 1, second, i.SUCCESS, terminal=True, took=0.1))
+    module.handle(5.1, Outcome("r", 1, second, interface.SUCCESS, terminal=True, took=0.1))
     assert not module._pending
 
 
@@ -113,7 +114,7 @@
     for n in range(60):  # the usual time is known
         name = f"u{n}"
         worker = of(module.handle(n / 100, Request(name, "read", "basic", "d", 2.0)), Send)[0].worker
-        module.handle(n / 100 + 0.005, Outcome(name, 0, worker, i.SUCCESS, terminal=True, took=0.005))
+        module.handle(n / 100 + 0.005, Outcome(name, 0, worker, interface.SUCCESS, terminal=True, took=0.005))
     long = of(module.handle(1.0, Request("long", "read", "basic", "d", 2.0)), Send)[0].worker
     module.handle(1.01, StreamStarted("long", 0, long, 0.01))
     seen = set()
@@ -121,5 +122,5 @@
         name = f"v{n}"
         worker = of(module.handle(5.0 + n / 100, Request(name, "read", "basic", "d", 2.0)), Send)[0].worker
         seen.add(worker)
-        module.handle(5.005 + n / 100, Outcome(name, 0, worker, i.SUCCESS, terminal=True, took=0.005))
+        module.handle(5.005 + n / 100, Outcome(name, 0, worker, interface.SUCCESS, terminal=True, took=0.005))
     assert long in seen
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from rig.driver import Driver, sends
 
 ROOT = Path(__file__).parents[2]
@@ -71,8 +71,8 @@
     name, actions = d.ask("read")
     assert len(d.gateway._timers) == 3  # aim, hedge, deadline
     (worker,) = sends(actions)
-    assert sends(d.answer(name, worker, i.FAILURE)) and len(d.gateway._timers) == 3  # of the second attempt
-    d.give(i.Abandoned(name))
+    assert sends(d.answer(name, worker, interface.FAILURE)) and len(d.gateway._timers) == 3  # of the second attempt
+    d.give(interface.Abandoned(name))
     assert len(d.gateway._timers) == 2
-    d.answer(name, "w0", i.TIMED_OUT)
+    d.answer(name, "w0", interface.TIMED_OUT)
     assert not d.gateway._timers
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -5,10 +5,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from micagate import interface as i
+from micagate import interface
 from rig.driver import Driver
 
-STATUSES = [i.SUCCESS, i.FAILURE, i.FULL, i.TIMED_OUT, i.UNREACHABLE, i.BROKEN]
+STATUSES = [
+    interface.SUCCESS,
+    interface.FAILURE,
+    interface.FULL,
+    interface.TIMED_OUT,
+    interface.UNREACHABLE,
+    interface.BROKEN,
+]
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["ask", "ask", "ask", "answer", "answer", "list", "wait", "abandon"]), st.integers(0, 10**6)
@@ -16,7 +23,7 @@
     min_size=5,
     max_size=150,
 )
-CLASSES = {"read": i.PURE, "keyed": i.TOKEN, "write": i.SIDE_EFFECT}
+CLASSES = {"read": interface.PURE, "keyed": interface.TOKEN, "write": interface.SIDE_EFFECT}
 
 
 class Watch(Driver):
@@ -25,38 +32,38 @@
     def __init__(self, **changes: Any) -> None:
         self.open: dict[str, dict[str, Any]] = {}
         self.out: dict[tuple[str, int], dict[str, Any]] = {}
-        self.state: dict[str, str] = {f"w{n}": i.HEALTHY for n in range(6)}
+        self.state: dict[str, str] = {f"w{n}": interface.HEALTHY for n in range(6)}
         self.started: dict[str, float] = {}
         self.spent: list[tuple[float, float]] = []
         self.copies = changes.get("second_copies", True)
         super().__init__(**changes)
 
-    def give(self, event: i.Event, after: float = 0.0) -> list[i.Action]:
+    def give(self, event: interface.Event, after: float = 0.0) -> list[interface.Action]:
         """Hand over, then check all that comes back."""
         actions = super().give(event, after)
         for action in actions:
-            if isinstance(action, i.Send):
+            if isinstance(action, interface.Send):
                 self.check_send(action)
-            elif isinstance(action, i.Refuse):
+            elif isinstance(action, interface.Refuse):
                 tries = self.open.pop(action.request)["tries"]
-                assert all(t["status"] in i.NEVER_RAN for t in tries)
-            elif isinstance(action, i.Fail):
+                assert all(t["status"] in interface.NEVER_RAN for t in tries)
+            elif isinstance(action, interface.Fail):
                 del self.open[action.request]
-            elif isinstance(action, i.Cancel) and (key := (action.request, action.attempt)) in self.out:
+            elif isinstance(action, interface.Cancel) and (key := (action.request, action.attempt)) in self.out:
                 self.out[key]["cancelled"] = True
         return actions
 
-    def check_send(self, action: i.Send) -> None:
+    def check_send(self, action: interface.Send) -> None:
         """The rules for an attempt."""
         request = self.open[action.request]  # KeyError: sent after its end
         tries = request["tries"]
         assert self.now < request["deadline"]
-        assert self.state[action.worker] == i.HEALTHY
+        assert self.state[action.worker] == interface.HEALTHY
         assert self.copies or all(t["status"] for t in tries)
-        ran = [t for t in tries if t["status"] not in i.NEVER_RAN]
-        if ran and request["effect"] == i.SIDE_EFFECT:
+        ran = [t for t in tries if t["status"] not in interface.NEVER_RAN]
+        if ran and request["effect"] == interface.SIDE_EFFECT:
             raise AssertionError("an unsafe request went out again")
-        if ran and request["effect"] == i.TOKEN:
+        if ran and request["effect"] == interface.TOKEN:
             assert int(ran[0]["worker"][1]) % 3 == int(action.worker[1]) % 3
             assert self.now <= ran[0]["sent"] + 2.0
         attempt = {"worker": action.worker, "sent": self.now, "status": "", "cancelled": False}
@@ -89,9 +96,9 @@
         elif what == "answer" and self.out:
             key = list(self.out)[n % len(self.out)]
             attempt = self.out.pop(key)
-            status = i.CANCELLED if attempt["cancelled"] and n % 2 else STATUSES[n // 5 % len(STATUSES)]
+            status = interface.CANCELLED if attempt["cancelled"] and n % 2 else STATUSES[n // 5 % len(STATUSES)]
             attempt["status"] = status
-            terminal = key[0] not in self.open or status == i.SUCCESS
+            terminal = key[0] not in self.open or status == interface.SUCCESS
             if terminal:
                 self.open.pop(key[0], None)
             self.answer(
@@ -105,17 +112,19 @@
             )
         elif what == "list":
             name = f"w{n % 6}"
-            state = [i.HEALTHY, i.DRAINING, i.GONE, i.HEALTHY][n // 6 % 4]
+            state = [interface.HEALTHY, interface.DRAINING, interface.GONE, interface.HEALTHY][n // 6 % 4]
             self.state[name], start = state, None
-            if state == i.HEALTHY:
+            if state == interface.HEALTHY:
                 self.started[name] = start = self.now
-            self.give(i.WorkerList((i.WorkerEntry(name, "abc"[n % 6 % 3], n % 6 // 2, state, started=start),)))
+            self.give(
+                interface.WorkerList((interface.WorkerEntry(name, "abc"[n % 6 % 3], n % 6 // 2, state, started=start),))
+            )
         elif what == "wait":
             self.pass_time(n % 900 / 1000)
         elif what == "abandon" and self.open:
             name = list(self.open)[n % len(self.open)]
             del self.open[name]
-            self.give(i.Abandoned(name))
+            self.give(interface.Abandoned(name))
 
 
 @given(STEPS, st.booleans(), st.booleans())
@@ -126,9 +135,9 @@
         assert all(d.now <= r["deadline"] for r in d.open.values()) or d.pass_time(0) is not None
     for key, attempt in list(d.out.items()):  # all that is out comes back at last
         d.pass_time(0.01)
-        attempt["status"] = i.TIMED_OUT
+        attempt["status"] = interface.TIMED_OUT
         del d.out[key]
-        d.answer(key[0], attempt["worker"], i.TIMED_OUT, attempt=key[1], terminal=key[0] not in d.open)
+        d.answer(key[0], attempt["worker"], interface.TIMED_OUT, attempt=key[1], terminal=key[0] not in d.open)
     d.pass_time(10)
     assert not d.open  # nothing lost
     assert not d.gateway._pending and not d.gateway._timers  # and nothing kept
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -2,17 +2,17 @@
 
 from dataclasses import replace
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.metering import STALE, Meter
 from micagate.quotas import AIMED, IDLE, Quotas
 from micagate.share_transfers import move
 from rig.customers import Day, play, total
 from rig.driver import Driver, sends
 
-PLAN = i.Plan("metered", rate=3.0, burst=12.0)
+PLAN = interface.Plan("metered", rate=3.0, burst=12.0)
 
 
-def asked(quotas: Quotas, now: float, units: float, used: float | None = None, plan: i.Plan = PLAN):
+def asked(quotas: Quotas, now: float, units: float, used: float | None = None, plan: interface.Plan = PLAN):
     a = quotas.account(now, "c", plan, 3)
     a.asked += units
     if used is not None:
@@ -59,7 +59,7 @@
 
 def test_idle_customers_age_out_but_not_before_their_ceiling_is_full():
     quotas = Quotas(0.0)
-    capped = i.Plan("capped", rate=1.0, burst=3.0, ceiling_rate=0.03, ceiling_depth=3.0)
+    capped = interface.Plan("capped", rate=1.0, burst=3.0, ceiling_rate=0.03, ceiling_depth=3.0)
     a = quotas.account(0.0, "slow", capped, 3)
     for n in range(1000):
         quotas.account(1.0, f"c{n}", PLAN, 3)
@@ -105,13 +105,13 @@
     assert sends(d.ask(time_left=3.0)[1])  # clients here wait 3 s a try, of 4 in all
     for left, repeat, goes in ((3.0, True, True), (2.5, True, False), (2.5, False, True)):
         d.made += 1
-        event = i.Request(f"r{d.made}", "read", "free", "c", left, repeat=repeat)
+        event = interface.Request(f"r{d.made}", "read", "free", "c", left, repeat=repeat)
         assert bool(sends(d.give(event))) is goes
 
 
 def test_naming_a_customer_wrongly_fills_no_store_again():
-    other = i.Plan("other", rate=9.0, burst=90.0)
-    capped = i.Plan("capped", rate=3.0, burst=6.0, ceiling_rate=6.0, ceiling_depth=24.0)
+    other = interface.Plan("other", rate=9.0, burst=90.0)
+    capped = interface.Plan("capped", rate=3.0, burst=6.0, ceiling_rate=6.0, ceiling_depth=24.0)
     quotas = Quotas(-60.0)
     a = quotas.account(0.0, "c", capped, 2)
     quotas.take(a, 3.0, True)
@@ -127,14 +127,14 @@
     d = Driver()
     for left in (2.0, 3.9, 0.5):
         d.made += 1
-        d.give(i.Request(f"r{d.made}", "read", "free", "c", left, repeat=left == 3.9))
+        d.give(interface.Request(f"r{d.made}", "read", "free", "c", left, repeat=left == 3.9))
     for left, goes in ((2.0, True), (0.5, True), (3.9, True), (2.8, False), (1.0, False)):
         d.made += 1
-        assert bool(sends(d.give(i.Request(f"r{d.made}", "read", "free", "c", left, repeat=True)))) is goes
+        assert bool(sends(d.give(interface.Request(f"r{d.made}", "read", "free", "c", left, repeat=True)))) is goes
     for _ in range(100):
         d.ask(time_left=3.0)
     assert len(d.gateway.waits._waits["read"]) == 32  # and a wait that nobody shows any more is forgotten
-    assert not sends(d.give(i.Request("last", "read", "free", "c", 0.5, repeat=True)))
+    assert not sends(d.give(interface.Request("last", "read", "free", "c", 0.5, repeat=True)))
 
 
 def test_coarse_readings_of_a_short_meter_are_averaged():
@@ -176,7 +176,7 @@
         self.late, self._phase = 0.5, 0.5
 
 
-def calm(spread: int = 3, plan: i.Plan = PLAN, used: float = 0.1, seconds: int = 20):
+def calm(spread: int = 3, plan: interface.Plan = PLAN, used: float = 0.1, seconds: int = 20):
     """A customer that all gateways together have metered at so much of its rate, with none of it sent here."""
     quotas = Quotas(0.0)
     quotas.meter = Known()
@@ -196,18 +196,18 @@
 
 
 def test_a_part_runs_ahead_of_itself_while_the_whole_store_is_full():
-    dear = i.Plan("dear", rate=3.0, burst=12.0, excess_cost=1.2)
+    dear = interface.Plan("dear", rate=3.0, burst=12.0, excess_cost=1.2)
     quotas, a = calm(plan=dear)
     assert a.whole.level == 12.0 and a.depth == 4.0
     assert 4 < let_in(quotas, a) < 12  # the others may have sent on as much meanwhile
     assert let_in(*calm(plan=dear, used=3.0)) <= 4  # not where the whole is empty
-    cheap = i.Plan("cheap", rate=3.0, burst=12.0, excess_cost=0.2)
+    cheap = interface.Plan("cheap", rate=3.0, burst=12.0, excess_cost=0.2)
     assert let_in(*calm(plan=cheap)) > let_in(*calm(plan=dear))  # and further the less it costs to be wrong
     assert let_in(*calm(plan=cheap), pressed=True) == 4  # and not while the back end is pressed
 
 
 def test_a_part_never_runs_further_ahead_than_the_rest_of_the_whole_store():
-    quotas, a = calm(plan=i.Plan("free", rate=3.0, burst=12.0))
+    quotas, a = calm(plan=interface.Plan("free", rate=3.0, burst=12.0))
     a.whole.level = a.whole.burst = 99.0
     while quotas.inside(a, 1.0, False):
         quotas.take(a, 1.0, True)
@@ -229,13 +229,15 @@
 def test_what_planners_moved_is_not_run_ahead_of():
     # Parts that follow the traffic add up to the whole: running ahead of one of those would not.
     quotas, a = calm()
-    move(quotas, 19.0, i.Shares(1, 99.0, 99.0, changes=(i.Share(a.key, 0.2, 0.0, 3),)), {PLAN.name: PLAN})
+    move(
+        quotas, 19.0, interface.Shares(1, 99.0, 99.0, changes=(interface.Share(a.key, 0.2, 0.0, 3),)), {PLAN.name: PLAN}
+    )
     assert a.over != a.spread
     assert let_in(quotas, a) <= a.depth
 
 
 def test_places_at_once_follow_what_the_others_may_have_out():
-    plan = i.Plan("both", rate=4.0, burst=12.0, at_once=2.0, excess_cost=0.1)
+    plan = interface.Plan("both", rate=4.0, burst=12.0, at_once=2.0, excess_cost=0.1)
     quotas, a = calm(plan=plan)
     a.took, a.out = 0.1, 1
     assert quotas.inside(a, 1.0, False)  # its part has one place, but the others surely have none out
@@ -248,7 +250,7 @@
     a = Quotas(0.0).account(0.0, "c", plan, 3)
     a.out = 1
     assert not quotas.inside(a, 1.0, False)  # nothing is known of it
-    quotas, a = calm(plan=i.Plan("one", rate=4.0, burst=12.0, at_once=1.0))
+    quotas, a = calm(plan=interface.Plan("one", rate=4.0, burst=12.0, at_once=1.0))
     a.out = 1
     assert not quotas.inside(a, 1.0, False)
 
--- a/tests/decisions/test_recorded.py
+++ b/tests/decisions/test_recorded.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from micagate import Gateway, trace
-from micagate import interface as i
+from micagate import Gateway, interface, trace
 from rig import traces
 
 KEPT = sorted((Path(__file__).parent / "traces").glob("*.jsonl.gz"))
@@ -15,9 +14,9 @@
     """Whether two actions are the same; delays may differ by what a machine's last digit makes of them."""
     if type(made) is not type(kept):
         return False
-    if isinstance(made, i.SetTimer):
+    if isinstance(made, interface.SetTimer):
         return made.ref == kept.ref and made.delay == pytest.approx(kept.delay, rel=1e-9)
-    if isinstance(made, i.Refuse):
+    if isinstance(made, interface.Refuse):
         return made.request == kept.request and made.retry_after == pytest.approx(kept.retry_after, rel=1e-9)
     return made == kept
 
@@ -41,7 +40,17 @@
     for path in KEPT:
         for step in trace.read(traces.lines(str(path)))[3]:
             seen |= {type(step.event), *map(type, step.actions)}
-    assert seen >= {i.Request, i.Outcome, i.WorkerList, i.TimerFired, i.Send, i.Refuse, i.Fail, i.Cancel, i.SetTimer}
+    assert seen >= {
+        interface.Request,
+        interface.Outcome,
+        interface.WorkerList,
+        interface.TimerFired,
+        interface.Send,
+        interface.Refuse,
+        interface.Fail,
+        interface.Cancel,
+        interface.SetTimer,
+    }
 
 
 def test_a_changed_decision_is_found():
@@ -52,16 +61,16 @@
 
 def test_a_trace_is_read_back_as_it_was_written():
     written = []
-    settings = i.Settings(traces.CLASSES, traces.PLANS)
+    settings = interface.Settings(traces.CLASSES, traces.PLANS)
     recorder = trace.Recorder(Gateway(settings, 1, 0.0).handle, settings, 1, 0.0, written.append)
-    event = i.WorkerList((i.WorkerEntry("w", started=0.1 + 0.2),), whole=True)
+    event = interface.WorkerList((interface.WorkerEntry("w", started=0.1 + 0.2),), whole=True)
     recorder.handle(0.3, event)
-    recorder.handle(0.1 + 0.7, i.Request("r", "fetch", "solo", "c", 0.8))
+    recorder.handle(0.1 + 0.7, interface.Request("r", "fetch", "solo", "c", 0.8))
     read, seed, now, steps = trace.read(written)
     steps = list(steps)
     assert (read, seed, now) == (settings, 1, 0.0)
     assert [step.event for step in steps][0] == event and steps[1].now == 0.1 + 0.7
-    assert isinstance(steps[1].actions[0], i.Send)
+    assert isinstance(steps[1].actions[0], interface.Send)
 
 
 @pytest.mark.parametrize(
@@ -77,7 +86,7 @@
     with pytest.raises(trace.TraceError, match=where):
         trace.read(lines)
     good = []
-    settings = i.Settings(traces.CLASSES, traces.PLANS)
+    settings = interface.Settings(traces.CLASSES, traces.PLANS)
     trace.Recorder(print, settings, 1, 0.0, good.append)
     with pytest.raises(trace.TraceError, match="line 2"):
         list(trace.read([*good, '[0, {"": "Request"}, []]'])[3])
--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.metering import Meter
 from micagate.estimates.recent import Recent
 from micagate.fleet import Fleet
@@ -17,17 +17,19 @@
 from rig.capacity import Capacity
 from rig.cluster import Cluster
 
-READ = i.RequestClass("read", aim=1.0, deadline=4.0)
-SETTINGS = i.Settings((READ,), (i.Plan("p"),), gateways=40, cold_from=0.25, ramp_time=10.0, fall_time=3.0)
+READ = interface.RequestClass("read", aim=1.0, deadline=4.0)
+SETTINGS = interface.Settings(
+    (READ,), (interface.Plan("p"),), gateways=40, cold_from=0.25, ramp_time=10.0, fall_time=3.0
+)
 
 
 def gateway(number, entries):
     fleet = Fleet(replace(SETTINGS, number=number), Random(number), 0.0, Shares())
-    fleet.update(0.0, i.WorkerList(tuple(entries), whole=True))
+    fleet.update(0.0, interface.WorkerList(tuple(entries), whole=True))
     return fleet
 
 
-def serve(fleet, now, name, took=0.1, status=i.SUCCESS):
+def serve(fleet, now, name, took=0.1, status=interface.SUCCESS):
     fleet.sent(now, name, (name, int(now * 1000)), READ)
     fleet.returned(now + took, name, (name, int(now * 1000)), READ, status, took)
 
@@ -35,7 +37,7 @@
 def test_an_arc_holds_so_many_that_are_fit_and_tells_how_many_share_a_worker():
     arcs = Arcs(3, 40)
     for n in range(60):
-        arcs.add(Worker(i.WorkerEntry(f"w{n}"), 1.0, 0.0, n / 60))
+        arcs.add(Worker(interface.WorkerEntry(f"w{n}"), 1.0, 0.0, n / 60))
     assert arcs.keeps and arcs.met == arcs.few == NEAR and len(arcs.of(NEAR)) == NEAR
     arc = arcs.of(NEAR, lambda w: int(w.entry.worker[1:]) % 3 > 0)  # two in three
     assert arcs.fit == NEAR and len(arc) in (11, 12) and arcs.overlap() == len(arc) / 60
@@ -46,7 +48,7 @@
 
 @pytest.mark.parametrize("cold", [0, 36])
 def test_a_mass_replacement_leaves_every_gateway_as_many_warm_workers(cold):
-    entries = [i.WorkerEntry(f"w{n}", started=0.0 if n < cold else None) for n in range(60)]
+    entries = [interface.WorkerEntry(f"w{n}", started=0.0 if n < cold else None) for n in range(60)]
     for number in range(0, 40, 7):
         fleet = gateway(number, entries)
         fleet.pick(0.1, READ, set())
@@ -78,32 +80,32 @@
 
 
 def test_two_refusals_with_no_answer_between_put_others_first_and_an_answer_ends_that():
-    worker = Worker(i.WorkerEntry("w"), 1.0, 0.0, 0.0)
+    worker = Worker(interface.WorkerEntry("w"), 1.0, 0.0, 0.0)
     worker.turned_away(1.0)
     assert not worker.suspect()
     worker.turned_away(1.1)
     assert worker.suspect() and 1.1 < worker.until <= 1.1 + LONGEST_BACKOFF
-    fleet = gateway(0, [i.WorkerEntry(f"w{n}") for n in range(60)])
+    fleet = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
     name = fleet.arcs.ring[0].entry.worker
     for now in (1.0, 1.5):
-        serve(fleet, now, name, status=i.FULL)
+        serve(fleet, now, name, status=interface.FULL)
     assert not fleet._healthy(1.65, fleet.workers[name])
     serve(fleet, 3.0, name)
     assert fleet._healthy(3.2, fleet.workers[name])
 
 
 def test_one_error_puts_a_worker_out_for_who_meets_it_seldom_and_three_for_who_meets_it_often():
-    many = gateway(0, [i.WorkerEntry(f"w{n}") for n in range(60)])
+    many = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
     few = Fleet(replace(SETTINGS, gateways=3, number=0), Random(1), 0.0, Shares())
-    few.update(0.0, i.WorkerList(tuple(i.WorkerEntry(f"w{n}") for n in range(6)), whole=True))
+    few.update(0.0, interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(6)), whole=True))
     for fleet in (many, few):
-        serve(fleet, 1.0, "w1", status=i.FAILURE)
+        serve(fleet, 1.0, "w1", status=interface.FAILURE)
     assert not many._healthy(1.15, many.workers["w1"]) and not many.workers["w1"].until < 1.2
     assert few.workers["w1"].until == 0.0
 
 
 def test_what_is_out_for_long_tells_of_a_worker_before_its_answer():
-    fleet = gateway(0, [i.WorkerEntry(f"w{n}") for n in range(60)])
+    fleet = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
     one, other = (w.entry.worker for w in fleet.arcs.ring[:2])
     for step in range(10):
         for name in (one, other):
@@ -141,7 +143,7 @@
 
 
 def sliver(quotas, now, spread=30):
-    plan = i.Plan("p", rate=0.8, burst=4.0, excess_cost=0.8)
+    plan = interface.Plan("p", rate=0.8, burst=4.0, excess_cost=0.8)
     return quotas.account(now, "c", plan, spread)
 
 
@@ -171,7 +173,7 @@
 
 
 def test_the_parts_of_a_ceiling_follow_who_sends_and_add_up_to_the_whole():
-    plan = i.Plan("p", rate=4.0, burst=7.0, ceiling_rate=8.0, ceiling_depth=14.0, ceiling_slack=1.0)
+    plan = interface.Plan("p", rate=4.0, burst=7.0, ceiling_rate=8.0, ceiling_depth=14.0, ceiling_slack=1.0)
     shares, filled = [0.5, 0.2, 0.1, 0.1, 0.05, 0.03, 0.02], 0.0
     for share in shares:
         quotas = Quotas(0.0, period=0.5)
--- a/tests/decisions/test_streams.py
+++ b/tests/decisions/test_streams.py
@@ -1,16 +1,16 @@
 """Streamed answers."""
 
-from micagate import interface as i
+from micagate import interface
 from rig.driver import SETTINGS, Driver, sends
 
-STREAM = i.RequestClass("stream", aim=1.0, deadline=4.0, streaming=True)
+STREAM = interface.RequestClass("stream", aim=1.0, deadline=4.0, streaming=True)
 
 
 def test_a_begun_stream_is_past_its_deadline_and_gets_no_second_copy():
     d = Driver(classes=(*SETTINGS["classes"], STREAM))
     name, actions = d.ask("stream")
     (worker,) = sends(actions)
-    d.give(i.StreamStarted(name, 0, worker, 0.1), after=0.1)
+    d.give(interface.StreamStarted(name, 0, worker, 0.1), after=0.1)
     assert d.pass_time(10.0) == []  # no copy, no end of ours, no signal
     assert not d.gateway.throttle._signals
     assert d.answer(name, worker, took=10.1) == []
@@ -21,13 +21,13 @@
     d = Driver(classes=(*SETTINGS["classes"], STREAM))
     name, actions = d.ask("stream")
     (worker,) = sends(actions)
-    d.give(i.StreamStarted(name, 0, worker, 0.1), after=0.1)
-    assert d.answer(name, worker, i.BROKEN, terminal=True, took=2.0) == []
+    d.give(interface.StreamStarted(name, 0, worker, 0.1), after=0.1)
+    assert d.answer(name, worker, interface.BROKEN, terminal=True, took=2.0) == []
     assert not d.gateway._pending
 
 
 def test_a_stream_that_starts_late_is_a_signal():
     d = Driver(classes=(*SETTINGS["classes"], STREAM), max_attempts=1)
     name, actions = d.ask("stream")
-    d.give(i.StreamStarted(name, 0, sends(actions)[0], 1.5), after=1.5)
+    d.give(interface.StreamStarted(name, 0, sends(actions)[0], 1.5), after=1.5)
     assert len(d.gateway.throttle._signals) == 1
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.fleet import Fleet
 from rig.subsets import CLASSES, churn, fleet, imbalance, measure
 
@@ -54,7 +54,12 @@
     before, moved = subsets(all_of), 0.0
     for n in range(1000):
         for f in all_of:
-            f.update(0.06 * n, i.WorkerList((i.WorkerEntry(f"w{n}", state=i.DRAINING), i.WorkerEntry(f"x{n}"))))
+            f.update(
+                0.06 * n,
+                interface.WorkerList(
+                    (interface.WorkerEntry(f"w{n}", state=interface.DRAINING), interface.WorkerEntry(f"x{n}"))
+                ),
+            )
         if n % 20 == 19:
             after = subsets(all_of)
             step = churn(before, after)
@@ -69,7 +74,7 @@
     all_of = fleets(100, 20)
     before = subsets(all_of)
     for f in all_of:
-        f.update(1.0, i.WorkerList((i.WorkerEntry("w7", started=1.0),)))
+        f.update(1.0, interface.WorkerList((interface.WorkerEntry("w7", started=1.0),)))
     assert subsets(all_of) == before
 
 
@@ -79,7 +84,10 @@
     for step in range(600):
         name = f"w{random.randrange(1100)}"
         up = random.random() < 0.6
-        f.update(step / 100, i.WorkerList((i.WorkerEntry(name, state=i.HEALTHY if up else i.DRAINING),)))
+        f.update(
+            step / 100,
+            interface.WorkerList((interface.WorkerEntry(name, state=interface.HEALTHY if up else interface.DRAINING),)),
+        )
         (told.add if up else told.discard)(name)
         assert f.pick(step / 100, READ, set()) in told
     ranks = [worker.rank for worker in f.arcs.ring]
@@ -94,4 +102,4 @@
 
 def test_a_number_below_zero_is_turned_down():
     with pytest.raises(ValueError, match="number"):
-        i.Settings((READ,), (i.Plan("free"),), gateways=3, number=-1)
+        interface.Settings((READ,), (interface.Plan("free"),), gateways=3, number=-1)
--- a/tests/endings/test_client_disconnects.py
+++ b/tests/endings/test_client_disconnects.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from rig.driver import Driver, sends
 from rig.fake_servers import Client, Plugged, Worker, answer, hang, once, run, scene, tcp_states, until
 
@@ -107,17 +107,23 @@
 
 @pytest.mark.parametrize(
     ("status", "back"),
-    [(i.VOID, True), (i.UNREACHABLE, True), (i.FULL, False), (i.BROKEN, False), (i.CANCELLED, False)],
+    [
+        (interface.VOID, True),
+        (interface.UNREACHABLE, True),
+        (interface.FULL, False),
+        (interface.BROKEN, False),
+        (interface.CANCELLED, False),
+    ],
 )
 def test_units_and_ceiling_go_back_where_no_worker_had_the_request(status, back):
-    plan = i.Plan("free", rate=1.0, burst=8.0, ceiling_rate=2.0, ceiling_depth=16.0, ceiling_slack=1.0)
+    plan = interface.Plan("free", rate=1.0, burst=8.0, ceiling_rate=2.0, ceiling_depth=16.0, ceiling_slack=1.0)
     d = Driver(plans=(plan,))
     d.pass_time(60.0)
     name, actions = d.ask("write", plan="free", units=3.0, spread=1)
     (worker,) = sends(actions)
     account = d.gateway.out[name, 0].account
     before = account.store, account.ceiling, account.whole.level
-    d.give(i.Abandoned(name))
+    d.give(interface.Abandoned(name))
     d.answer(name, worker, status)
     more = 3.0 if back else 0.0
     assert account.store == pytest.approx(before[0] + more, abs=0.2)
--- a/tests/endings/test_hedges.py
+++ b/tests/endings/test_hedges.py
@@ -4,13 +4,15 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.shared_types import News
 from rig.fake_servers import Plugged, Worker, answer, run, until
 
-SETTINGS = i.Settings((i.RequestClass("read", 1.0, 4.0),), (i.Plan("free"),), max_attempts=2, second_copies=True)
+SETTINGS = interface.Settings(
+    (interface.RequestClass("read", 1.0, 4.0),), (interface.Plan("free"),), max_attempts=2, second_copies=True
+)
 
 
 class Module:
@@ -20,9 +22,11 @@
         self.outcomes = []
 
     def handle(self, now, event):
-        if isinstance(event, i.Outcome):
+        if isinstance(event, interface.Outcome):
             self.outcomes.append((event.worker, event.status, event.terminal))
-        return [i.Send("r", "here"), i.Send("r", "there")] if isinstance(event, i.Request) else []
+        return (
+            [interface.Send("r", "here"), interface.Send("r", "there")] if isinstance(event, interface.Request) else []
+        )
 
 
 @pytest.mark.parametrize("raw", [None, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 100_000])
@@ -48,7 +52,7 @@
 
         head = b"GET / HTTP/1.1\r\nX-Request-ID: r\r\n"
         dispatcher.submit(
-            i.Request("r", "read", "free", "c", 4.0),
+            interface.Request("r", "read", "free", "c", 4.0),
             head,
             b"",
             loop.time() + 4.0,
@@ -57,7 +61,7 @@
         )
         await until(lambda: replies and replies[0] == 200)
         await until(lambda: len(module.outcomes) == 2)
-        assert sorted(module.outcomes) == [("here", i.SUCCESS, True), ("there", i.VOID, True)]
+        assert sorted(module.outcomes) == [("here", interface.SUCCESS, True), ("there", interface.VOID, True)]
         await there.open()
         await until(lambda: there.coming == 0 and there.connections > 0)
         await until(lambda: len(workers._processes["there"].idle) == 1)  # it stands, for whoever is next
