--- a/tests/endings/test_late_responses.py
+++ b/tests/endings/test_late_responses.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from micagate import interface as i
+from micagate import interface
 from oliveloft.backend.attempt import Attempt
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.shared_types import News
@@ -41,7 +41,7 @@
                 )
             )
             await until(lambda: name in ends)
-            assert ends[name][0] == i.SUCCESS and ends[name][1].body == name.encode()
+            assert ends[name][0] == interface.SUCCESS and ends[name][1].body == name.encode()
 
         await ask("0")
         await ask("1")
--- a/tests/front/test_one_answer.py
+++ b/tests/front/test_one_answer.py
@@ -9,8 +9,7 @@
 
 import pytest
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from oliveloft.backend.attempt import Answer
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.front.http import Client, Server
@@ -18,9 +17,9 @@
 from rig.loops import SimulatedLoop, Wire
 from rig.simulation import Clock
 
-SETTINGS = i.Settings(
-    (i.RequestClass("read", 0.3, 1.0), i.RequestClass("write", 0.3, 1.0, i.SIDE_EFFECT)),
-    (i.Plan("free"), i.Plan("counted", rate=3.0, burst=6.0, at_once=2, excess_cost=1.0)),
+SETTINGS = interface.Settings(
+    (interface.RequestClass("read", 0.3, 1.0), interface.RequestClass("write", 0.3, 1.0, interface.SIDE_EFFECT)),
+    (interface.Plan("free"), interface.Plan("counted", rate=3.0, burst=6.0, at_once=2, excess_cost=1.0)),
     gateways=40,
     max_attempts=3,
     can_cancel=True,
@@ -42,11 +41,15 @@
         self.calls += 1
         if self.calls == self.fault:
             raise RuntimeError("the handler is closed")
-        how = self.random.choice((i.SUCCESS,) * 6 + (i.FULL, i.UNREACHABLE, i.FAILURE, i.BROKEN, ""))
+        how = self.random.choice(
+            (interface.SUCCESS,) * 6 + (interface.FULL, interface.UNREACHABLE, interface.FAILURE, interface.BROKEN, "")
+        )
         if how:
             answer = Answer()
             answer.status, answer.body = 200, b"ok"
-            self.clock.after(self.random.expovariate(8), attempt.finish, how, answer if how == i.SUCCESS else None)
+            self.clock.after(
+                self.random.expovariate(8), attempt.finish, how, answer if how == interface.SUCCESS else None
+            )
 
     def update(self, *_):
         pass
@@ -59,11 +62,13 @@
         self.clock, self.random = clock, random
 
     def call(self, count, heard):
-        status = self.random.choice((i.SUCCESS, i.SUCCESS, i.SUCCESS, i.FULL, i.TIMED_OUT))
+        status = self.random.choice(
+            (interface.SUCCESS, interface.SUCCESS, interface.SUCCESS, interface.FULL, interface.TIMED_OUT)
+        )
         wait = self.random.choice((0.0, 0.01, 0.05))
-        self.clock.after(wait, heard, i.Counted(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait))
-        if status == i.TIMED_OUT and self.random.random() < 0.5:
-            self.clock.after(wait + 0.1, heard, i.Counted(count.name, i.LATE, 1.0, wait + 0.1))
+        self.clock.after(wait, heard, interface.Counted(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait))
+        if status == interface.TIMED_OUT and self.random.random() < 0.5:
+            self.clock.after(wait + 0.1, heard, interface.Counted(count.name, interface.LATE, 1.0, wait + 0.1))
 
 
 class Case:
@@ -79,7 +84,9 @@
         )
         self.server = Server(self.loop, SETTINGS, 10.0, 4, 2, self.dispatcher)
         self.server.accepts = True
-        self.dispatcher.handle(i.WorkerList(tuple(i.WorkerEntry(f"w{n}") for n in range(3)), whole=True))
+        self.dispatcher.handle(
+            interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(3)), whole=True)
+        )
         self.server.able()
         self.wires = []  # with the ids that went whole over each, in order
         self.made = 0
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.invariants import AttemptState
 from oliveloft.backend.connection import Connection, EndpointIncarnation
 from oliveloft.backend.idle_timeout import Rest
@@ -100,11 +100,20 @@
 
 def test_the_module_forgets_what_is_over_whatever_became_of_it():
     d = Driver(second_copies=False)
-    ends = (i.SUCCESS, i.FAILURE, i.SPOILT, i.BROKEN, i.TIMED_OUT, i.UNREACHABLE, i.FULL, i.VOID)
+    ends = (
+        interface.SUCCESS,
+        interface.FAILURE,
+        interface.SPOILT,
+        interface.BROKEN,
+        interface.TIMED_OUT,
+        interface.UNREACHABLE,
+        interface.FULL,
+        interface.VOID,
+    )
     for n in range(400):
         name, actions = d.ask("read" if n % 2 else "write", customer=f"c{n}", after=0.05)
         if n % 7 == 0:
-            d.give(i.Abandoned(name))
+            d.give(interface.Abandoned(name))
         while went := sends(actions):
             actions = d.answer(name, went[0], ends[n % len(ends)], terminal=n % 7 == 0 or None)
     gateway = d.gateway
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -6,8 +6,7 @@
 import msgspec
 import pytest
 
-from micagate import Gateway, Plan, RequestClass, Settings
-from micagate import interface as i
+from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.handover import state
 from micagate.handover.fields import Damaged
 from micagate.interface import Maintain, Outcome, Refuse, Request, Send, WorkerEntry, WorkerList
@@ -15,7 +14,7 @@
 
 CLASSES = (
     RequestClass("read", aim=0.5, deadline=2.0),
-    RequestClass("write", aim=0.5, deadline=2.0, effect=i.SIDE_EFFECT),
+    RequestClass("write", aim=0.5, deadline=2.0, effect=interface.SIDE_EFFECT),
 )
 PLANS = (
     Plan("basic", rate=2.0, burst=6.0, excess_cost=1.0),
@@ -57,7 +56,9 @@
         name, number, worker, sent = attempt
         module.handle(
             self.now,
-            Outcome(name, number, worker, i.SUCCESS, terminal=True, took=self.now - sent, used=self.random.random()),
+            Outcome(
+                name, number, worker, interface.SUCCESS, terminal=True, took=self.now - sent, used=self.random.random()
+            ),
         )
 
 
@@ -142,7 +143,7 @@
         for action in taker.handle(2.2 + n / 50, Request(f"x{n}", "read", "basic", f"{n:016x}", 2.0)):
             if isinstance(action, Send):
                 seen.add(action.worker)
-                taker.handle(2.2 + n / 50, Outcome(f"x{n}", 0, action.worker, i.SUCCESS, True, 0.01))
+                taker.handle(2.2 + n / 50, Outcome(f"x{n}", 0, action.worker, interface.SUCCESS, True, 0.01))
             assert not isinstance(action, Refuse)
     assert seen == {"w1", "w2", "w3"}
     assert taker.fleet.workers["w1"].entry.started == 1.0
--- a/tests/operating/test_maintenance.py
+++ b/tests/operating/test_maintenance.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from micagate import Gateway, Plan, RequestClass, Settings
-from micagate import interface as i
+from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.interface import Maintain, Maintained, Outcome, Refuse, Request, Send, WorkerEntry, WorkerList
 from micagate.operating.maintenance import Maintenance
 
@@ -33,7 +32,7 @@
         name = f"r{self.count}"
         for action in self.module.handle(now, Request(name, "read", "basic", f"c{self.count}", time_left=4.0)):
             if isinstance(action, Send):
-                self.module.handle(now, Outcome(name, 0, action.worker, i.SUCCESS, terminal=True, took=0.01))
+                self.module.handle(now, Outcome(name, 0, action.worker, interface.SUCCESS, terminal=True, took=0.01))
                 return action.worker
             assert not isinstance(action, Refuse)
         return None
@@ -50,7 +49,7 @@
         WorkerList(entries("a")),
         WorkerList(entries("a", started=3.0)),
         WorkerList(entries("b"), whole=True),
-        WorkerList(entries("a", state=i.DRAINING)),
+        WorkerList(entries("a", state=interface.DRAINING)),
         WorkerList((), failed=True),
     ],
 )
@@ -76,7 +75,7 @@
     module = gateway("a", "b")
     assert not call(module, 1.0, "nobody", True) and not call(module, 1.0, "nobody", False)
     assert call(module, 1.0, "a", True)
-    module.handle(2.0, WorkerList((WorkerEntry("a", state=i.GONE),)))
+    module.handle(2.0, WorkerList((WorkerEntry("a", state=interface.GONE),)))
     assert call(module, 3.0, "a", True) and call(module, 3.0, "a", False)
     assert not call(module, 3.1, "a", False)
 
--- a/tests/planners/test_cold_workers.py
+++ b/tests/planners/test_cold_workers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.fleet import Fleet as Chooser
 from rig.capacity import Capacity
 from rig.cluster import Cluster as Forwarders
@@ -23,9 +23,9 @@
     """Twenty forwarders before two workers; `uneven`: five of them have most of the traffic."""
 
     def __init__(self, seed: int, rate: float, planner: bool, uneven: bool, paces: bool = False) -> None:
-        settings = i.Settings(
-            (i.RequestClass("fetch", aim=0.4, deadline=1.0),),
-            (i.Plan("free"),),
+        settings = interface.Settings(
+            (interface.RequestClass("fetch", aim=0.4, deadline=1.0),),
+            (interface.Plan("free"),),
             gateways=FORWARDERS,
             zone="a",
             max_attempts=3,
--- a/tests/planners/test_paces.py
+++ b/tests/planners/test_paces.py
@@ -8,7 +8,7 @@
 import math
 import statistics
 
-from micagate import interface as i
+from micagate import interface
 from micagate.planning.ledger import Ledger
 from micagate.resource_keys import worker_key
 from oliveloft.planners.status import gather, table
@@ -24,9 +24,9 @@
 
 
 def cluster(seed, paces, load=0.7, planner=True, skewed=False):
-    settings = i.Settings(
-        (i.RequestClass("fetch", aim=0.4, deadline=1.0),),
-        (i.Plan("free"),),
+    settings = interface.Settings(
+        (interface.RequestClass("fetch", aim=0.4, deadline=1.0),),
+        (interface.Plan("free"),),
         gateways=FORWARDERS,
         zone="a",
         max_attempts=3,
@@ -50,7 +50,7 @@
 
 def paces_known(made):
     """At how many forwarders the paces of all workers stand."""
-    now, klass = made.clock.now, i.RequestClass("fetch", aim=0.4, deadline=1.0)
+    now, klass = made.clock.now, interface.RequestClass("fetch", aim=0.4, deadline=1.0)
     return sum(gate.fleet._paced(now, klass, list(gate.fleet.workers.values())) is not None for gate in made.gates)
 
 
@@ -114,7 +114,7 @@
     made = cluster(1, True)
     made.clock.run(5.0)
     for _ in range(20):
-        made.holders[0].saw([i.Work(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
+        made.holders[0].saw([interface.Work(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
         made.clock.run(made.clock.now + 0.1)
     made.clock.run(made.clock.now + 6.0)  # it lies no more
     told = [made.ledger.workers(made.clock.now)[worker_key(f"w{n}")]["pace"] for n in (0, 7)]
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from micagate import interface as i
+from micagate import interface
 from micagate.planning.messages import Amount, Fill, Malformed, Need, Report, Word, Work, check
 from oliveloft.planners import wire
 from oliveloft.planners.config import load
@@ -59,7 +59,7 @@
         return ()
 
     def survey(self, works):
-        return i.Tallies(())
+        return interface.Tallies(())
 
 
 @contextlib.asynccontextmanager
--- a/tests/recovery/test_persisted_state.py
+++ b/tests/recovery/test_persisted_state.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.recovery import slow_start
 from micagate.recovery.persisted_state import ROWS, SPAN, Kept, Walk, account_row
 from micagate.recovery.recovery_policy import Case, Disk, End
@@ -11,11 +10,11 @@
 from rig.driver import SETTINGS, Driver, answered, workers
 from rig.fleet_restart import Return, by_second
 
-PLAN = i.Plan("metered", rate=3.0, burst=12.0)
+PLAN = interface.Plan("metered", rate=3.0, burst=12.0)
 
 
 def gateway(now=0.0, cold=None, count=4):
-    made = Gateway(i.Settings(**SETTINGS), 1, now)
+    made = Gateway(interface.Settings(**SETTINGS), 1, now)
     made.handle(now, workers(count, **({} if cold is None else {"started": cold})))
     return made
 
