--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -41,7 +41,7 @@
             if seed < 10:
                 unguarded += ceiling(seed, gateways, before=False) > HELD.ceiling_slack
     print(f"{schedules} schedules in {time.monotonic() - began:.1f} s; counting after spending broke {unguarded} of 30")
-    minute = HELD.ceiling_depth + 60 * HELD.ceiling_rate
+    minute = HELD.ceiling_capacity + 60 * HELD.ceiling_rate
     figures = {
         "answered_share": round(min(shares.values()), 3),
         "settles_s": settles,
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -39,8 +39,8 @@
     marked=False,
     wait=0.12,
     plans=(
-        interface.Plan("small", rate=1.6, burst=8.0, beyond_earns=0.1),
-        interface.Plan("middle", rate=5.3, burst=22.0, at_once=2.0, excess_cost=1.2),
+        interface.Plan("small", rate=1.6, burst=8.0, excess_revenue=0.1),
+        interface.Plan("middle", rate=5.3, burst=22.0, concurrency_limit=2.0, excess_cost=1.2),
         interface.Plan("large", rate=21.0, burst=42.0, excess_cost=0.6),
     ),
 )
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -53,8 +53,8 @@
     max_attempts=4,
     can_cancel=True,
     meter_period=0.5,
-    cold_from=FROM,
-    ramp_time=RAMP,
+    slow_start_min_factor=FROM,
+    slow_start_duration=RAMP,
     overload_factor=FACTOR,
     fall_time=FALL,
 )
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -150,7 +150,7 @@
     """So many customers handed over, both sides in one loop: how long it takes, and its longest step."""
     loop = asyncio.get_running_loop()
     plan = Plan("basic", rate=1.0, burst=4.0)
-    settings = Settings((RequestClass("read", aim=1.0, deadline=2.0),), (plan,), accounts=2 * customers)
+    settings = Settings((RequestClass("read", aim=1.0, deadline=2.0),), (plan,), max_accounts=2 * customers)
     giving, taking = Gateway(settings, 1, loop.time()), Gateway(settings, 2, loop.time())
     for n in range(customers):
         account = giving.quotas.account(loop.time(), f"{n:016x}", plan, 2)
@@ -252,8 +252,8 @@
             (Plan("basic"),),
             gateways=4,
             number=seed % 4,
-            cold_from=0.2,
-            ramp_time=8.0,
+            slow_start_min_factor=0.2,
+            slow_start_duration=8.0,
         )
         gateway = Gateway(settings, seed, 0.0)
         names = [f"w{n}" for n in range(60)]
@@ -263,9 +263,9 @@
         for n in range(3000):
             now += random.expovariate(300.0)
             if n == 1000:
-                gateway.handle(now, interface.Maintain(victim, True))
+                gateway.handle(now, interface.SetMaintenance(victim, True))
             if n == 1500:
-                gateway.handle(now, interface.Maintain(victim, False))
+                gateway.handle(now, interface.SetMaintenance(victim, False))
                 back = now
             while open_ and open_[0][0] <= now:
                 due, name, worker = open_.pop(0)
--- a/benchmarks/power_loss.py
+++ b/benchmarks/power_loss.py
@@ -238,8 +238,8 @@
 
 def walk(customers: int) -> Figures:
     """The longest step of the walk over so many customers, each of whom asks once in three seconds."""
-    plan = Plan("basic", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_depth=8.0)
-    gateway = Gateway(Settings((RequestClass("read", 1.0, 2.0),), (plan,), accounts=2 * customers), 1, 0.0)
+    plan = Plan("basic", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_capacity=8.0)
+    gateway = Gateway(Settings((RequestClass("read", 1.0, 2.0),), (plan,), max_accounts=2 * customers), 1, 0.0)
     for n in range(customers):
         gateway.quotas.account(0.0, f"{n:016x}", plan, 2)
     going, random, longest, now, rows = Walk(gateway, 0.0), Random(1), 0.0, 0.0, 0
--- a/benchmarks/quiet_quotas.py
+++ b/benchmarks/quiet_quotas.py
@@ -21,12 +21,12 @@
 MIX = (("calm", 0.62), ("full", 0.2), ("heavy", 0.1), ("spiky", 0.08))
 SIZED = (
     interface.Plan("one", rate=1.7, burst=7.0, excess_cost=0.8),
-    interface.Plan("two", rate=3.0, burst=14.0, beyond_earns=0.3),
+    interface.Plan("two", rate=3.0, burst=14.0, excess_revenue=0.3),
     interface.Plan("three", rate=12.0, burst=28.0, excess_cost=1.0, price=1.6),
 )
 CAPPED = (
     interface.Plan("one", rate=12.0, burst=48.0, excess_cost=0.8),
-    interface.Plan("two", rate=24.0, burst=110.0, beyond_earns=0.3),
+    interface.Plan("two", rate=24.0, burst=110.0, excess_revenue=0.3),
     interface.Plan(
         "three",
         rate=80.0,
@@ -34,7 +34,7 @@
         excess_cost=1.0,
         price=1.6,
         ceiling_rate=160.0,
-        ceiling_depth=340.0,
+        ceiling_capacity=340.0,
         ceiling_slack=34.0,
     ),
 )
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -24,7 +24,7 @@
 from rig.worker_selection import Field, served
 
 CLASSES = (interface.RequestClass("fetch", aim=0.4, deadline=1.0),)
-PLANS = (interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0),)
+PLANS = (interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0),)
 SIZES = (6, 60, 200, 1000)
 
 
--- a/micagate/accounts.py
+++ b/micagate/accounts.py
@@ -59,7 +59,7 @@
         self.slice = self.stood = self.floor  # now, and when the use was metered that is read now
         self.store, self.whole = self.depth, Whole(plan.rate, plan.burst, spread, now, UNSEEN * plan.burst)
         # An earlier life of this gateway may have spent its share of the ceiling: it fills from this birth.
-        self.ceiling = min(plan.ceiling_depth, (now - born) * plan.ceiling_rate) / spread
+        self.ceiling = min(plan.ceiling_capacity, (now - born) * plan.ceiling_rate) / spread
         self.at = self.tick = now
         self.asked = self.forecast = self.longer = self.top = 0.0
         self.use, self.read, self.readings, self.fresh = UNSEEN, now, 0, False
@@ -86,7 +86,7 @@
 
     def short(self) -> float:
         """Seconds until store and ceiling would be full again."""
-        rate, top = self.plan.ceiling_rate / self.spread, self.plan.ceiling_depth / self.spread
+        rate, top = self.plan.ceiling_rate / self.spread, self.plan.ceiling_capacity / self.spread
         return max(
             (top - self.ceiling) / rate if rate > 0 else 0.0,
             (self.depth - self.store) / self.floor if self.floor > 0 else 0.0,
--- a/micagate/adapter.py
+++ b/micagate/adapter.py
@@ -12,16 +12,16 @@
 from micagate.settings_keys import check
 
 MICRO = 1_000_000
-STATES = {"healthy": interface.HEALTHY, "cordoned": interface.DRAINING, "deregistered": interface.GONE}
+STATES = {"healthy": interface.HEALTHY, "cordoned": interface.DRAINING, "deregistered": interface.REMOVED}
 STATUSES = {
     "success": interface.SUCCESS,
     "failure": interface.FAILURE,
-    "overloaded": interface.FULL,
+    "overloaded": interface.OVERLOADED,
     "timed_out": interface.TIMED_OUT,
     "unreachable": interface.UNREACHABLE,
-    "broken": interface.BROKEN,
+    "broken": interface.CONNECTION_RESET,
     "withdrawn": interface.CANCELLED,
-    "void": interface.VOID,
+    "void": interface.NOT_SENT,
 }
 REPEAT = 2  # bit of `Options`
 
@@ -53,7 +53,7 @@
             group=c["Group"],
             window=c["WindowUs"] / MICRO,
             streaming=c["Streaming"],
-            late_worth=c["LateWorth"],
+            late_value=c["LateWorth"],
             importance=c.get("Importance", 1.0),
         )
         for c in facts["Classes"]
@@ -63,11 +63,11 @@
             name=p["Name"],
             rate=p["Refill"],
             burst=p["MostAtOnce"],
-            at_once=p["AtOnce"],
+            concurrency_limit=p["AtOnce"],
             ceiling_rate=p["HardRate"],
-            ceiling_depth=p["CapDepth"],
+            ceiling_capacity=p["CapDepth"],
             ceiling_slack=p["CapSlack"],
-            beyond_earns=p["BeyondEarns"],
+            excess_revenue=p["BeyondEarns"],
             excess_cost=p["ExcessCost"],
             price=p.get("Price", 1.0),
         )
@@ -82,13 +82,13 @@
         tick=facts["TickUs"] / MICRO,
         max_attempts=caps["MaxAttempts"],
         can_cancel=caps["Cancel"],
-        second_copies=caps["SecondCopies"],
-        max_retry_advice=caps["MaxRetryAfterUs"] / MICRO if caps["RetryAfter"] else 0.0,
-        counter_wait=family.get("CountLimitUs", 0) / MICRO if family.get("SharedCounter") else 0.0,
-        must_subscribe=facts["Discovery"] == "on_request",
+        hedging=caps["SecondCopies"],
+        max_retry_after=caps["MaxRetryAfterUs"] / MICRO if caps["RetryAfter"] else 0.0,
+        counter_timeout=family.get("CountLimitUs", 0) / MICRO if family.get("SharedCounter") else 0.0,
+        requires_subscription=facts["Discovery"] == "on_request",
         meter_period=family["MeterUs"] / MICRO,
-        cold_from=rules["ColdFrom"],
-        ramp_time=rules["RampTimeUs"] / MICRO,
+        slow_start_min_factor=rules["ColdFrom"],
+        slow_start_duration=rules["RampTimeUs"] / MICRO,
         overload_factor=rules["OverloadFactor"],
         fall_time=rules["FallUs"] / MICRO,
     )
@@ -122,9 +122,9 @@
         customer=v[3],
         time_left=seconds(v[4]),
         units=1.0 if v[5] == "-" else float(v[5]),
-        spread=1 if v[6] == "-" else int(v[6]),
-        first=0 if v[7] == "-" else int(v[7]),
-        repeat=bool(options & REPEAT),
+        gateway_count=1 if v[6] == "-" else int(v[6]),
+        first_gateway=0 if v[7] == "-" else int(v[7]),
+        client_retry=bool(options & REPEAT),
     )
 
 
@@ -149,7 +149,7 @@
     """SUM: Status Reading SlotName SpentUs."""
     if v[0] not in STATUSES:
         raise Malformed(f"unknown status {v[0]!r}")
-    return interface.Counted(
+    return interface.CounterResult(
         name=int(v[2]), status=STATUSES[v[0]], total=0.0 if v[1] == "-" else float(v[1]), took=seconds(v[3])
     )
 
@@ -161,7 +161,7 @@
     "RESPONSE": (9, response),
     "STARTED": (4, lambda v: interface.StreamStarted(v[0], int(v[3]), v[2], seconds(v[1]))),
     "WAKE": (1, lambda v: interface.TimerFired(int(v[0]))),
-    "ABANDONED": (1, lambda v: interface.Abandoned(v[0])),
+    "ABANDONED": (1, lambda v: interface.ClientDisconnected(v[0])),
     "SUM": (4, counted),
     "SAMPLED": (4, lambda v: None),
     "MAIL": (2, lambda v: None),
@@ -183,9 +183,9 @@
             return f"SET_TIMER {instance} {max(0, micros(delay))} {ref}"
         case interface.Subscribe():
             return f"SUBSCRIBE {instance} 1"
-        case interface.Count(name, amount, life):
+        case interface.CounterAdd(name, amount, life):
             return f"ADD {instance} {name} {amount:.7g} {micros(life)}"
-        case interface.Tallies() | interface.Freed() | interface.Maintained():
+        case interface.DemandReport() | interface.ReleasedLevels() | interface.MaintenanceResult():
             raise ValueError("the wire has no planners or operators")  # nor an event that calls for these
 
 
--- a/micagate/counting/budget.py
+++ b/micagate/counting/budget.py
@@ -43,7 +43,7 @@
 
     def heard(self, now: float, status: str, took: float) -> None:
         """An answer, or that none came in time."""
-        if status == interface.LATE:
+        if status == interface.LATE_RESPONSE:
             self._heard, self._unheard = now, 0
             return  # it counted when it had timed out
         bad = status != interface.SUCCESS or took > SLOW * self._wait
--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -58,13 +58,13 @@
         self._offset, self._number = offset, settings.number
         self._gateways = settings.gateways
         self._longest = max(c.deadline for c in settings.classes)
-        order = self._order(settings.plans) if settings.counter_wait else []
+        order = self._order(settings.plans) if settings.counter_timeout else []
         self.ranks = {name: rank for rank, name in enumerate(order)}
-        self.budget = Budget(now, ASKED * len(order), settings.counter_wait or 1.0, random)
+        self.budget = Budget(now, ASKED * len(order), settings.counter_timeout or 1.0, random)
         self._out: dict[int, deque[Call]] = {}  # by name: answers for one come in the order of the calls
         self._late: OrderedDict[int, deque[Call]] = OrderedDict()  # those that have timed out, in their order
         self._again: list[Call] = []
-        self.actions: list[interface.Count] = []  # asked for since they were last taken
+        self.actions: list[interface.CounterAdd] = []  # asked for since they were last taken
 
     def clock(self, offset: float) -> None:
         """The clock's offset to Unix time, as the process that this one follows has it: epochs stay the same."""
@@ -81,9 +81,11 @@
             p
             for p in plans
             if p.rate
-            and p.excess_cost > p.beyond_earns
+            and p.excess_cost > p.excess_revenue
             and (
-                not p.ceiling_rate or p.ceiling_rate >= 2 * p.rate and p.ceiling_depth + p.ceiling_slack >= 2 * p.burst
+                not p.ceiling_rate
+                or p.ceiling_rate >= 2 * p.rate
+                and p.ceiling_capacity + p.ceiling_slack >= 2 * p.burst
             )
         ]
         asked.sort(key=lambda p: -p.price * p.excess_cost)
@@ -100,7 +102,7 @@
         """
         rank = self.ranks.get(a.plan.name)
         # Guards against starving: with a counter that bears little most of such customers are left to these parts.
-        left = a.plan.ceiling_depth + a.plan.ceiling_slack - 2 * a.plan.burst
+        left = a.plan.ceiling_capacity + a.plan.ceiling_slack - 2 * a.plan.burst
         bears = not a.plan.ceiling_rate or left >= a.spread
         a.counted = rank is not None and bears and a.whole.sliver() and a.over == a.spread
         if rank is None or not a.counted:
@@ -121,12 +123,12 @@
 
     def ask(self, now: float, a: Account, units: float, request: str = "") -> None:
         """Count a try; one that waits for the answer names its request."""
-        amount = units / a.plan.rate + (PLACE if a.plan.at_once else 0.0)
+        amount = units / a.plan.rate + (PLACE if a.plan.concurrency_limit else 0.0)
         self._call(Call(TRY if request else KEPT, a, place(now, self._offset, a.key), amount, request))
 
     def leave(self, call: Call) -> None:
         """A try that was counted and sent on is out no more."""
-        if call.account.plan.at_once:
+        if call.account.plan.concurrency_limit:
             self._call(Call(BACK, call.account, call.where, -PLACE))
 
     def give_back(self, call: Call) -> None:
@@ -141,11 +143,11 @@
 
     def _call(self, call: Call) -> None:
         self._out.setdefault(call.where.name, deque()).append(call)
-        self.actions.append(interface.Count(call.where.name, call.amount, LIFE))
+        self.actions.append(interface.CounterAdd(call.where.name, call.amount, LIFE))
 
-    def answered(self, now: float, event: interface.Counted) -> Verdict | None:
+    def answered(self, now: float, event: interface.CounterResult) -> Verdict | None:
         """Follow an answer; the verdict on the try that waited for it, if one did."""
-        table = self._late if event.status == interface.LATE else self._out
+        table = self._late if event.status == interface.LATE_RESPONSE else self._out
         calls = table.get(event.name)
         if not calls:
             return None
@@ -158,7 +160,7 @@
             a.silent = None
         elif a.silent is None:
             a.silent = now
-        if event.status == interface.LATE and call.kind == TRY and not call.sent:
+        if event.status == interface.LATE_RESPONSE and call.kind == TRY and not call.sent:
             self.give_back(call)  # guards against places and units that stay taken for a try that was refused
         elif event.status == interface.TIMED_OUT:
             self._late.setdefault(event.name, deque()).append(call)
@@ -168,13 +170,13 @@
                 # Guards against an epoch whose first call was this one: nobody would hand over. Harm: it is done twice.
                 self._call(Call(OLD, a, before(call.where, self._offset, a.key), 0.0))
         elif (
-            event.status in (interface.FULL, interface.UNREACHABLE)
+            event.status in (interface.OVERLOADED, interface.UNREACHABLE)
             and call.kind == BACK
             and now < call.where.begin + LIFE
         ):
             self._again.append(call)
         if event.status != interface.SUCCESS:
-            return Verdict(call, None) if call.kind == TRY and event.status != interface.LATE else None
+            return Verdict(call, None) if call.kind == TRY and event.status != interface.LATE_RESPONSE else None
         self.retry()
         elapsed, depth = now - call.where.begin, a.plan.burst / a.plan.rate
         if call.kind == BACK:
@@ -203,7 +205,7 @@
             a.full_until = now + early
         if call.kind == KEPT:
             return None
-        inside = early <= 0 and (not taken or others - gone < int(a.plan.at_once))
+        inside = early <= 0 and (not taken or others - gone < int(a.plan.concurrency_limit))
         if not inside:
             self.give_back(call)
         return Verdict(call, inside)
--- a/micagate/demand_reports.py
+++ b/micagate/demand_reports.py
@@ -11,7 +11,7 @@
 from micagate.workload import Workload, sent_to
 
 
-def survey(now: float, fleet: Fleet, shares: Shares, gateways: int) -> list[interface.Tally]:
+def survey(now: float, fleet: Fleet, shares: Shares, gateways: int) -> list[interface.ResourceDemand]:
     """What was and would be sent to each worker since the last survey, and what it can do."""
     passed, fleet.surveyed_at = now - fleet.surveyed_at, now
     if fleet.brisk == math.inf or passed <= 0:
@@ -24,7 +24,7 @@
     return sent_to(standing, fleet.workload, fleet.rate(now) * passed, 1.0 / fleet.brisk, gateways)
 
 
-def works(now: float, fleet: Fleet) -> list[interface.Work]:
+def works(now: float, fleet: Fleet) -> list[interface.WorkerLoad]:
     """What became of the attempts at each worker since the last call; the first one begins the count."""
     fleet.workload = fleet.workload or Workload()
     return fleet.workload.take(now, {name: len(worker.out) for name, worker in fleet.workers.items()})
--- a/micagate/estimates/waits.py
+++ b/micagate/estimates/waits.py
@@ -30,7 +30,7 @@
         none seen while clients of one kind wait alike.
         """
         begun = klass.deadline - time_left
-        if klass.late_worth or begun <= klass.aim:
+        if klass.late_value or begun <= klass.aim:
             return False
         return all(abs(wait - time_left) > ALIKE * klass.deadline for wait in self._waits[klass.name])
 
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -176,9 +176,12 @@
     def warmth(self, now: float, worker: Worker) -> float | None:
         """The share of its capacity that a worker has which started lately; None for a warm one."""
         started = worker.entry.started
-        if started is None or now - started >= self._s.ramp_time:
+        if started is None or now - started >= self._s.slow_start_duration:
             return None
-        return self._s.cold_from + (1 - self._s.cold_from) * max(0.0, now - started) / self._s.ramp_time
+        return (
+            self._s.slow_start_min_factor
+            + (1 - self._s.slow_start_min_factor) * max(0.0, now - started) / self._s.slow_start_duration
+        )
 
     def _slow(self, now: float, worker: Worker) -> float:
         """A worker's answer time over the usual, and what tells of it sooner where it is met seldom."""
@@ -408,18 +411,18 @@
             self._leave(worker)
         if self.workload is not None:
             self.workload.ended(now, name, len(worker.out) + 1, klass.name, self.usual(klass), status, took)
-        if status == interface.FULL and self.arcs.keeps:
+        if status == interface.OVERLOADED and self.arcs.keeps:
             worker.turned_away(now)
-        if status in (interface.TIMED_OUT, interface.FULL, interface.UNREACHABLE):
+        if status in (interface.TIMED_OUT, interface.OVERLOADED, interface.UNREACHABLE):
             worker.held.append(now + self._s.fall_time)
-        if status in (interface.CANCELLED, interface.VOID):
+        if status in (interface.CANCELLED, interface.NOT_SENT):
             return
         if status != interface.UNREACHABLE:
             self.owed.pop(name, None)
-        if status in (interface.SUCCESS, interface.FULL, interface.FAILURE, interface.SPOILT):
+        if status in (interface.SUCCESS, interface.OVERLOADED, interface.FAILURE, interface.MALFORMED_RESPONSE):
             worker.heard, worker.latest = now, max(worker.latest, sent)
             self.silent(now, name, klass, lost=False)
-        elif status == interface.BROKEN:
+        elif status == interface.CONNECTION_RESET:
             self.silent(now, name, klass)
         if status == interface.SUCCESS:
             self._fade(now)
@@ -436,11 +439,13 @@
             if self._answers >= ENOUGH:
                 self.brisk = min(self.brisk, max(self._usual.values()))
         elif status not in (
-            interface.FULL,
-            interface.SPOILT,
+            interface.OVERLOADED,
+            interface.MALFORMED_RESPONSE,
         ):  # answers spoilt by chance tell nothing of a worker's health
             # Errors that come at once draw ever more; who meets a worker seldom sees too few in a row.
             sudden = (
-                status in (interface.UNREACHABLE, interface.BROKEN) or self.arcs.keeps and status == interface.FAILURE
+                status in (interface.UNREACHABLE, interface.CONNECTION_RESET)
+                or self.arcs.keeps
+                and status == interface.FAILURE
             )
             worker.failed(now, sudden, self.arcs.keeps)
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -42,7 +42,7 @@
         self._random = Random(seed)
         self.throttle = Throttle(now, len(settings.plans))
         shares = Shares()
-        self.quotas = Quotas(now, shares, settings.accounts, str(seed), settings.meter_period)
+        self.quotas = Quotas(now, shares, settings.max_accounts, str(seed), settings.meter_period)
         self.fleet = Fleet(settings, self._random, now, shares)
         self.maintenance = Maintenance()
         self.counting = Counting(settings, now, offset, self._random)
@@ -53,7 +53,7 @@
         self._refs = 0
         self.waits = Waits(settings.classes)
         self.budget = RETRY_DEPTH
-        self._subscribed = not settings.must_subscribe
+        self._subscribed = not settings.requires_subscription
         self._actions: list[interface.Action] = []
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
@@ -68,27 +68,29 @@
                 self._timer(now, *self._timers.pop(ref, ("", "", 0)))
             case interface.WorkerList():
                 self._list(now, event)
-            case interface.Whole(request, kept):
+            case interface.RequestComplete(request, kept):
                 self._whole(now, request, kept)
-            case interface.Maintain():
+            case interface.SetMaintenance():
                 self._maintain(now, event)
             case interface.StreamStarted(request, number):
                 self._started(now, request, number, event.took)
-            case interface.Abandoned(request):
+            case interface.ClientDisconnected(request):
                 self._held.pop(request, None)
                 self._over(request)
-            case interface.Ending(request):
+            case interface.StopRetrying(request):
                 self._ending(now, request)
-            case interface.Counted():
+            case interface.CounterResult():
                 if (verdict := self.counting.answered(now, event)) is not None:
                     self._counted(now, verdict)
-            case interface.Shares():
+            case interface.ShareUpdate():
                 if freed := move(self.quotas, now, event, self.plans):
-                    self._actions.append(interface.Freed(tuple(freed)))
-            case interface.Survey():
+                    self._actions.append(interface.ReleasedLevels(tuple(freed)))
+            case interface.DemandQuery():
                 seen = survey(now, self.fleet, self.quotas.shares, self._s.gateways)
                 tallies = (*self.quotas.survey(), *seen)
-                self._actions.append(interface.Tallies(tallies, tuple(works(now, self.fleet)) if event.works else ()))
+                self._actions.append(
+                    interface.DemandReport(tallies, tuple(works(now, self.fleet)) if event.include_workers else ())
+                )
         if self.counting.actions:
             self._actions += self.counting.actions
             self.counting.actions.clear()
@@ -98,39 +100,39 @@
         if not event.failed:
             self.fleet.update(now, self.maintenance.follow(event))
             self.throttle.among(self.fleet.arcs.met, self.fleet.arcs.keeps)
-        if self._s.must_subscribe and (event.failed or not self._subscribed):
+        if self._s.requires_subscription and (event.failed or not self._subscribed):
             self._subscribed = True
             if event.failed:  # ask again a little later: the list's service may be drowning
                 self._set_timer(1.0 + self._random.random(), "subscribe", "", 0)
             else:
                 self._actions.append(interface.Subscribe())
 
-    def _maintain(self, now: float, event: interface.Maintain) -> None:
-        change = self.maintenance.out if event.out else self.maintenance.online
+    def _maintain(self, now: float, event: interface.SetMaintenance) -> None:
+        change = self.maintenance.out if event.out_of_service else self.maintenance.online
         if (news := change(now, event.worker, event.since)) is not None:
             self.fleet.update(now, news)
-            if not event.out and news.entries:
+            if not event.out_of_service and news.entries:
                 self.fleet.owed[event.worker] = now
-        self._actions.append(interface.Maintained(event.worker, news is not None))
+        self._actions.append(interface.MaintenanceResult(event.worker, news is not None))
 
     def _request(self, now: float, event: interface.Request) -> None:
         klass, plan = self.classes.get(event.klass), self.plans.get(event.plan)
         if klass is None or plan is None or event.time_left <= self._s.tick:
             self._actions.append(interface.Refuse(event.request, 0.0))
             return
-        account = self.quotas.account(now, event.customer, plan, event.spread)
+        account = self.quotas.account(now, event.customer, plan, event.gateway_count)
         self.quotas.count(account, event)
         pending = Pending(event, klass, account, now + event.time_left)
-        counts = self.counting.counts(now, account, event.first)
+        counts = self.counting.counts(now, account, event.first_gateway)
         pending.inside = not (counts and now < account.full_until) and self.quotas.inside(
             account, event.units, self.throttle.on, counts
         )
-        if not event.repeat:
+        if not event.client_retry:
             self.waits.first(klass, event.time_left)
         self.budget = min(RETRY_DEPTH, self.budget + RETRY_SHARE)
         # Beyond the quota only where that pays, and never while the back end is pressed.
-        welcome = pending.inside or (plan.beyond_earns > plan.excess_cost and not self.throttle.on)
-        welcome = welcome and not (event.repeat and self.waits.too_late(klass, event.time_left))
+        welcome = pending.inside or (plan.excess_revenue > plan.excess_cost and not self.throttle.on)
+        welcome = welcome and not (event.client_retry and self.waits.too_late(klass, event.time_left))
         if not welcome or not counts and not self.quotas.allowed(account, event.units, not pending.inside):
             self._refuse(event.request, klass.aim)
             return
@@ -179,7 +181,7 @@
 
     def _refuse(self, request: str, aim: float) -> None:
         """Refuse with advice that leaves several tries before the aim: later ones spend units for nothing."""
-        advice = min(self._s.max_retry_advice, ADVICE * aim) * (0.5 + 0.5 * self._random.random())
+        advice = min(self._s.max_retry_after, ADVICE * aim) * (0.5 + 0.5 * self._random.random())
         self._actions.append(interface.Refuse(request, advice))
 
     def _send(self, now: float, pending: Pending, worker: str) -> None:
@@ -278,7 +280,7 @@
             return
         if pending.deadline - now < self.fleet.usual(pending.klass):
             return
-        if self._s.second_copies:
+        if self._s.hedging:
             self._again(now, pending)
         elif (
             pending.klass.effect == interface.PURE
@@ -316,8 +318,8 @@
         self.fleet.returned(now, attempt.worker, key, attempt.klass, event.status, event.took)
         if event.status == interface.SUCCESS and event.took > self._silence(attempt.klass):
             self.fleet.tails.came(now, event.took > attempt.klass.aim)
-        if event.status in (interface.FULL, interface.TIMED_OUT):
-            if not attempt.signalled and (event.status == interface.FULL or not self.fleet.recent.lossy()):
+        if event.status in (interface.OVERLOADED, interface.TIMED_OUT):
+            if not attempt.signalled and (event.status == interface.OVERLOADED or not self.fleet.recent.lossy()):
                 self.throttle.signal(now, attempt.worker, attempt.account.plan.name, attempt.sent)
         elif attempt.group.whole:  # else its time is that of whoever sends the request
             self._late(now, attempt, event.took)
@@ -334,14 +336,14 @@
                         self._actions.append(interface.Cancel(event.request, number))
         elif any(not other.status for other in pending.attempts):
             pass  # another copy is still out
-        elif not event.kept or now >= pending.deadline - self._s.tick or not self._again(now, pending):
+        elif not event.retryable or now >= pending.deadline - self._s.tick or not self._again(now, pending):
             self._end(pending)
         settle(self.counting, attempt.group, self._pending)
 
     def _again(self, now: float, pending: Pending) -> bool:
         """Send a further attempt if effect, group, window, budget and bucket allow."""
         klass, zone, cell = pending.klass, None, None
-        anchor = next((a for a in pending.attempts if a.status not in interface.NEVER_RAN), None)
+        anchor = next((a for a in pending.attempts if a.status not in interface.NOT_EXECUTED_STATUSES), None)
         if anchor is not None:
             if klass.effect == interface.SIDE_EFFECT:
                 return False
@@ -369,7 +371,7 @@
         name = pending.request.request
         if self._over(name) is None:
             return
-        if all(a.status in interface.NEVER_RAN for a in pending.attempts):
+        if all(a.status in interface.NOT_EXECUTED_STATUSES for a in pending.attempts):
             self._refuse(name, pending.klass.aim)
         else:
             self._actions.append(interface.Fail(name))
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -317,7 +317,7 @@
     if spends and number == 0:
         gateway.quotas.take(account, units, bool(row["inside"]))
     request = interface.Request(
-        name, klass.name, plan.name, customer, klass.deadline, units=units, spread=int(row["spread"])
+        name, klass.name, plan.name, customer, klass.deadline, units=units, gateway_count=int(row["spread"])
     )
     stub = Pending(request, klass, account, sent + klass.deadline)
     entry = worker.entry if worker is not None else interface.WorkerEntry(str(row["worker"]))
--- a/micagate/interface.py
+++ b/micagate/interface.py
@@ -7,19 +7,19 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 WRITTEN = "written"  # metadata of a field that traces write under another name than its own
 PURE, TOKEN, SIDE_EFFECT = "pure", "token", "side_effect"
 EFFECTS = (PURE, TOKEN, SIDE_EFFECT)
 GROUPS = ("all", "zone", "cell")
-HEALTHY, DRAINING, GONE = "healthy", "draining", "gone"
-SUCCESS, FAILURE, FULL, TIMED_OUT = "success", "failure", "full", "timed_out"
-UNREACHABLE, BROKEN, CANCELLED, VOID = "unreachable", "broken", "cancelled", "void"
-LATE = "late"  # the answer to a call that has timed out: what it says is so, but nobody waits for it
-SPOILT = "spoilt"  # an answer came that cannot be used: the worker lives, and the attempt may have run
-NEVER_RAN = frozenset({FULL, UNREACHABLE, VOID})
-NEVER_SENT = frozenset({UNREACHABLE, VOID})  # no worker had all of it: it took nothing of a quota
+HEALTHY, DRAINING, REMOVED = "healthy", "draining", "gone"
+SUCCESS, FAILURE, OVERLOADED, TIMED_OUT = "success", "failure", "full", "timed_out"
+UNREACHABLE, CONNECTION_RESET, CANCELLED, NOT_SENT = "unreachable", "broken", "cancelled", "void"
+LATE_RESPONSE = "late"  # the answer to a call that has timed out: what it says is so, but nobody waits for it
+MALFORMED_RESPONSE = "spoilt"  # an answer came that cannot be used: the worker lives, and the attempt may have run
+NOT_EXECUTED_STATUSES = frozenset({OVERLOADED, UNREACHABLE, NOT_SENT})
+NOT_DELIVERED_STATUSES = frozenset({UNREACHABLE, NOT_SENT})  # no worker had all of it: it took nothing of a quota
 
 
 def _check(owner: object, at_least: float, names: Iterable[str]) -> None:
@@ -40,11 +40,11 @@
     group: str = "all"
     window: float = 0.0
     streaming: bool = False
-    late_worth: float = 0.0
+    late_value: float = field(default=0.0, metadata={WRITTEN: "late_worth"})
     importance: float = 1.0  # worth of one request next to those of other classes
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("aim", "deadline", "window", "late_worth"))
+        _check(self, 0.0, ("aim", "deadline", "window", "late_value"))
         if not 0 < self.importance < float("inf"):
             raise ValueError(f"RequestClass.importance must be a number above 0, not {self.importance!r}")
         if self.effect not in EFFECTS:
@@ -60,11 +60,11 @@
     name: str
     rate: float = 0.0
     burst: float = 0.0
-    at_once: float = 0.0
+    concurrency_limit: float = field(default=0.0, metadata={WRITTEN: "at_once"})
     ceiling_rate: float = 0.0
-    ceiling_depth: float = 0.0
+    ceiling_capacity: float = field(default=0.0, metadata={WRITTEN: "ceiling_depth"})
     ceiling_slack: float = 0.0
-    beyond_earns: float = 0.0
+    excess_revenue: float = field(default=0.0, metadata={WRITTEN: "beyond_earns"})
     excess_cost: float = 0.0
     price: float = 1.0  # worth of its requests next to other plans'
 
@@ -75,11 +75,11 @@
             (
                 "rate",
                 "burst",
-                "at_once",
+                "concurrency_limit",
                 "ceiling_rate",
-                "ceiling_depth",
+                "ceiling_capacity",
                 "ceiling_slack",
-                "beyond_earns",
+                "excess_revenue",
                 "excess_cost",
                 "price",
             ),
@@ -98,25 +98,39 @@
     tick: float = 0.001
     max_attempts: int = 1
     can_cancel: bool = False
-    second_copies: bool = False
-    max_retry_advice: float = 0.0  # 0: clients hear no advice
-    must_subscribe: bool = False  # the list of workers comes only to those who ask
+    hedging: bool = field(default=False, metadata={WRITTEN: "second_copies"})
+    max_retry_after: float = field(default=0.0, metadata={WRITTEN: "max_retry_advice"})  # 0: clients hear no advice
+    requires_subscription: bool = field(
+        default=False, metadata={WRITTEN: "must_subscribe"}
+    )  # the list of workers comes only to those who ask
     meter_period: float = 0.0  # 0: no meter
-    cold_from: float = 1.0
-    ramp_time: float = 0.0
+    slow_start_min_factor: float = field(default=1.0, metadata={WRITTEN: "cold_from"})
+    slow_start_duration: float = field(default=0.0, metadata={WRITTEN: "ramp_time"})
     overload_factor: float = 2.0
     fall_time: float = 1.0
-    counter_wait: float = 0.0  # how long a call to the counter is waited for; 0: there is none
-    accounts: int = 30_000  # customers that are kept in memory, but for those with something out
+    counter_timeout: float = field(
+        default=0.0, metadata={WRITTEN: "counter_wait"}
+    )  # how long a call to the counter is waited for; 0: there is none
+    max_accounts: int = field(
+        default=30_000, metadata={WRITTEN: "accounts"}
+    )  # customers that are kept in memory, but for those with something out
 
     def __post_init__(self) -> None:
-        _check(self, 1, ("gateways", "max_attempts", "overload_factor", "accounts"))
+        _check(self, 1, ("gateways", "max_attempts", "overload_factor", "max_accounts"))
         if self.number is not None:
             _check(self, 0, ("number",))
         _check(
             self,
             0.0,
-            ("tick", "max_retry_advice", "meter_period", "counter_wait", "cold_from", "ramp_time", "fall_time"),
+            (
+                "tick",
+                "max_retry_after",
+                "meter_period",
+                "counter_timeout",
+                "slow_start_min_factor",
+                "slow_start_duration",
+                "fall_time",
+            ),
         )
         for name in ("classes", "plans"):
             names = [entry.name for entry in getattr(self, name)]
@@ -160,14 +174,18 @@
     customer: str
     time_left: float
     units: float = 1.0
-    spread: int = 1
-    repeat: bool = False
-    first: int = 0  # the number of the first gateway that may see them; the others follow it, counted round
-    whole: bool = True  # its last byte has come; else a `Whole` follows, and its time counts from there
+    gateway_count: int = field(default=1, metadata={WRITTEN: "spread"})
+    client_retry: bool = field(default=False, metadata={WRITTEN: "repeat"})
+    first_gateway: int = field(
+        default=0, metadata={WRITTEN: "first"}
+    )  # the number of the first gateway that may see them; the others follow it, counted round
+    complete: bool = field(
+        default=True, metadata={WRITTEN: "whole"}
+    )  # its last byte has come; else a `RequestComplete` follows, and its time counts from there
 
     def __post_init__(self) -> None:
-        _check(self, 1, ("spread",))
-        _check(self, 0.0, ("units", "first"))
+        _check(self, 1, ("gateway_count",))
+        _check(self, 0.0, ("units", "first_gateway"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,7 +201,9 @@
     used: float | None = None
     final_units: float = 0.0
     used_age: float = 0.0  # how long ago `used` was told: an answer may take seconds to come whole
-    kept: bool = True  # what a further attempt would need of the request is still there
+    retryable: bool = field(
+        default=True, metadata={WRITTEN: "kept"}
+    )  # what a further attempt would need of the request is still there
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,14 +217,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class RequestComplete:
     """The last byte of a request has come, and gone on to the attempt that is out, if one is.
 
     `kept`: so has what a further attempt would need.
     """
 
     request: str
-    kept: bool = True
+    retryable: bool = field(default=True, metadata={WRITTEN: "kept"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -215,14 +235,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Abandoned:
+class ClientDisconnected:
     """The client has left; nothing more is owed."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class StopRetrying:
     """The gateway ends before the request's time: it is not sent on any more, and its outcomes are its end."""
 
     request: str
@@ -234,7 +254,7 @@
 
     request: str
     worker: str
-    within: float = 0.0
+    timeout: float = field(default=0.0, metadata={WRITTEN: "within"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -278,20 +298,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
-    """Add `amount` to the number `name` that the counter keeps for all gateways; answered with a `Counted`.
+class CounterAdd:
+    """Add `amount` to the number `name` that the counter keeps for all gateways; answered with a `CounterResult`.
 
     `life` is how long a new name is kept, seconds. Answers for one name come in the order of the calls.
     """
 
     name: int
     amount: float
-    life: float
+    ttl: float = field(metadata={WRITTEN: "life"})
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """The answer to a `Count`: the total after it with `success`; `full` and `unreachable`: nothing was added.
+class CounterResult:
+    """The answer to a `CounterAdd`: the total after it with `success`; `full` and `unreachable`: nothing was added.
 
     `timed_out`: it may have been added, or may yet be; where it is told after that, by a second answer with `late`.
     `took` is how long it took.
@@ -304,7 +324,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class ResourceShare:
     """Of the thing `key`, so much of this gateway's part is lent, and so much is borrowed; 1 is the whole.
 
     `count` gateways share it.
@@ -313,72 +333,74 @@
     key: str
     lent: float = 0.0
     borrowed: float = 0.0
-    count: int = 1
+    gateway_count: int = field(default=1, metadata={WRITTEN: "count"})
 
     def __post_init__(self) -> None:
         _check(self, 0.0, ("lent", "borrowed"))
-        _check(self, 1, ("count",))
+        _check(self, 1, ("gateway_count",))
 
 
 @dataclass(frozen=True, slots=True)
-class Fill:
+class BucketLevels:
     """What is in the stores of a thing, of quota and of ceiling, that moves with a share; 1 is a whole
     burst."""
 
     key: str
-    store: float = 0.0
+    quota: float = field(default=0.0, metadata={WRITTEN: "store"})
     ceiling: float = 0.0
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("store", "ceiling"))
+        _check(self, 0.0, ("quota", "ceiling"))
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class WorkerCapacity:
     """What a worker can do for all gateways together, answers a second; 0: nothing is known of it any more."""
 
     key: str
-    pace: float
+    capacity: float = field(metadata={WRITTEN: "pace"})
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("pace",))
+        _check(self, 0.0, ("capacity",))
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class ShareUpdate:
     """A session with a planner: the ends of all it lent and borrowed, and what of that has changed.
 
     Paces hold as long as what is borrowed.
 
-    It is answered with a `Freed` where that takes something out of stores. `over` says that both ends are
+    It is answered with a `ReleasedLevels` where that takes something out of stores. `over` says that both ends are
     past: it may be forgotten.
     """
 
     session: int
     lent_until: float
     borrowed_until: float
-    changes: tuple[Share, ...] = ()
-    fills: tuple[Fill, ...] = ()  # what came with shares: it goes into the stores, once
-    over: bool = False
-    paces: tuple[Pace, ...] = ()
+    changes: tuple[ResourceShare, ...] = ()
+    bucket_levels: tuple[BucketLevels, ...] = field(
+        default=(), metadata={WRITTEN: "fills"}
+    )  # what came with shares: it goes into the stores, once
+    expired: bool = field(default=False, metadata={WRITTEN: "over"})
+    capacities: tuple[WorkerCapacity, ...] = field(default=(), metadata={WRITTEN: "paces"})
 
 
 @dataclass(frozen=True, slots=True)
-class Freed:
-    """What was in the stores of the shares that were given away by a `Shares`, and is in them no more."""
+class ReleasedLevels:
+    """What was in the stores of the shares that were given away by a `ShareUpdate`, and is in them no more."""
 
-    fills: tuple[Fill, ...]
+    bucket_levels: tuple[BucketLevels, ...] = field(metadata={WRITTEN: "fills"})
 
 
 @dataclass(frozen=True, slots=True)
-class Survey:
-    """Asks for a `Tallies`; the first one begins the counting, the first with `works` that of workers."""
+class DemandQuery:
+    """Asks for a `DemandReport`; the first one begins the counting, the first with `works` that of workers."""
 
-    works: bool = False
+    include_workers: bool = field(default=False, metadata={WRITTEN: "works"})
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
+class ResourceDemand:
     """What was asked of a thing since the last survey: units, the most out at once, and by which set.
 
     `whole` is what one second may take of the whole thing, `burst` what may come at once, `open` the limit on
@@ -386,17 +408,17 @@
     """
 
     key: str
-    first: int
-    count: int
-    asked: float
-    most: float
-    whole: float
+    first_gateway: int = field(metadata={WRITTEN: "first"})
+    gateway_count: int = field(metadata={WRITTEN: "count"})
+    requested_units: float = field(metadata={WRITTEN: "asked"})
+    peak_in_flight: float = field(metadata={WRITTEN: "most"})
+    total_rate: float = field(metadata={WRITTEN: "whole"})
     burst: float
-    open: float
+    concurrency_limit: float = field(metadata={WRITTEN: "open"})
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class WorkerLoad:
     """What became of the attempts at a worker since the last survey.
 
     `answered` were served, and took `load` times the least that their classes usually take; `refused` were
@@ -414,45 +436,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tallies:
-    """The answer to a `Survey`: the things that anything was asked of since the last one."""
+class DemandReport:
+    """The answer to a `DemandQuery`: the things that anything was asked of since the last one."""
 
-    tallies: tuple[Tally, ...]
-    works: tuple[Work, ...] = ()
+    resources: tuple[ResourceDemand, ...] = field(metadata={WRITTEN: "tallies"})
+    workers: tuple[WorkerLoad, ...] = field(default=(), metadata={WRITTEN: "works"})
 
 
 @dataclass(frozen=True, slots=True)
-class Maintain:
-    """An operator takes a worker out, or puts it back; answered with a `Maintained`.
+class SetMaintenance:
+    """An operator takes a worker out, or puts it back; answered with a `MaintenanceResult`.
 
     With `since` it was so said elsewhere, at that time, and holds for a worker that is not known here yet.
     """
 
     worker: str
-    out: bool
+    out_of_service: bool = field(metadata={WRITTEN: "out"})
     since: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Maintained:
-    """The answer to a `Maintain`: whether the worker is known. It holds from now on, whatever lists say."""
+class MaintenanceResult:
+    """The answer to a `SetMaintenance`: whether the worker is known. It holds from now on, whatever lists say."""
 
     worker: str
     known: bool
 
 
 Event = (
-    Whole
+    RequestComplete
     | WorkerList
-    | Maintain
+    | SetMaintenance
     | Request
     | Outcome
     | StreamStarted
     | TimerFired
-    | Abandoned
-    | Ending
-    | Shares
-    | Survey
-    | Counted
+    | ClientDisconnected
+    | StopRetrying
+    | ShareUpdate
+    | DemandQuery
+    | CounterResult
+)
+Action = (
+    MaintenanceResult
+    | Send
+    | Refuse
+    | Fail
+    | Cancel
+    | SetTimer
+    | Subscribe
+    | DemandReport
+    | ReleasedLevels
+    | CounterAdd
 )
-Action = Maintained | Send | Refuse | Fail | Cancel | SetTimer | Subscribe | Tallies | Freed | Count
--- a/micagate/invariants.py
+++ b/micagate/invariants.py
@@ -69,7 +69,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether an endpoint may have run it, or may yet."""
-        return self.status not in interface.NEVER_RAN
+        return self.status not in interface.NOT_EXECUTED_STATUSES
 
 
 @dataclass(frozen=True, slots=True)
--- a/micagate/operating/maintenance.py
+++ b/micagate/operating/maintenance.py
@@ -33,7 +33,7 @@
             named = {entry.worker for entry in news.entries}
             self.back = {name: times for name, times in self.back.items() if name in named}
         for entry in news.entries:
-            if entry.state == interface.GONE:
+            if entry.state == interface.REMOVED:
                 self.told.pop(entry.worker, None)
                 self.back.pop(entry.worker, None)
             else:
@@ -81,7 +81,7 @@
     def _seen(self, entry: interface.WorkerEntry) -> interface.WorkerEntry:
         if entry.worker in self.banned:
             return replace(entry, state=interface.DRAINING) if entry.state == interface.HEALTHY else entry
-        if (times := self.back.get(entry.worker)) is None or entry.state == interface.GONE:
+        if (times := self.back.get(entry.worker)) is None or entry.state == interface.REMOVED:
             return entry
         since, came = times
         if entry.started is not None and entry.started >= since:
--- a/micagate/pending.py
+++ b/micagate/pending.py
@@ -76,8 +76,8 @@
         self.inside, self.streaming = True, False
         self.attempts: list[Attempt] = []
         self.timer = 0
-        self.whole, self.kept = request.whole, True
-        if not request.whole:
+        self.whole, self.kept = request.complete, True
+        if not request.complete:
             self.deadline = math.inf  # its time has not begun
         self.call: Call | None = None  # that counted it
         self.counted = False  # its units stand on the counter, and not in the part of the ceiling here
--- a/micagate/planning/demand.py
+++ b/micagate/planning/demand.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterable, Iterator
 
-from micagate.interface import Tally
+from micagate.interface import ResourceDemand
 from micagate.planning.holder import GONE, Demand
 
 RISE = 0.4  # seconds over which a rate that rises is averaged
@@ -18,10 +18,10 @@
 class _Seen:
     __slots__ = ("first", "count", "rate", "peak", "whole", "burst", "open", "most")
 
-    def __init__(self, tally: Tally) -> None:
-        self.first, self.count = tally.first, tally.count
+    def __init__(self, tally: ResourceDemand) -> None:
+        self.first, self.count = tally.first_gateway, tally.gateway_count
         self.rate = self.peak = self.most = 0.0
-        self.whole, self.burst, self.open = tally.whole, tally.burst, tally.open
+        self.whole, self.burst, self.open = tally.total_rate, tally.burst, tally.concurrency_limit
 
 
 class Demands:
@@ -34,32 +34,32 @@
     def __len__(self) -> int:
         return len(self._seen)
 
-    def survey(self, now: float, tallies: Iterable[Tally]) -> list[Demand]:
+    def survey(self, now: float, tallies: Iterable[ResourceDemand]) -> list[Demand]:
         """Take in the tallies of the time since the last survey; the needs of all that is known."""
         passed = max(1e-3, now - self._at)
         self._at = now
         rise = -math.expm1(-passed / RISE)
-        asked: dict[str, Tally] = {}
+        asked: dict[str, ResourceDemand] = {}
         for tally in tallies:
             asked[tally.key] = tally
             if tally.key not in self._seen:
                 self._seen[tally.key] = _Seen(tally)
         return list(self._demands(passed, rise, asked))
 
-    def _demands(self, passed: float, rise: float, asked: dict[str, Tally]) -> Iterator[Demand]:
+    def _demands(self, passed: float, rise: float, asked: dict[str, ResourceDemand]) -> Iterator[Demand]:
         for key, seen in list(self._seen.items()):
             tally = asked.get(key)
-            rate = tally.asked / passed if tally is not None else 0.0
+            rate = tally.requested_units / passed if tally is not None else 0.0
             if tally is not None:
-                seen.first, seen.count = tally.first, tally.count
-                seen.whole, seen.burst, seen.open = tally.whole, tally.burst, tally.open
+                seen.first, seen.count = tally.first_gateway, tally.gateway_count
+                seen.whole, seen.burst, seen.open = tally.total_rate, tally.burst, tally.concurrency_limit
             span = min(LONGEST, max(SHORTEST, FEW / max(seen.rate, 1e-6)))
             fall = -math.expm1(-passed / span)
             seen.rate += (rate - seen.rate) * (rise if rate > seen.rate else fall)
             # What came within one survey may have come at once: the store's burst has to take it.
-            came = tally.asked if tally is not None else 0.0
+            came = tally.requested_units if tally is not None else 0.0
             seen.peak += (came - seen.peak) * (1.0 if came > seen.peak else fall)
-            most = tally.most if tally is not None else 0.0
+            most = tally.peak_in_flight if tally is not None else 0.0
             seen.most += (most - seen.most) * (1.0 if most > seen.most else fall)
             need = 0.0
             if seen.whole > 0:
--- a/micagate/planning/holder.py
+++ b/micagate/planning/holder.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from micagate import interface
-from micagate.interface import Share, Shares
+from micagate.interface import ResourceShare, ShareUpdate
 from micagate.planning.allocate import TINY
 from micagate.planning.messages import AMOUNTS, MOST, Amount, Call, Fill, Need, Report, Word, Work
 from micagate.planning.terms import Terms
@@ -200,7 +200,7 @@
                 if moved or abs(need - before) >= max(LEAST, CHANGE * before):
                     session.due[demand.key] = None
 
-    def saw(self, works: Iterable[interface.Work]) -> None:
+    def saw(self, works: Iterable[interface.WorkerLoad]) -> None:
         """Take in what was seen of workers since the last time; what no planner asks for is forgotten."""
         for work in works:
             session = self._current.get(self._shard_of(work.key))
@@ -347,7 +347,7 @@
         borrowed = sum(s.borrowed.get(key, 0.0) for s in self._sessions if now < s.borrowed_until)
         return max(0.0, 1.0 / count - self._lent(now, key)) + borrowed
 
-    def moves(self, now: float) -> list[Shares]:
+    def moves(self, now: float) -> list[ShareUpdate]:
         """What has changed since the last call, as the module is to hear it before any report goes out.
 
         The end of what is lent is told a little late, so that reports within the next interval need no news.
@@ -362,16 +362,18 @@
             state = lent_until, session.borrowed_until
             if session.touched or session.fills or session.paces or state != taken:
                 changes = tuple(
-                    Share(key, session.lent.get(key, 0.0), session.borrowed.get(key, 0.0), self._count(session, key))
+                    ResourceShare(
+                        key, session.lent.get(key, 0.0), session.borrowed.get(key, 0.0), self._count(session, key)
+                    )
                     for key in session.touched
                 )
-                fills = tuple(interface.Fill(fill.key, fill.store, fill.ceiling) for fill in session.fills)
-                paces = tuple(interface.Pace(key, pace) for key, pace in session.paces.items())
+                fills = tuple(interface.BucketLevels(fill.key, fill.store, fill.ceiling) for fill in session.fills)
+                paces = tuple(interface.WorkerCapacity(key, pace) for key, pace in session.paces.items())
                 session.touched.clear()
                 session.fills.clear()
                 session.paces.clear()
                 session.taken = state
-                made.append(Shares(session.number, *state, changes, fills, paces=paces))
+                made.append(ShareUpdate(session.number, *state, changes, fills, capacities=paces))
         return made
 
     def _count(self, session: Session, key: str) -> int:
@@ -379,22 +381,22 @@
         known = self._needs.get(key)
         return known.count if known is not None else session.counts.get(key, 1)
 
-    def freed(self, number: int, fills: Iterable[interface.Fill]) -> None:
+    def freed(self, number: int, fills: Iterable[interface.BucketLevels]) -> None:
         """What a session's moves have taken out of stores: the planner is told, with what is lent."""
         for session in self._sessions:
             if session.number == number and session.live:
                 session.lefts += [
-                    Fill(fill.key, min(1.0, fill.store), min(1.0, fill.ceiling))
+                    Fill(fill.key, min(1.0, fill.quota), min(1.0, fill.ceiling))
                     for fill in fills
-                    if fill.store > TINY or fill.ceiling > TINY
+                    if fill.quota > TINY or fill.ceiling > TINY
                 ]
 
-    def ended(self, now: float) -> list[Shares]:
+    def ended(self, now: float) -> list[ShareUpdate]:
         """Forget the sessions of which nothing matters any more, and say so to the module."""
         over = [s for s in self._sessions if s.over(now)]
         if over:
             self._sessions = [s for s in self._sessions if s not in over]
-        return [Shares(s.number, s.lent_until, s.borrowed_until, over=True) for s in over if s.taken]
+        return [ShareUpdate(s.number, s.lent_until, s.borrowed_until, expired=True) for s in over if s.taken]
 
     def sessions(self) -> list[Session]:
         """All sessions that still matter."""
--- a/micagate/planning/messages.py
+++ b/micagate/planning/messages.py
@@ -47,7 +47,7 @@
 
 
 class Work(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a forwarder's attempts at a worker since its last report; `micagate.interface.Work`."""
+    """What became of a forwarder's attempts at a worker since its last report; `micagate.interface.WorkerLoad`."""
 
     key: str
     answered: int
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -68,7 +68,7 @@
                 if entry is None or not over and now - entry.at < IDLE:
                     break
                 self.refill(now, entry)
-                short = not over and entry.ceiling < entry.plan.ceiling_depth / entry.span
+                short = not over and entry.ceiling < entry.plan.ceiling_capacity / entry.span
                 # What is lent or borrowed fills elsewhere: debts couldn't tell.
                 if entry.out or short or entry.over != entry.spread:
                     queue.move_to_end(entry.key)
@@ -100,7 +100,7 @@
         part = 0.0 if a.counted else 1 / a.over
         if a.over == a.spread and 0 < a.plan.ceiling_rate * part < LEAST and self.meter.period:
             part += MOVED * (a.whole.share() - part)
-        a.ceiling = min(a.plan.ceiling_depth / a.span, a.ceiling + elapsed * a.plan.ceiling_rate * part)
+        a.ceiling = min(a.plan.ceiling_capacity / a.span, a.ceiling + elapsed * a.plan.ceiling_rate * part)
         seconds = int(now - a.tick)
         if seconds:
             a.tick += seconds
@@ -125,18 +125,18 @@
         quota would take the place of what is inside. A request larger than a whole part goes when that part
         is full, or it never would.
         """
-        whole, cost = a.whole, max(0.0, a.plan.excess_cost - a.plan.beyond_earns)
+        whole, cost = a.whole, max(0.0, a.plan.excess_cost - a.plan.excess_revenue)
         sure = cost / (cost + 1 - RETURNS)
         a.top = max(a.top, units)
         thin = whole.sliver()  # then the estimate of the whole decides alone: the part says little
         known = (thin or whole.heard(a.at) and not pressed) and a.over == a.spread
-        if a.plan.at_once:
-            if a.out >= max(1, int(a.plan.at_once)):
+        if a.plan.concurrency_limit:
+            if a.out >= max(1, int(a.plan.concurrency_limit)):
                 return False
             if (
                 not counted
-                and (thin or a.out >= max(1, int(a.plan.at_once / a.over)))
-                and (not known or whole.places(a.out, a.took or self.took, int(a.plan.at_once)) < sure)
+                and (thin or a.out >= max(1, int(a.plan.concurrency_limit / a.over)))
+                and (not known or whole.places(a.out, a.took or self.took, int(a.plan.concurrency_limit)) < sure)
             ):
                 return False
         if not a.plan.rate or counted:
@@ -156,18 +156,18 @@
             return True
         if self.marks is not None and not self.marks.lets(a, units):
             return False
-        return a.ceiling >= units + (a.plan.ceiling_depth / a.span / 2 if beyond else 0.0)
+        return a.ceiling >= units + (a.plan.ceiling_capacity / a.span / 2 if beyond else 0.0)
 
     def count(self, a: Account, request: interface.Request) -> None:
         """Count what is asked, for the next survey."""
-        a.asked += 0.0 if request.repeat else request.units  # a repeat asks for nothing more
+        a.asked += 0.0 if request.client_retry else request.units  # a repeat asks for nothing more
         if self._surveyed is not None:
-            a.first = request.first
+            a.first = request.first_gateway
             a.tally += request.units
             a.most = max(a.most, a.out + 1)
             self._surveyed[a.key] = a
 
-    def survey(self) -> list[interface.Tally]:
+    def survey(self) -> list[interface.ResourceDemand]:
         """What was asked since the last survey."""
         surveyed, self._surveyed = self._surveyed or {}, {}
         return asked_of(surveyed.values())
@@ -186,6 +186,6 @@
     def arrived(self, now: float, a: Account, units: float) -> None:
         """A first attempt is on its way whole: from now on the meter may count it."""
         self.refill(now, a)
-        most = int(a.plan.at_once)
+        most = int(a.plan.concurrency_limit)
         place = a.whole.places(a.out, a.took or self.took, most) if most else 1.0
         a.whole.sent(a.at, units, self.meter.period / BINS, place)
--- a/micagate/recovery/write_ahead.py
+++ b/micagate/recovery/write_ahead.py
@@ -31,7 +31,7 @@
 def part(a: Account) -> tuple[float, float]:
     """An account's part of the ceiling: its size in units, and the least that it is filled by in a second."""
     rate = a.plan.ceiling_rate / a.spread
-    return a.plan.ceiling_depth / a.spread, rate * HALF if rate < THIN else rate
+    return a.plan.ceiling_capacity / a.spread, rate * HALF if rate < THIN else rate
 
 
 def of_all(key: str, since: float, top: float, rate: float) -> Mark:
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -17,7 +17,7 @@
     """
     if pending.request.request in owed or not all(attempt.status for attempt in pending.attempts):
         return
-    reached = any(attempt.status not in interface.NEVER_SENT for attempt in pending.attempts)
+    reached = any(attempt.status not in interface.NOT_DELIVERED_STATUSES for attempt in pending.attempts)
     if not reached:
         untake(pending.account, pending.request.units, pending.inside, pending.counted, pending.whole)
     if pending.call is not None:
@@ -30,6 +30,6 @@
     if whole:
         a.whole.unsent(a.at, units)
     if a.plan.ceiling_rate and not counted:
-        a.ceiling = min(a.plan.ceiling_depth / a.span, a.ceiling + units)
+        a.ceiling = min(a.plan.ceiling_capacity / a.span, a.ceiling + units)
     if inside and a.plan.rate:
         a.store = min(a.depth, a.store + units)
--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -10,16 +10,16 @@
 
 
 def move(
-    quotas: Quotas, now: float, event: interface.Shares, plans: Mapping[str, interface.Plan]
-) -> list[interface.Fill]:
+    quotas: Quotas, now: float, event: interface.ShareUpdate, plans: Mapping[str, interface.Plan]
+) -> list[interface.BucketLevels]:
     """Follow what planners moved; what leaves the stores with shares that are given away.
 
     What is lent is spent here no more from now on. Fills that come are put in, as far as the share holds
     them. Nothing is made anew by a move, so that all gateways together keep burst and rate.
     """
     touched = {}
-    counts = {share.key: share.count for share in event.changes}
-    for key in (*(share.key for share in event.changes), *(fill.key for fill in event.fills)):
+    counts = {share.key: share.gateway_count for share in event.changes}
+    for key in (*(share.key for share in event.changes), *(fill.key for fill in event.bucket_levels)):
         whose = customer_of(key)
         if whose is not None and (plan := plans.get(whose[0])) is not None:
             known, count = quotas.table.get(key), counts.get(key, 1)
@@ -32,18 +32,18 @@
         span, store, ceiling = before[key]
         quotas.refill(now, a)
         if a.span > span:
-            kept, whole, top = span / a.span, a.plan.burst, a.plan.ceiling_depth
+            kept, whole, top = span / a.span, a.plan.burst, a.plan.ceiling_capacity
             a.store, a.ceiling = min(store, store * kept), ceiling * kept
             freed.append(
-                interface.Fill(
+                interface.BucketLevels(
                     key,
                     max(0.0, store - a.store) / whole if whole else 0.0,
                     (ceiling - a.ceiling) / top if top else 0.0,
                 )
             )
-    for fill in event.fills:
+    for fill in event.bucket_levels:
         if fill.key in touched:
-            a, top = touched[fill.key], touched[fill.key].plan.ceiling_depth
-            a.store = min(a.depth, a.store + fill.store * a.plan.burst)
+            a, top = touched[fill.key], touched[fill.key].plan.ceiling_capacity
+            a.store = min(a.depth, a.store + fill.quota * a.plan.burst)
             a.ceiling = min(top / a.span, a.ceiling + fill.ceiling * top)
     return freed
--- a/micagate/shares.py
+++ b/micagate/shares.py
@@ -24,9 +24,9 @@
         self._amounts: Told = {}  # by session: what is lent and what is borrowed
         self.paces: Told = {}  # by session: what a worker can do
 
-    def change(self, event: interface.Shares) -> None:
+    def change(self, event: interface.ShareUpdate) -> None:
         """Follow a session; one whose both ends are past is forgotten with its amounts."""
-        if event.over:
+        if event.expired:
             self._ends.pop(event.session, None)
             for table in (self._amounts, self.paces):
                 for key in list(table):
@@ -35,8 +35,8 @@
         self._ends[event.session] = event.lent_until, event.borrowed_until
         for share in event.changes:
             put(self._amounts, share.key, event.session, share.lent, share.borrowed)
-        for pace in event.paces:
-            put(self.paces, pace.key, event.session, pace.pace)
+        for pace in event.capacities:
+            put(self.paces, pace.key, event.session, pace.capacity)
 
     def pace(self, now: float, key: str) -> float:
         """What a worker can do for all gateways together, answers a second; 0 where that is not known."""
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -22,7 +22,7 @@
     "Outcome": interface.Outcome,
     "StreamStarted": interface.StreamStarted,
     "TimerFired": interface.TimerFired,
-    "Abandoned": interface.Abandoned,
+    "Abandoned": interface.ClientDisconnected,
     "Send": interface.Send,
     "Refuse": interface.Refuse,
     "Fail": interface.Fail,
@@ -32,17 +32,24 @@
     "RequestClass": interface.RequestClass,
     "Plan": interface.Plan,
     "Settings": interface.Settings,
-    "Share": interface.Share,
-    "Shares": interface.Shares,
-    "Fill": interface.Fill,
-    "Freed": interface.Freed,
-    "Survey": interface.Survey,
-    "Tally": interface.Tally,
-    "Tallies": interface.Tallies,
-    "Pace": interface.Pace,
-    "Work": interface.Work,
+    "Share": interface.ResourceShare,
+    "Shares": interface.ShareUpdate,
+    "Fill": interface.BucketLevels,
+    "Freed": interface.ReleasedLevels,
+    "Survey": interface.DemandQuery,
+    "Tally": interface.ResourceDemand,
+    "Tallies": interface.DemandReport,
+    "Pace": interface.WorkerCapacity,
+    "Work": interface.WorkerLoad,
+}
+_NAMES = {kind: name for name, kind in _KINDS.items()} | {  # the last six are written, but not read back
+    interface.RequestComplete: "Whole",
+    interface.StopRetrying: "Ending",
+    interface.CounterAdd: "Count",
+    interface.CounterResult: "Counted",
+    interface.SetMaintenance: "Maintain",
+    interface.MaintenanceResult: "Maintained",
 }
-_NAMES = {kind: name for name, kind in _KINDS.items()}
 _ATTRIBUTES = {
     kind: {field.metadata.get(interface.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
     for kind in _KINDS.values()
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -10,7 +10,7 @@
 from micagate.resource_keys import worker_key
 
 KINDS = {
-    interface.FULL: "refused",
+    interface.OVERLOADED: "refused",
     interface.TIMED_OUT: "missed",
 }  # all else that is no answer, and was not called off: failed
 
@@ -54,7 +54,7 @@
             least = self._least[klass] = min(self._least.get(klass, math.inf), usual)
             counts.answered += 1
             counts.load += took / max(least, 1e-6)
-        elif status not in (interface.CANCELLED, interface.VOID):
+        elif status not in (interface.CANCELLED, interface.NOT_SENT):
             kind = KINDS.get(status, "failed")
             setattr(counts, kind, getattr(counts, kind) + 1)
 
@@ -63,14 +63,14 @@
         counts = self._counts.get(worker)
         return counts.asked if counts is not None else 0
 
-    def take(self, now: float, out: Mapping[str, int]) -> list[interface.Work]:
+    def take(self, now: float, out: Mapping[str, int]) -> list[interface.WorkerLoad]:
         """What was counted, and begin anew, for workers with so many out; others are forgotten."""
         made = []
         before, self._counts = self._counts, {}
         for worker, many in out.items():
             if (counts := before.get(worker)) is not None:
                 counts.tick(now, many)
-                work = interface.Work(
+                work = interface.WorkerLoad(
                     worker_key(worker),
                     counts.answered,
                     counts.load,
@@ -85,18 +85,18 @@
         return made
 
 
-def asked_of(accounts: Iterable[Account]) -> list[interface.Tally]:
+def asked_of(accounts: Iterable[Account]) -> list[interface.ResourceDemand]:
     """What was asked of customers' quotas since the last survey, and begin anew."""
     tallies = []
     for a in accounts:
         rates = [rate for rate in (a.plan.rate, a.plan.ceiling_rate) if rate]
-        if rates or a.plan.at_once:  # what binds first says how much of the whole is needed
+        if rates or a.plan.concurrency_limit:  # what binds first says how much of the whole is needed
             bursts = (
                 a.plan.burst if a.plan.rate else math.inf,
-                a.plan.ceiling_depth if a.plan.ceiling_rate else math.inf,
+                a.plan.ceiling_capacity if a.plan.ceiling_rate else math.inf,
             )
             tallies.append(
-                interface.Tally(
+                interface.ResourceDemand(
                     a.key,
                     a.first,
                     a.spread,
@@ -104,7 +104,7 @@
                     a.most,
                     min(rates, default=0.0),
                     min(bursts) if rates else 0.0,
-                    a.plan.at_once,
+                    a.plan.concurrency_limit,
                 )
             )
         a.tally, a.most = 0.0, 0
@@ -117,7 +117,7 @@
     usual: float,
     core: float,
     gateways: int,
-) -> list[interface.Tally]:
+) -> list[interface.ResourceDemand]:
     """What was sent to each warm worker of known pace; what would be to each cold one, were it warm.
 
     `standing` gives a worker's warmth, if it is cold, and its pace, answers a second, if that is known. `usual`
@@ -128,5 +128,5 @@
         asked: float = usual if warm is not None else workload.asked(name) if workload is not None else 0
         whole = warm * core if warm is not None else pace
         if whole:
-            tallies.append(interface.Tally(worker_key(name), 0, gateways, asked, 0.0, whole, 0.0, 0.0))
+            tallies.append(interface.ResourceDemand(worker_key(name), 0, gateways, asked, 0.0, whole, 0.0, 0.0))
     return tallies
--- a/oliveloft/backend/attempt.py
+++ b/oliveloft/backend/attempt.py
@@ -105,7 +105,7 @@
         """End it before anything of it is written; the connection that is coming up for it is of use to others."""
         if self.connection is not None:
             self.connection.attempt = None
-        self.finish(interface.VOID)
+        self.finish(interface.NOT_SENT)
 
     def unsent(self) -> bool:
         """Whether nothing of it has been written: its connection is still coming up."""
--- a/oliveloft/backend/connection.py
+++ b/oliveloft/backend/connection.py
@@ -123,7 +123,7 @@
         elif attempt is None:  # another process has opened it, or who asked for it has taken that back
             self._pool.keep(self)
         elif not self.process.ready:  # it has begun to drain while this connection came up: nothing was written
-            self._end(interface.VOID)
+            self._end(interface.NOT_SENT)
         else:
             self.send(attempt)
 
@@ -139,7 +139,7 @@
                 state=self.process.state.value,
             )
             self.attempt = None
-            attempt.finish(interface.VOID)
+            attempt.finish(interface.NOT_SENT)
             self._pool.keep(self)
             return
         attempt.state = AttemptState.WRITTEN
@@ -218,7 +218,7 @@
 
     def give_up(self) -> None:
         """A long body stands still: what the worker has of a request is not whole, what it began never will be."""
-        self._end(interface.UNREACHABLE if self._source is not None else interface.BROKEN)
+        self._end(interface.UNREACHABLE if self._source is not None else interface.CONNECTION_RESET)
 
     def data_received(self, data: bytes) -> None:
         """A piece of an answer, or something that nobody asked for."""
@@ -235,13 +235,13 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reusable = False
             if not self._complete:
-                self._end(interface.SPOILT)
+                self._end(interface.MALFORMED_RESPONSE)
                 return
         if self._complete:
             self._finish()
         elif self._sink is None and self._unread > MAX_HEAD + (4 * self._pool.max_body if self._headed else 0):
             # Guards the memory: the parser gathers a header to its end, and tells only then.
-            self._end(interface.SPOILT)
+            self._end(interface.MALFORMED_RESPONSE)
 
     def eof_received(self) -> bool:
         """The worker has ended its sending: that frames an answer which announced it, and cuts any other."""
@@ -257,7 +257,7 @@
         if self.attempt is not None and self.transport is not None:
             self._pool.rest.tell(self._age, not (self._headed or self._unread))
         self.transport = self._parser = None  # parser and protocol refer to each other
-        self._end(interface.BROKEN if self._written else interface.UNREACHABLE)
+        self._end(interface.CONNECTION_RESET if self._written else interface.UNREACHABLE)
         self._pool.lost(self)
 
     # The parser's side.
@@ -387,7 +387,7 @@
         if answer.status == 200:
             attempt.finish(interface.SUCCESS, answer)
         elif answer.status in (503, 504) and answer.not_processed:
-            attempt.finish(interface.FULL, answer)
+            attempt.finish(interface.OVERLOADED, answer)
         else:
             attempt.finish(interface.FAILURE, answer)
 
@@ -419,7 +419,7 @@
 
     def give_back(self) -> None:
         """It can't come up for want of something here; nothing was written, and no worker is to blame."""
-        self._end(interface.VOID)
+        self._end(interface.NOT_SENT)
 
     def connect_expired(self) -> None:
         """It did not come up in time; nothing was written."""
--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -71,7 +71,7 @@
             entry = endpoint.entry
             named.add(entry.worker)
             process = self._processes.get(entry.worker)
-            if entry.state == interface.GONE:
+            if entry.state == interface.REMOVED:
                 if process is not None:
                     process.retire(EndpointState.REMOVED)
                     del self._processes[entry.worker]
@@ -157,14 +157,14 @@
                 endpoint=attempt.worker,
                 state=state.value,
             )
-            attempt.finish(interface.VOID)
+            attempt.finish(interface.NOT_SENT)
             return
         if (idle := self._rested(process, now)) is not None:
             idle.send(attempt, now - idle.idle_since)
             return
         if len(self._open) >= self._limit and not self._make_room():
             # Guards against running out of descriptors: it was never sent, and no worker is to blame.
-            attempt.finish(interface.VOID)
+            attempt.finish(interface.NOT_SENT)
             return
         connection = Connection(self, process, attempt)
         attempt.connection = connection
--- a/oliveloft/counter/client.py
+++ b/oliveloft/counter/client.py
@@ -26,7 +26,7 @@
 CONNECT_SECONDS = 1.0  # that a connection has to come up
 MOST = 512  # calls that may be out: a counter that answers nothing must not fill the memory
 
-Heard = Callable[[interface.Counted], None]
+Heard = Callable[[interface.CounterResult], None]
 
 
 class Pending:
@@ -44,10 +44,10 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.over:
-            status = interface.LATE if status == interface.SUCCESS else ""
+            status = interface.LATE_RESPONSE if status == interface.SUCCESS else ""
         self.over = True
         if status:
-            self.heard(interface.Counted(self.name, status, total, now - self.began))
+            self.heard(interface.CounterResult(self.name, status, total, now - self.began))
 
 
 class Line(asyncio.Protocol):
@@ -98,7 +98,7 @@
         if isinstance(answer, hiredis.ReplyError):
             if not str(answer).startswith("BUSY"):
                 log.warning("counter: %s", answer)
-            self._waiting.popleft().end(interface.FULL, 0.0, now)
+            self._waiting.popleft().end(interface.OVERLOADED, 0.0, now)
             return
         total = float(answer) if isinstance(answer, bytes) else math.nan
         if not math.isfinite(total):
@@ -130,7 +130,7 @@
         self._after, self._tries, self._stopped = 0.0, 0, False
         self._open()
 
-    def call(self, count: interface.Count, heard: Heard) -> None:
+    def call(self, count: interface.CounterAdd, heard: Heard) -> None:
         """Make a call; `heard` is called once, later."""
         pending = Pending(count.name, self.loop.time(), heard)
         line = self._line
@@ -144,7 +144,7 @@
         pending.timer = self.loop.call_later(
             self._wait, pending.end, interface.TIMED_OUT, 0.0, pending.began + self._wait
         )
-        line.call(pending, count.amount, count.life)
+        line.call(pending, count.amount, count.ttl)
 
     def move(self, where: tuple[str, int]) -> None:
         """It is at another address from now on."""
--- a/oliveloft/dispatch/dispatcher.py
+++ b/oliveloft/dispatch/dispatcher.py
@@ -62,7 +62,7 @@
         self.sink = sink  # where a long answer may go
         self.attempts: list[Attempt] = []
         self.out = 0
-        self.state = RequestState.PENDING if event.whole else RequestState.ARRIVING
+        self.state = RequestState.PENDING if event.complete else RequestState.ARRIVING
         self.timer: asyncio.TimerHandle | None = None
         self.timers: list[asyncio.TimerHandle] = []  # the module's
 
@@ -90,7 +90,7 @@
         self._loop, self._settings, self._module, self._workers = loop, settings, module, workers
         self.guard = workers.guard
         self._classes = {klass.name: klass for klass in settings.classes}
-        self._limits = AttemptLimits(settings.max_attempts, settings.second_copies)
+        self._limits = AttemptLimits(settings.max_attempts, settings.hedging)
         self._requests: dict[str, Request] = {}
         self._counter = counter
         self._inbox: deque[tuple[interface.Event, str]] = deque()  # events, and the request that each is about
@@ -114,7 +114,7 @@
     ) -> Request:
         """Take in a request; `reply` is called once unless the client leaves before, or a long answer began."""
         request = self._requests[event.request] = Request(event, head, body, deadline, reply, sink)
-        if event.whole:
+        if event.complete:
             request.timer = self._loop.call_at(deadline, self._expired, request)
         self._hand(event, event.request)
         return request
@@ -135,7 +135,7 @@
     def _told(self, request: Request) -> None:
         if request.state is RequestState.ARRIVING:
             request.state = RequestState.PENDING
-            self._hand(interface.Whole(request.event.request, request.kept()), request.event.request)
+            self._hand(interface.RequestComplete(request.event.request, request.kept()), request.event.request)
 
     def _written(self, attempt: Attempt) -> None:
         """A worker has all of a request."""
@@ -169,7 +169,7 @@
         """
         if not request.ended:
             self._close(request, RequestState.CLIENT_GONE)
-            self._hand(interface.Abandoned(request.event.request), request.event.request)
+            self._hand(interface.ClientDisconnected(request.event.request), request.event.request)
         if isinstance(request.body, Body) and not request.body.whole:
             for attempt in request.attempts:
                 attempt.give_up(interface.CANCELLED)
@@ -182,7 +182,7 @@
         for name, request in list(self._requests.items()):
             if request.ended:
                 continue
-            self._hand(interface.Ending(name), name)
+            self._hand(interface.StopRetrying(name), name)
             for attempt in list(request.attempts):
                 if attempt.unsent():
                     attempt.take_back()
@@ -202,8 +202,8 @@
         With `since` it was so said elsewhere, then, and holds whether or not it is known here.
         """
         known = False
-        for action in self._module.handle(self._loop.time(), interface.Maintain(worker, out, since)):
-            known = known or isinstance(action, interface.Maintained) and action.known
+        for action in self._module.handle(self._loop.time(), interface.SetMaintenance(worker, out, since)):
+            known = known or isinstance(action, interface.MaintenanceResult) and action.known
         if known and out:
             self._workers.ban(worker)
         elif known:
@@ -214,27 +214,27 @@
         """Let the module handle an event that is about no request here."""
         self._hand(event, "")
 
-    def shares(self, event: interface.Shares) -> tuple[interface.Fill, ...]:
+    def shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
         """Planners have moved shares: they hold from now on. What left the stores with what was given
         away."""
         return next(
             (
-                action.fills
+                action.bucket_levels
                 for action in self._module.handle(self._loop.time(), event)
-                if isinstance(action, interface.Freed)
+                if isinstance(action, interface.ReleasedLevels)
             ),
             (),
         )
 
-    def survey(self, works: bool) -> interface.Tallies:
+    def survey(self, works: bool) -> interface.DemandReport:
         """What was asked of each thing since the last survey, and what became of attempts at workers."""
         return next(
             (
                 action
-                for action in self._module.handle(self._loop.time(), interface.Survey(works))
-                if isinstance(action, interface.Tallies)
+                for action in self._module.handle(self._loop.time(), interface.DemandQuery(works))
+                if isinstance(action, interface.DemandReport)
             ),
-            interface.Tallies(()),
+            interface.DemandReport(()),
         )
 
     def _hand(self, event: interface.Event, about: str) -> None:
@@ -261,11 +261,11 @@
         request = self._requests.get(about)
         if request is not None and not request.ended:
             self._end(request, 500, b"", b"")
-            self._inbox.append((interface.Abandoned(about), about))
+            self._inbox.append((interface.ClientDisconnected(about), about))
             for attempt in request.attempts:
                 if attempt.connection is None:
                     attempt.finish(
-                        interface.VOID
+                        interface.NOT_SENT
                     )  # it never got as far as a connection: else it would be held for ever
 
     def _act(self, action: interface.Action, about: str) -> None:
@@ -285,15 +285,20 @@
                 request = self._requests.get(name)
                 if request is not None and number < len(request.attempts):
                     request.attempts[number].give_up(interface.CANCELLED)
-            case interface.Count():
+            case interface.CounterAdd():
                 if self._counter is not None:
                     self._counter.call(action, self._counted)
                 else:
-                    self._counted(interface.Counted(action.name, interface.UNREACHABLE))
-            case interface.Subscribe() | interface.Tallies() | interface.Freed() | interface.Maintained():
+                    self._counted(interface.CounterResult(action.name, interface.UNREACHABLE))
+            case (
+                interface.Subscribe()
+                | interface.DemandReport()
+                | interface.ReleasedLevels()
+                | interface.MaintenanceResult()
+            ):
                 pass  # discovery is watched from the start; who asks takes the others itself
 
-    def _counted(self, answer: interface.Counted) -> None:
+    def _counted(self, answer: interface.CounterResult) -> None:
         self._hand(answer, "")
 
     def _fired(self, ref: int, about: str) -> None:
@@ -323,7 +328,7 @@
         request.out += 1
         if refusal is not None:
             self.guard.refuse(refusal, "send", id=name, attempt=attempt.number, state=request.state.value)
-            attempt.finish(interface.VOID)
+            attempt.finish(interface.NOT_SENT)
             return
         if 0 < within < request.deadline - now:
             attempt.deadline = now + within
@@ -350,7 +355,7 @@
             worker=attempt.worker,
             status=status,
             terminal=request.ended,
-            kept=request.kept(),
+            retryable=request.kept(),
             took=(attempt.first or self._loop.time()) - attempt.began,  # of a long one, until it began
             used=answer.used if answer is not None else None,
             used_age=self._loop.time() - answer.told if answer is not None else 0.0,
@@ -368,12 +373,12 @@
         """
         name = request.event.request
         if not request.ended:
-            self._hand(interface.Ending(name), name)
+            self._hand(interface.StopRetrying(name), name)
         for attempt in list(request.attempts):
             attempt.give_up(interface.TIMED_OUT)
         if not request.ended:  # the module forgot it: it would be lost
             self._end(request, 504, b"", b"")
-            self._hand(interface.Abandoned(name), name)
+            self._hand(interface.ClientDisconnected(name), name)
 
     def _end(self, request: Request | None, status: int, headers: bytes, body: bytes) -> None:
         """The final reply; a second one is none."""
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -343,7 +343,7 @@
 
     def _marks_hold(self) -> bool:
         """Whether ceilings are this gateway's parts alone: a counter knows them itself, planners move them."""
-        return not self._settings.counter_wait and self.planners() is None
+        return not self._settings.counter_timeout and self.planners() is None
 
     def _pace(self, now: float, kept: Kept) -> None:
         """Control begins where workers are cold together, by what was served before."""
@@ -754,7 +754,7 @@
         if not self._kept.worker(self._gateway, now, name) and name in self._told.workers:
             pace, fails = self._told.workers[name]
             worker = self._gateway.fleet.workers[name]
-            if worker.entry.started is None or now - worker.entry.started > self._settings.ramp_time:
+            if worker.entry.started is None or now - worker.entry.started > self._settings.slow_start_duration:
                 worker.slow, worker.learned = 1 / max(0.1, pace), now
                 worker.fails = int(fails)
 
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -894,10 +894,10 @@
             customer=customers[0].decode().lower(),
             time_left=max(0.0, deadline - now),
             units=units,
-            spread=spread,
-            repeat=fields.get(b"x-retried") == b"1",
-            first=set_first,
-            whole=incoming.long is None or incoming.long.whole,
+            gateway_count=spread,
+            client_retry=fields.get(b"x-retried") == b"1",
+            first_gateway=set_first,
+            complete=incoming.long is None or incoming.long.whole,
         )
         target = path + b"?" + query
         size = sum(map(len, incoming.body))
--- a/oliveloft/gatekeeper/process.py
+++ b/oliveloft/gatekeeper/process.py
@@ -71,8 +71,8 @@
     offset = time.time() - loop.time()  # read once: the wall clock may be stepped
     start_times = StartTimes(offset)
     counter = None
-    if config.counter is not None and config.settings.counter_wait:
-        counter = Counter(loop, config.counter, config.settings.counter_wait, config.seed)
+    if config.counter is not None and config.settings.counter_timeout:
+        counter = Counter(loop, config.counter, config.settings.counter_timeout, config.seed)
     gateway = Gateway(config.settings, config.seed, loop.time(), offset)
     dispatcher = RequestDispatcher(loop, config.settings, gateway, workers, counter)
     kept = int(config.sockets * KEPT_SHARE)
@@ -140,7 +140,7 @@
         if member is not None:
             member.follows(links)
         links.start()
-    loading = config.settings.gateways if config.settings.must_subscribe else 1
+    loading = config.settings.gateways if config.settings.requires_subscription else 1
     discovery = DiscoveryWatch(
         loop, config.discovery, start_times, tell, index, loading, config.settings.number or 0, config.seed
     )
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -30,10 +30,10 @@
 class Decisions(Protocol):
     """What the links need of the dispatcher."""
 
-    def shares(self, event: interface.Shares) -> tuple[interface.Fill, ...]:
+    def shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
         """Take shares; what left the stores with those that were given away."""
 
-    def survey(self, works: bool) -> interface.Tallies:
+    def survey(self, works: bool) -> interface.DemandReport:
         """What was asked of each thing since the last survey, and, if told so, what became of attempts at
         workers."""
 
@@ -273,8 +273,8 @@
         if now - self._surveyed >= self.config.terms.interval / 2:
             self._surveyed = now
             seen = self._decisions.survey(self.config.paces)
-            self.holder.demand(now, self._demands.survey(now, seen.tallies))
-            self.holder.saw(seen.works)
+            self.holder.demand(now, self._demands.survey(now, seen.resources))
+            self.holder.saw(seen.workers)
         self._flush()
         for link in self._links.values():
             line = link.line
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -12,7 +12,7 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.config.loading import address
 
-STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.GONE}
+STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
         there = set()
         for place, (found, wall) in enumerate(zip(self.endpoints, self._starts, strict=True)):
             name = found.entry.worker
-            if found.entry.state == interface.GONE:
+            if found.entry.state == interface.REMOVED:
                 times.forget(name)
                 continue
             there.add(name)
--- a/rig/cluster.py
+++ b/rig/cluster.py
@@ -77,10 +77,12 @@
         now = self.clock.now
         for n, holder in enumerate(self.holders):
             (tallies,) = (
-                a for a in self.gates[n].handle(now, interface.Survey(self.paces)) if isinstance(a, interface.Tallies)
+                a
+                for a in self.gates[n].handle(now, interface.DemandQuery(self.paces))
+                if isinstance(a, interface.DemandReport)
             )
-            holder.demand(now, self.demands[n].survey(now, tallies.tallies))
-            holder.saw(tallies.works)
+            holder.demand(now, self.demands[n].survey(now, tallies.resources))
+            holder.saw(tallies.workers)
             for event in [*holder.moves(now), *holder.ended(now)]:
                 self.gates[n].handle(now, event)
                 self.moved = max(self.moved, *(share.borrowed for share in event.changes), 0.0)
--- a/rig/crash_recovery.py
+++ b/rig/crash_recovery.py
@@ -16,7 +16,7 @@
 from micagate.recovery.write_ahead import Marks
 from rig.limited_worker import overspent
 
-PLAN = Plan("capped", rate=1000.0, burst=1000.0, ceiling_rate=12.0, ceiling_depth=24.0)
+PLAN = Plan("capped", rate=1000.0, burst=1000.0, ceiling_rate=12.0, ceiling_capacity=24.0)
 CUSTOMERS = 2
 SURE = 1e-6
 
@@ -54,8 +54,8 @@
     def ask(self, now: float, customer: str, units: float, count: int) -> bool:
         """A customer's try: whether it is sent on."""
         account = self.quotas.account(now, customer, PLAN, count)
-        if self.full and account.ceiling < PLAN.ceiling_depth / count and not account.asked:
-            account.ceiling = PLAN.ceiling_depth / count
+        if self.full and account.ceiling < PLAN.ceiling_capacity / count and not account.asked:
+            account.ceiling = PLAN.ceiling_capacity / count
         account.asked += units
         account.top = max(account.top, units)
         if self.variant is Variant.NOT_AHEAD and account.held is not None:
@@ -137,5 +137,5 @@
                 units[customer].append((now, amount))
             else:
                 told.refused += 1
-    told.excess = max(overspent(each, PLAN.ceiling_rate, PLAN.ceiling_depth) for each in units.values() if each)
+    told.excess = max(overspent(each, PLAN.ceiling_rate, PLAN.ceiling_capacity) for each in units.values() if each)
     return told
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -25,9 +25,9 @@
 KINDS = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # shares of the customers
 PLANS = (
     interface.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
-    interface.Plan("middle", rate=4.1, burst=14.0, at_once=2.0, excess_cost=1.2),
+    interface.Plan("middle", rate=4.1, burst=14.0, concurrency_limit=2.0, excess_cost=1.2),
     interface.Plan(
-        "large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_depth=41.0, ceiling_slack=4.0, excess_cost=0.8
+        "large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_capacity=41.0, ceiling_slack=4.0, excess_cost=0.8
     ),
 )
 OF_PLAN = (0,) * 12 + (1,) * 5 + (2,)  # of eighteen customers in a row
@@ -91,7 +91,7 @@
         when, level, out = next((p for p in reversed(self.past) if p[0] <= then), (0.0, self.plan.burst, 0))
         since = [sent for at, where, sent in reversed(self.own[-64:]) if at > then and where == gateway]
         level = min(self.plan.burst, level + (now - when) * self.plan.rate) - sum(since)
-        return level >= units and (not self.plan.at_once or out + len(since) < self.plan.at_once)
+        return level >= units and (not self.plan.concurrency_limit or out + len(since) < self.plan.concurrency_limit)
 
     def note(self, now: float) -> None:
         """Keep what is true now for those that see it later."""
@@ -99,7 +99,9 @@
 
     def has_room(self, now: float, units: int) -> bool:
         """Whether the whole quota has room for one more try of so many units now."""
-        return self.store.fill(now) >= units and (not self.plan.at_once or self.out < self.plan.at_once)
+        return self.store.fill(now) >= units and (
+            not self.plan.concurrency_limit or self.out < self.plan.concurrency_limit
+        )
 
 
 @dataclass
@@ -203,7 +205,7 @@
             if room:
                 who.store.take(now, units)
             kind.over += units * (not room)
-            kind.cost += units * (not room) * who.plan.price * (who.plan.excess_cost - who.plan.beyond_earns)
+            kind.cost += units * (not room) * who.plan.price * (who.plan.excess_cost - who.plan.excess_revenue)
             if day.sees is not None:
                 who.own.append((now, at_gateway, units))
                 who.note(now)
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -142,7 +142,7 @@
         number = len(attempts)
         attempts.append(worker)
         if name not in self._asked:
-            fleet.clock.after(0.0, self._outcome, name, number, interface.VOID, now)
+            fleet.clock.after(0.0, self._outcome, name, number, interface.NOT_SENT, now)
             return
         place = fleet.places[worker]
         if place.dead:
@@ -153,7 +153,7 @@
         done = place.load.arrive(now + fleet.way, work)
         fleet.arrived(now + fleet.way, worker, work, done)
         if done is None:
-            fleet.clock.after(2 * fleet.way, self._outcome, name, number, interface.FULL, now)
+            fleet.clock.after(2 * fleet.way, self._outcome, name, number, interface.OVERLOADED, now)
         elif not place.hung and fleet.random.random() >= place.lost:
             fleet.clock.at(done + fleet.way, self._answered, name, number, now, place.load)
         fleet.clock.at(deadline, self._outcome, name, number, interface.TIMED_OUT, now)
@@ -193,4 +193,4 @@
     def _expired(self, name: str) -> None:
         if name in self._asked:
             self._end(name, "lost")
-            self.hand(interface.Abandoned(name), name)
+            self.hand(interface.ClientDisconnected(name), name)
--- a/rig/fleet_restart.py
+++ b/rig/fleet_restart.py
@@ -20,7 +20,7 @@
     interface.RequestClass("read", aim=0.4, deadline=1.5),
     interface.RequestClass("write", 0.6, 2.0, interface.SIDE_EFFECT, importance=3.0),
 )
-PLAN = interface.Plan("team", rate=30.0, burst=60.0, ceiling_rate=40.0, ceiling_depth=80.0, excess_cost=0.5)
+PLAN = interface.Plan("team", rate=30.0, burst=60.0, ceiling_rate=40.0, ceiling_capacity=80.0, excess_cost=0.5)
 TICK = 0.1  # seconds between looks of a gateway that came back
 
 
@@ -54,10 +54,10 @@
             gateways=count,
             max_attempts=3,
             can_cancel=True,
-            max_retry_advice=0.5,
+            max_retry_after=0.5,
             meter_period=0.0,
-            cold_from=cold_from,
-            ramp_time=ramp,
+            slow_start_min_factor=cold_from,
+            slow_start_duration=ramp,
         )
         self.life = 0
         self.front = list(range(count))  # the gateways that clients come to
--- a/rig/overload.py
+++ b/rig/overload.py
@@ -47,8 +47,8 @@
             zone="a",
             max_attempts=3,
             can_cancel=True,
-            cold_from=self.capacity.cold_from,
-            ramp_time=self.capacity.ramp,
+            slow_start_min_factor=self.capacity.cold_from,
+            slow_start_duration=self.capacity.ramp,
             overload_factor=self.overload_factor,
             fall_time=self.fall_time,
         )
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -22,7 +22,7 @@
 from rig.simulation import Clock, Link, LocalClock, Network
 
 TICK = 0.05  # seconds between looks at what is due, at forwarders and planners
-PLAN = interface.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=60.0)
+PLAN = interface.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_capacity=60.0)
 PLANS = {PLAN.name: PLAN}
 
 
@@ -245,7 +245,7 @@
         self.things = [customer_key(PLAN.name, f"c{n}") for n in range(things)]
         self.seen = Seen()
         # What one gateway that saw all would have in the ceiling's store, by the fastest clock.
-        self._stores = dict.fromkeys(self.things, (0.0, PLAN.ceiling_depth))
+        self._stores = dict.fromkeys(self.things, (0.0, PLAN.ceiling_capacity))
         self.epoch = 0
         self.forwarders: list[Forwarder] = []
         self.forwarders += [Forwarder(self, n) for n in range(forwarders)]
@@ -277,7 +277,7 @@
         """A forwarder has spent a unit of a thing."""
         at, level = self._stores[key]
         now = self.clock.now
-        level = min(PLAN.ceiling_depth, level + (now - at) * PLAN.ceiling_rate * (1 + self.drift)) - 1
+        level = min(PLAN.ceiling_capacity, level + (now - at) * PLAN.ceiling_rate * (1 + self.drift)) - 1
         self._stores[key] = now, level
         self.seen.spent += 1
         self.seen.overspent = max(self.seen.overspent, -level)
--- a/rig/schedules.py
+++ b/rig/schedules.py
@@ -15,7 +15,7 @@
 WAIT, WAY = 0.03, 0.004  # seconds: how long a call is waited for, and the way there and back
 READ = interface.RequestClass("read", aim=0.4, deadline=1.0)
 HELD = interface.Plan(
-    "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_depth=10.0, ceiling_slack=1.0
+    "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_capacity=10.0, ceiling_slack=1.0
 )
 
 
@@ -40,7 +40,7 @@
         while waiting and waiting[0][0] <= now:
             when, _, took, late, budget = heapq.heappop(waiting)
             if late:
-                budget.heard(when, interface.LATE, took)
+                budget.heard(when, interface.LATE_RESPONSE, took)
             else:
                 budget.heard(when, interface.SUCCESS if took < WAIT else interface.TIMED_OUT, took)
                 answered[min(int(when), int(seconds) - 1)] += took < WAIT
@@ -49,7 +49,7 @@
             asked[int(now)] += 1
             due = service.accept(now, "x")
             if due is None:
-                budget.heard(now, interface.FULL, 0.0)
+                budget.heard(now, interface.OVERLOADED, 0.0)
                 continue
             took = due + WAY - now
             heapq.heappush(waiting, (now + min(took, WAIT), n, min(took, WAIT), False, budget))
@@ -64,19 +64,19 @@
     """How far below nothing a ceiling's store goes, in units, for a customer that asks without end, while the counter
     leaves calls unanswered or forgets. `before` false: tries are sent on before they are counted."""
     draw, service = Random(seed), Service()
-    held = replace(HELD, ceiling_depth=2 * HELD.burst + gateways)
+    held = replace(HELD, ceiling_capacity=2 * HELD.burst + gateways)
     fleet = [
-        Counting(interface.Settings((READ,), (held,), gateways, n, counter_wait=WAIT), 0.0, 0.0, Random(n))
+        Counting(interface.Settings((READ,), (held,), gateways, n, counter_timeout=WAIT), 0.0, 0.0, Random(n))
         for n in range(gateways)
     ]
     accounts = [Account(held, "c/team/x", gateways, 0.0, 0.0) for _ in range(gateways)]
     for one in fleet:
         one.budget.most = 1.0
-    level = least = held.ceiling_depth
+    level = least = held.ceiling_capacity
     at, lost = 0.0, -9.0
     for n in range(int(seconds * 100)):
         now = n * 0.01
-        level, at = min(held.ceiling_depth, level + (now - at) * held.ceiling_rate), now
+        level, at = min(held.ceiling_capacity, level + (now - at) * held.ceiling_rate), now
         if now - lost > 4.0 and draw.random() < 0.005:
             lost = now
             service.forget()
@@ -88,9 +88,12 @@
             goes = not before
             while one.actions:
                 call = one.actions.pop(0)
-                total = service.add(now, str(call.name), call.amount, call.life)
+                total = service.add(now, str(call.name), call.amount, call.ttl)
                 verdict = one.answered(
-                    now, interface.Counted(call.name, interface.TIMED_OUT if silent else interface.SUCCESS, total, WAY)
+                    now,
+                    interface.CounterResult(
+                        call.name, interface.TIMED_OUT if silent else interface.SUCCESS, total, WAY
+                    ),
                 )
                 goes = goes or verdict is not None and verdict.inside is True
                 silent = False
--- a/rig/upgrades.py
+++ b/rig/upgrades.py
@@ -23,7 +23,7 @@
     RequestClass("write", aim=0.5, deadline=2.0, effect=interface.SIDE_EFFECT),
 )
 RATED = Plan("rated", rate=2.0, burst=8.0, excess_cost=1.0)
-PLACED = Plan("placed", at_once=2.0)
+PLACED = Plan("placed", concurrency_limit=2.0)
 CUSTOMERS = 3
 SURE = 1e-6
 
@@ -89,7 +89,7 @@
                         self.holds[key] = int(who, 16)
                         mine = sum(each == int(who, 16) and self._held(key) for key, each in self.holds.items())
                         # A further attempt keeps its request's place: it is not asked again, in one process either.
-                        self.told.granted_twice += key[1] == 0 and mine > PLACED.at_once
+                        self.told.granted_twice += key[1] == 0 and mine > PLACED.concurrency_limit
                     elif key[1] == 0:
                         self._grant(int(who, 16))
                     if process.taker is not None and self.news:
@@ -137,7 +137,7 @@
                         interface.SUCCESS,
                         interface.SUCCESS,
                         interface.UNREACHABLE,
-                        interface.FULL,
+                        interface.OVERLOADED,
                         interface.FAILURE,
                     )
                 ),
@@ -162,13 +162,13 @@
             return
         for _ in range(self.random.choice((1, 1, 2))):
             process = self.old if self.old is not None and self.random.random() < 0.3 else self.serving
-            actions = process.gateway.handle(self.now, interface.Maintain(worker, out))
+            actions = process.gateway.handle(self.now, interface.SetMaintenance(worker, out))
             if process is self.old and process.taker is not None:  # calls are passed on
-                process.taker.gateway.handle(self.now, interface.Maintain(worker, out))
-            if any(isinstance(action, interface.Maintained) and action.known for action in actions):
+                process.taker.gateway.handle(self.now, interface.SetMaintenance(worker, out))
+            if any(isinstance(action, interface.MaintenanceResult) and action.known for action in actions):
                 self.banned.add(worker) if out else self.banned.discard(worker)
         if self.old is not None:  # its further attempts keep to it as well
-            self.old.gateway.handle(self.now, interface.Maintain(worker, out))
+            self.old.gateway.handle(self.now, interface.SetMaintenance(worker, out))
 
     def list(self) -> None:
         """The list tells something: a restart, a drain, all of it."""
--- a/tests/backend/test_losses.py
+++ b/tests/backend/test_losses.py
@@ -35,7 +35,7 @@
 
 
 def test_a_worker_that_lost_an_answer_is_tried_again_long_before_the_deadline():
-    d = Driver(1, second_copies=False)
+    d = Driver(1, hedging=False)
     d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b"),)))
     answered(d, 30)
     d.ask("write")  # lost: nothing ever comes of it
@@ -60,14 +60,21 @@
         if n > 300:
             met[klass][worker] += 1
         lost = worker in ("w0", "w3") and n % 3 == 0
-        d.answer(name, worker, interface.BROKEN if lost else interface.SUCCESS, after=0.01, took=0.02, terminal=True)
+        d.answer(
+            name,
+            worker,
+            interface.CONNECTION_RESET if lost else interface.SUCCESS,
+            after=0.01,
+            took=0.02,
+            terminal=True,
+        )
     bad = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in met.items()}
     assert bad["write"] < 0.06  # a third loses them
 
 
 def test_a_worker_that_loses_one_class_is_spared_it_and_keeps_the_other():
     met: dict[str, Counter[str]] = {"read": Counter(), "write": Counter()}
-    d = Driver(second_copies=False)
+    d = Driver(hedging=False)
     answered(d, 30)
     losing(d)
     for n in range(60):
@@ -90,7 +97,7 @@
 
 def test_under_control_what_a_lossy_worker_swallows_has_its_second_chance_and_signals_nothing():
     for losses, expected in ((4, 1), (0, 0)):
-        d = Driver(1, second_copies=False)
+        d = Driver(1, hedging=False)
         answered(d, 60)
         losing(d)
         d.gateway.fleet.workers["w0"].losses.clear()
--- a/tests/counting/test_budget.py
+++ b/tests/counting/test_budget.py
@@ -33,7 +33,7 @@
     one, other = budget(), budget()
     for n in range(50):
         one.heard(0.01 * n, interface.TIMED_OUT, WAIT)
-        one.heard(0.01 * n, interface.LATE, WAIT)
+        one.heard(0.01 * n, interface.LATE_RESPONSE, WAIT)
     assert one.level < other.level
     for n in range(200):
         for b in (one, other):
@@ -45,7 +45,7 @@
     b = budget()
     for _ in range(ROW):
         assert b.may(1.0)
-        b.heard(1.0, interface.FULL, 0.0)
+        b.heard(1.0, interface.OVERLOADED, 0.0)
     assert not b.may(1.0 + 0.99 * HOLD) and b.may(1.0 + 3.01 * HOLD)
 
 
@@ -82,7 +82,7 @@
             asked += now > 10
             due = service.accept(now, "x")
             if due is None:
-                b.heard(now, interface.FULL, 0.0)
+                b.heard(now, interface.OVERLOADED, 0.0)
             else:
                 waiting.append((due + 0.004, now, b))
     assert asked > 0.4 * min(rate, 400.0) * 10
--- a/tests/counting/test_client.py
+++ b/tests/counting/test_client.py
@@ -18,9 +18,9 @@
     return client
 
 
-async def call(client: Client, name: int = 7, amount: float = 0.0) -> interface.Counted:
-    heard: asyncio.Queue[interface.Counted] = asyncio.Queue()
-    client.call(interface.Count(name, amount, 30.0), heard.put_nowait)
+async def call(client: Client, name: int = 7, amount: float = 0.0) -> interface.CounterResult:
+    heard: asyncio.Queue[interface.CounterResult] = asyncio.Queue()
+    client.call(interface.CounterAdd(name, amount, 30.0), heard.put_nowait)
     return await asyncio.wait_for(heard.get(), 10.0)
 
 
@@ -50,7 +50,7 @@
 def test_a_counter_that_turns_away_or_says_nothing_ends_the_call_as_that():
     async def scenario(counter, client):
         counter.service.busy = True
-        assert (await call(client)).status == interface.FULL
+        assert (await call(client)).status == interface.OVERLOADED
         counter.service.busy = False
         counter.service.dead = {0}
         answer = await call(client)
--- a/tests/counting/test_gateway.py
+++ b/tests/counting/test_gateway.py
@@ -4,7 +4,7 @@
 
 READ = interface.RequestClass("read", aim=0.4, deadline=1.0)
 TEAM = interface.Plan("team", rate=1.0, burst=4.0, excess_cost=1.0)
-SETTINGS = interface.Settings((READ,), (TEAM,), counter_wait=0.03, max_attempts=2)
+SETTINGS = interface.Settings((READ,), (TEAM,), counter_timeout=0.03, max_attempts=2)
 
 
 def gateway(settings: interface.Settings = SETTINGS) -> Gateway:
@@ -14,7 +14,7 @@
 
 
 def asks(g: Gateway, now: float, name: str = "r") -> list[interface.Action]:
-    return g.handle(now, interface.Request(name, "read", "team", "c", 1.0, spread=30))
+    return g.handle(now, interface.Request(name, "read", "team", "c", 1.0, gateway_count=30))
 
 
 def of(kind, actions):
@@ -24,54 +24,60 @@
 def test_a_try_waits_for_its_count_and_is_sent_or_refused_at_once_by_it():
     g = gateway()
     actions = asks(g, 1.0)
-    (call,) = of(interface.Count, actions)
+    (call,) = of(interface.CounterAdd, actions)
     assert not of(interface.Send, actions) and not of(interface.Refuse, actions)
     assert (
-        of(interface.Send, g.handle(1.01, interface.Counted(call.name, interface.SUCCESS, call.amount + 40.0, 0.01)))
+        of(
+            interface.Send,
+            g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount + 40.0, 0.01)),
+        )
         == []
     )
-    (call,) = of(interface.Count, asks(gateway(), 1.0))
+    (call,) = of(interface.CounterAdd, asks(gateway(), 1.0))
     g = gateway()
     asks(g, 1.0)
     assert (
-        len(of(interface.Send, g.handle(1.01, interface.Counted(call.name, interface.SUCCESS, call.amount, 0.01)))) == 1
+        len(
+            of(interface.Send, g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount, 0.01)))
+        )
+        == 1
     )
 
 
 def test_a_refused_customer_is_refused_again_without_a_call_until_it_can_have_room():
     g = gateway()
-    (call,) = of(interface.Count, asks(g, 1.0))
+    (call,) = of(interface.CounterAdd, asks(g, 1.0))
     begin = g.counting._out[call.name][0].where.begin
     elapsed = 1.0 - begin
     actions = g.handle(
-        1.0, interface.Counted(call.name, interface.SUCCESS, elapsed + 4.0 + 2.5, 0.01)
+        1.0, interface.CounterResult(call.name, interface.SUCCESS, elapsed + 4.0 + 2.5, 0.01)
     )  # 2.5 s too early
-    assert len(of(interface.Refuse, actions)) == 1 and of(interface.Count, actions)[0].amount == -call.amount
+    assert len(of(interface.Refuse, actions)) == 1 and of(interface.CounterAdd, actions)[0].amount == -call.amount
     actions = asks(g, 3.4, "s")
-    assert len(of(interface.Refuse, actions)) == 1 and not of(interface.Count, actions)
-    assert len(of(interface.Count, asks(g, 3.6, "t"))) == 1
+    assert len(of(interface.Refuse, actions)) == 1 and not of(interface.CounterAdd, actions)
+    assert len(of(interface.CounterAdd, asks(g, 3.6, "t"))) == 1
 
 
 def test_a_client_that_leaves_while_its_try_waits_gets_no_attempt_and_its_count_is_given_back():
     g = gateway()
-    (call,) = of(interface.Count, asks(g, 1.0))
-    g.handle(1.005, interface.Abandoned("r"))
-    actions = g.handle(1.01, interface.Counted(call.name, interface.SUCCESS, call.amount, 0.01))
+    (call,) = of(interface.CounterAdd, asks(g, 1.0))
+    g.handle(1.005, interface.ClientDisconnected("r"))
+    actions = g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount, 0.01))
     assert not of(interface.Send, actions) and not of(interface.Refuse, actions)
-    assert sum(back.amount for back in of(interface.Count, actions) if back.amount < 0) == -call.amount
+    assert sum(back.amount for back in of(interface.CounterAdd, actions) if back.amount < 0) == -call.amount
 
 
 def test_without_an_answer_the_estimate_decides_as_before():
-    for status in (interface.TIMED_OUT, interface.FULL, interface.UNREACHABLE):
+    for status in (interface.TIMED_OUT, interface.OVERLOADED, interface.UNREACHABLE):
         g, plain = gateway(), gateway(interface.Settings((READ,), (TEAM,), max_attempts=2))
-        (call,) = of(interface.Count, asks(g, 1.0))
+        (call,) = of(interface.CounterAdd, asks(g, 1.0))
         before = of(interface.Send, asks(plain, 1.0))
         assert [
-            a.worker for a in of(interface.Send, g.handle(1.0, interface.Counted(call.name, status)))
+            a.worker for a in of(interface.Send, g.handle(1.0, interface.CounterResult(call.name, status)))
         ] != [] or not before
 
 
 def test_a_customer_of_few_gateways_is_never_counted():
     g = gateway()
-    actions = g.handle(1.0, interface.Request("r", "read", "team", "c", 1.0, spread=2))
-    assert len(of(interface.Send, actions)) == 1 and not of(interface.Count, actions)
+    actions = g.handle(1.0, interface.Request("r", "read", "team", "c", 1.0, gateway_count=2))
+    assert len(of(interface.Send, actions)) == 1 and not of(interface.CounterAdd, actions)
--- a/tests/counting/test_stores.py
+++ b/tests/counting/test_stores.py
@@ -13,7 +13,7 @@
 from rig.schedules import ceiling
 
 PLAN = interface.Plan("team", rate=1.0, burst=4.0, excess_cost=1.0)
-SETTINGS = interface.Settings((interface.RequestClass("read", aim=0.4, deadline=1.0),), (PLAN,), counter_wait=0.03)
+SETTINGS = interface.Settings((interface.RequestClass("read", aim=0.4, deadline=1.0),), (PLAN,), counter_timeout=0.03)
 
 
 def counting(settings: interface.Settings) -> Counting:
@@ -27,7 +27,7 @@
         self.service = Service()
         self.of = [counting(SETTINGS) for _ in range(gateways)]
         self.accounts = [Account(plan, "c/team/x", 30, 0.0, 0.0) for _ in range(gateways)]
-        self.kept: list[tuple[int, interface.Count]] = []
+        self.kept: list[tuple[int, interface.CounterAdd]] = []
 
     def asked(self, number: int, now: float, units: float = 1.0) -> None:
         self.of[number].ask(now, self.accounts[number], units, "r")
@@ -39,8 +39,8 @@
         verdicts = []
         while self.kept:
             number, call = self.kept.pop(0)
-            total = self.service.add(now, str(call.name), call.amount, call.life)
-            verdict = self.of[number].answered(now, interface.Counted(call.name, interface.SUCCESS, total))
+            total = self.service.add(now, str(call.name), call.amount, call.ttl)
+            verdict = self.of[number].answered(now, interface.CounterResult(call.name, interface.SUCCESS, total))
             self.kept += [(number, more) for more in self.of[number].actions]
             self.of[number].actions.clear()
             if verdict is not None:
@@ -87,11 +87,14 @@
     shared.asked(0, 1.0)
     (_, first), (_, second) = shared.kept
     assert first.name == second.name
-    assert shared.of[0].answered(1.0, interface.Counted(first.name, interface.TIMED_OUT)).inside is None
+    assert shared.of[0].answered(1.0, interface.CounterResult(first.name, interface.TIMED_OUT)).inside is None
     assert (
-        shared.of[0].answered(1.0, interface.Counted(second.name, interface.SUCCESS, second.amount * 2)).inside is True
+        shared.of[0].answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, second.amount * 2)).inside
+        is True
     )
-    assert shared.of[0].answered(1.0, interface.Counted(second.name, interface.SUCCESS, 1.0)) is None  # to no call
+    assert (
+        shared.of[0].answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, 1.0)) is None
+    )  # to no call
 
 
 def test_epochs_end_before_the_counter_forgets_and_each_customer_has_its_own():
@@ -120,7 +123,7 @@
     assert not counting(without).counts(0.0, thin)
 
 
-CAPPED = interface.Plan("team", rate=1.0, burst=50.0, at_once=2.0, excess_cost=1.0)
+CAPPED = interface.Plan("team", rate=1.0, burst=50.0, concurrency_limit=2.0, excess_cost=1.0)
 
 
 def test_no_more_are_out_at_once_than_the_plan_allows_and_a_place_is_free_again_at_the_end():
@@ -142,7 +145,7 @@
     begin = place(21.0, 0.0, "c/team/x").begin
     assert not shared.send(1, 22.0)
     late = begin + EPOCH - 0.1  # behind by more than half of the burst and the longest deadline only in a shallow plan
-    shallow = Shared(2, interface.Plan("team", rate=1.0, burst=4.0, at_once=2.0, excess_cost=1.0))
+    shallow = Shared(2, interface.Plan("team", rate=1.0, burst=4.0, concurrency_limit=2.0, excess_cost=1.0))
     assert [shallow.send(0, begin + 6.0) for _ in range(3)] == [True, True, False]
     assert shallow.send(1, min(late, begin + 14.0))
 
@@ -168,15 +171,15 @@
         shared = Shared(1)
         shared.asked(0, 1.0)
         (_, call), one = shared.kept.pop(), shared.of[0]
-        verdict = one.answered(1.03, interface.Counted(call.name, interface.TIMED_OUT, 0.0, 0.03))
+        verdict = one.answered(1.03, interface.CounterResult(call.name, interface.TIMED_OUT, 0.0, 0.03))
         assert verdict.inside is None
         verdict.call.sent = sent
-        assert one.answered(1.2, interface.Counted(call.name, interface.LATE, 1.0, 0.2)) is None
+        assert one.answered(1.2, interface.CounterResult(call.name, interface.LATE_RESPONSE, 1.0, 0.2)) is None
         assert [more.amount for more in one.actions] == [-call.amount] * back
 
 
 HELD = interface.Plan(
-    "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_depth=8.0, ceiling_slack=0.8
+    "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_capacity=8.0, ceiling_slack=0.8
 )
 
 
@@ -186,7 +189,7 @@
         (interface.Plan("team", 2.0, 4.0, 0.0, 4.0, 7.0, 0.8, 0.0, 1.0), False),
         (interface.Plan("team", 2.0, 4.0, 0.0, 3.9, 8.0, 0.8, 0.0, 1.0), False),
     ):
-        made = counting(interface.Settings(SETTINGS.classes, (plan,), counter_wait=0.03))
+        made = counting(interface.Settings(SETTINGS.classes, (plan,), counter_timeout=0.03))
         assert (plan.name in made.ranks) is held
 
 
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -10,7 +10,7 @@
 from micagate.share_transfers import move
 from rig.driver import Driver, sends
 
-CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0)
+CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0)
 PLANS = {CAPPED.name: CAPPED}
 
 
@@ -84,7 +84,7 @@
     account.out = 1
     key = "c/capped/lender"
     quotas.account(0.0, "lender", CAPPED, 2)
-    move(quotas, 0.0, interface.Shares(1, 100.0, 100.0, (interface.Share(key, 0.4, 0.0, 2),)), PLANS)
+    move(quotas, 0.0, interface.ShareUpdate(1, 100.0, 100.0, (interface.ResourceShare(key, 0.4, 0.0, 2),)), PLANS)
     lender = quotas.table.get(key)
     for n in range(500):
         quotas.account(0.5, f"once-{n}", CAPPED, 2)
@@ -93,7 +93,7 @@
 
 
 def test_at_once_caps_hold_in_a_gateway_whose_table_is_full():
-    d = Driver(accounts=10)
+    d = Driver(max_accounts=10)
     assert sends(d.ask(plan="few", customer="c")[1])  # 4 over 3 gateways: one at once
     for n in range(100):
         d.ask(plan="metered", customer=f"once-{n}")
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -59,7 +59,7 @@
 
 
 def test_a_spoilt_answer_puts_no_worker_out_and_a_break_does():
-    for status, stays in ((interface.SPOILT, True), (interface.BROKEN, False)):
+    for status, stays in ((interface.MALFORMED_RESPONSE, True), (interface.CONNECTION_RESET, False)):
         d = Driver()
         name, actions = d.ask("write")
         (worker,) = sends(actions)
@@ -78,7 +78,7 @@
     name, actions = d.ask()
     again = sends(d.pass_time(0.6))
     assert len(again) == 1 and again[0] != sends(actions)[0]
-    alone = Driver(second_copies=False)
+    alone = Driver(hedging=False)
     serve(alone, 60)
     name, actions = alone.ask()
     assert alone.pass_time(0.6) == []  # it may just be long, and a cancel may stop nothing
@@ -90,7 +90,7 @@
 
 
 def test_long_answers_are_not_called_off_and_lost_ones_are():
-    d = Driver(second_copies=False)
+    d = Driver(hedging=False)
     serve(d, 60)
     losing(d)
     assert d.gateway.fleet.tails.lost()
@@ -105,7 +105,7 @@
 
 def test_silence_past_the_aim_is_a_loss_where_later_requests_were_answered_and_frees_its_place():
     for answered in (True, False):
-        d = Driver(1, second_copies=False)
+        d = Driver(1, hedging=False)
         serve(d, 60)
         for _ in range(4):
             name, actions = d.ask("write", "few")
@@ -139,13 +139,13 @@
     for _ in range(200):
         name, actions = d.ask()
         while sent := sends(actions):
-            actions = d.answer(name, sent[0], interface.FULL if d.shots[name] else interface.FAILURE)
+            actions = d.answer(name, sent[0], interface.OVERLOADED if d.shots[name] else interface.FAILURE)
             further += bool(sends(actions))
     assert further <= 10 + 0.2 * 200
 
 
 def test_a_failed_subscription_is_asked_for_again_later():
-    d = Driver(must_subscribe=True)
+    d = Driver(requires_subscription=True)
     assert d.give(interface.WorkerList(failed=True)) == []
     assert d.pass_time(3) == [interface.Subscribe()]
 
@@ -154,7 +154,7 @@
     for make, field in (
         (lambda: interface.Plan("p", rate=-1.0), "Plan.rate"),
         (lambda: Driver(gateways=0), "Settings.gateways"),
-        (lambda: interface.Request("r", "k", "p", "c", 1.0, spread=0), "Request.spread"),
+        (lambda: interface.Request("r", "k", "p", "c", 1.0, gateway_count=0), "Request.gateway_count"),
     ):
         try:
             make()
@@ -168,7 +168,7 @@
     d = Driver(40, gateways=300)
     seen = serve(d, 80)
     assert 1 <= len(seen) <= 8
-    gone = tuple(interface.WorkerEntry(w, state=interface.GONE) for w in seen)
+    gone = tuple(interface.WorkerEntry(w, state=interface.REMOVED) for w in seen)
     d.give(interface.WorkerList(gone))
     again = serve(d, 80)
     assert 1 <= len(again) <= 8 and not set(again) & set(seen)
@@ -185,7 +185,7 @@
 
 
 def test_the_wait_for_a_cold_worker_shortens_as_it_warms():
-    d = Driver(0, gateways=300, ramp_time=20.0)
+    d = Driver(0, gateways=300, slow_start_duration=20.0)
     d.give(workers(1, started=0.0))
     d.ask()  # nothing known of any rate: the turn is drawn from a long pause
     cold = d.gateway.fleet.workers["w0"]
--- a/tests/decisions/test_hard_cases.py
+++ b/tests/decisions/test_hard_cases.py
@@ -120,13 +120,13 @@
     (worker,) = sends(actions)
     mate = {"p0": "p1", "p1": "p0", "q0": "q1", "q1": "q0"}[worker]
     d.give(interface.WorkerList((interface.WorkerEntry(mate, zone="a", cell=0 if mate[0] == "p" else 1, state=state),)))
-    return mate, d.answer(name, worker, interface.BROKEN, terminal=False)
+    return mate, d.answer(name, worker, interface.CONNECTION_RESET, terminal=False)
 
 
 def test_a_keyed_repeat_goes_to_the_pods_other_member_and_nowhere_else_where_that_one_drains():
     mate, actions = pod(interface.HEALTHY)
     assert sends(actions) == [mate]
-    for state in (interface.DRAINING, interface.GONE):
+    for state in (interface.DRAINING, interface.REMOVED):
         _, actions = pod(state)
         assert not sends(actions) and [type(action) for action in actions] == [interface.Fail]
 
--- a/tests/decisions/test_long_bodies.py
+++ b/tests/decisions/test_long_bodies.py
@@ -4,17 +4,17 @@
 
 from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.interface import (
-    Abandoned,
     Cancel,
+    ClientDisconnected,
     Fail,
     Outcome,
     Refuse,
     Request,
+    RequestComplete,
     Send,
     SetTimer,
     StreamStarted,
     TimerFired,
-    Whole,
     WorkerEntry,
     WorkerList,
 )
@@ -26,7 +26,7 @@
 
 
 def gateway():
-    plans = Plan("basic"), Plan("two", at_once=2.0)
+    plans = Plan("basic"), Plan("two", concurrency_limit=2.0)
     made = Gateway(Settings(CLASSES, plans, max_attempts=3, can_cancel=True), 1, 0.0)
     made.handle(0.0, WorkerList(tuple(WorkerEntry(f"w{n}") for n in range(3)), whole=True))
     return made
@@ -37,7 +37,7 @@
 
 
 def begin(module, now, klass="write", name="r", plan="basic"):
-    actions = module.handle(now, Request(name, klass, plan, "c", 2.0, whole=False))
+    actions = module.handle(now, Request(name, klass, plan, "c", 2.0, complete=False))
     assert not of(actions, SetTimer), "its time has not begun"
     return of(actions, Send)[0].worker
 
@@ -45,7 +45,7 @@
 def test_time_begins_with_the_last_byte():
     module = gateway()
     worker = begin(module, 0.0)
-    actions = module.handle(30.0, Whole("r"))
+    actions = module.handle(30.0, RequestComplete("r"))
     assert max(timer.delay for timer in of(actions, SetTimer)) == pytest.approx(2.0, abs=0.01)
     module.handle(30.2, Outcome("r", 0, worker, interface.SUCCESS, terminal=True, took=0.2))
     assert not module.out and not module._timers and not module._pending
@@ -57,7 +57,7 @@
         begin(module, 0.0, name=f"slow{n}")
     for n in range(40):
         worker = module.out[f"slow{n}", 0].worker
-        module.handle(9.0, Abandoned(f"slow{n}"))
+        module.handle(9.0, ClientDisconnected(f"slow{n}"))
         module.handle(9.0, Outcome(f"slow{n}", 0, worker, interface.CANCELLED, terminal=True, took=9.0))
     assert not module.throttle.on
     seen = {of(module.handle(9.1, Request(f"x{n}", "write", "basic", "d", 2.0)), Send)[0].worker for n in range(30)}
@@ -67,16 +67,23 @@
 @pytest.mark.parametrize("klass", EFFECTS)
 @pytest.mark.parametrize("kept", [True, False])
 @pytest.mark.parametrize(
-    "status", [interface.UNREACHABLE, interface.FULL, interface.BROKEN, interface.FAILURE, interface.SPOILT]
+    "status",
+    [
+        interface.UNREACHABLE,
+        interface.OVERLOADED,
+        interface.CONNECTION_RESET,
+        interface.FAILURE,
+        interface.MALFORMED_RESPONSE,
+    ],
 )
 def test_what_may_follow_by_class_and_by_what_is_kept_and_known(klass, kept, status):
     module = gateway()
     worker = begin(module, 0.0, klass)
     whole = status != interface.UNREACHABLE
     if whole:
-        module.handle(1.0, Whole("r", kept))
-    actions = module.handle(1.1, Outcome("r", 0, worker, status, terminal=False, took=0.1, kept=kept))
-    never = status in interface.NEVER_RAN
+        module.handle(1.0, RequestComplete("r", kept))
+    actions = module.handle(1.1, Outcome("r", 0, worker, status, terminal=False, took=0.1, retryable=kept))
+    never = status in interface.NOT_EXECUTED_STATUSES
     again = kept and (never or klass != "write")
     assert bool(of(actions, Send)) == again
     assert bool(of(actions, Refuse)) == (not again and never) and bool(of(actions, Fail)) == (not again and not never)
@@ -88,7 +95,7 @@
     actions = module.handle(1.0, Outcome("r", 0, first, interface.UNREACHABLE, terminal=False, took=1.0))
     second = of(actions, Send)[0].worker
     assert second != first and not of(actions, SetTimer)
-    assert of(module.handle(5.0, Whole("r")), SetTimer)
+    assert of(module.handle(5.0, RequestComplete("r")), SetTimer)
     module.handle(5.1, Outcome("r", 1, second, interface.SUCCESS, terminal=True, took=0.1))
     assert not module._pending
 
@@ -96,7 +103,7 @@
 def test_without_the_body_there_is_no_hedge():
     module = gateway()
     worker = begin(module, 0.0, "read")
-    timers = of(module.handle(1.0, Whole("r", kept=False)), SetTimer)
+    timers = of(module.handle(1.0, RequestComplete("r", retryable=False)), SetTimer)
     for timer in sorted(timers, key=lambda each: each.delay)[:-1]:  # all but the deadline
         assert not of(module.handle(1.0 + timer.delay, TimerFired(timer.ref)), Cancel | Send)
     assert module.out["r", 0].worker == worker
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -67,12 +67,12 @@
 
 
 def test_timers_are_forgotten_with_what_they_were_set_for():
-    d = Driver(second_copies=False)
+    d = Driver(hedging=False)
     name, actions = d.ask("read")
     assert len(d.gateway._timers) == 3  # aim, hedge, deadline
     (worker,) = sends(actions)
     assert sends(d.answer(name, worker, interface.FAILURE)) and len(d.gateway._timers) == 3  # of the second attempt
-    d.give(interface.Abandoned(name))
+    d.give(interface.ClientDisconnected(name))
     assert len(d.gateway._timers) == 2
     d.answer(name, "w0", interface.TIMED_OUT)
     assert not d.gateway._timers
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -11,10 +11,10 @@
 STATUSES = [
     interface.SUCCESS,
     interface.FAILURE,
-    interface.FULL,
+    interface.OVERLOADED,
     interface.TIMED_OUT,
     interface.UNREACHABLE,
-    interface.BROKEN,
+    interface.CONNECTION_RESET,
 ]
 STEPS = st.lists(
     st.tuples(
@@ -35,7 +35,7 @@
         self.state: dict[str, str] = {f"w{n}": interface.HEALTHY for n in range(6)}
         self.started: dict[str, float] = {}
         self.spent: list[tuple[float, float]] = []
-        self.copies = changes.get("second_copies", True)
+        self.copies = changes.get("hedging", True)
         super().__init__(**changes)
 
     def give(self, event: interface.Event, after: float = 0.0) -> list[interface.Action]:
@@ -46,7 +46,7 @@
                 self.check_send(action)
             elif isinstance(action, interface.Refuse):
                 tries = self.open.pop(action.request)["tries"]
-                assert all(t["status"] in interface.NEVER_RAN for t in tries)
+                assert all(t["status"] in interface.NOT_EXECUTED_STATUSES for t in tries)
             elif isinstance(action, interface.Fail):
                 del self.open[action.request]
             elif isinstance(action, interface.Cancel) and (key := (action.request, action.attempt)) in self.out:
@@ -60,7 +60,7 @@
         assert self.now < request["deadline"]
         assert self.state[action.worker] == interface.HEALTHY
         assert self.copies or all(t["status"] for t in tries)
-        ran = [t for t in tries if t["status"] not in interface.NEVER_RAN]
+        ran = [t for t in tries if t["status"] not in interface.NOT_EXECUTED_STATUSES]
         if ran and request["effect"] == interface.SIDE_EFFECT:
             raise AssertionError("an unsafe request went out again")
         if ran and request["effect"] == interface.TOKEN:
@@ -112,7 +112,7 @@
             )
         elif what == "list":
             name = f"w{n % 6}"
-            state = [interface.HEALTHY, interface.DRAINING, interface.GONE, interface.HEALTHY][n // 6 % 4]
+            state = [interface.HEALTHY, interface.DRAINING, interface.REMOVED, interface.HEALTHY][n // 6 % 4]
             self.state[name], start = state, None
             if state == interface.HEALTHY:
                 self.started[name] = start = self.now
@@ -124,12 +124,12 @@
         elif what == "abandon" and self.open:
             name = list(self.open)[n % len(self.open)]
             del self.open[name]
-            self.give(interface.Abandoned(name))
+            self.give(interface.ClientDisconnected(name))
 
 
 @given(STEPS, st.booleans(), st.booleans())
 def test_rules_hold_under_any_legal_order(steps, copies, cancel):
-    d = Watch(second_copies=copies, can_cancel=cancel)
+    d = Watch(hedging=copies, can_cancel=cancel)
     for what, n in steps:
         d.step(what, n)
         assert all(d.now <= r["deadline"] for r in d.open.values()) or d.pass_time(0) is not None
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -59,7 +59,7 @@
 
 def test_idle_customers_age_out_but_not_before_their_ceiling_is_full():
     quotas = Quotas(0.0)
-    capped = interface.Plan("capped", rate=1.0, burst=3.0, ceiling_rate=0.03, ceiling_depth=3.0)
+    capped = interface.Plan("capped", rate=1.0, burst=3.0, ceiling_rate=0.03, ceiling_capacity=3.0)
     a = quotas.account(0.0, "slow", capped, 3)
     for n in range(1000):
         quotas.account(1.0, f"c{n}", PLAN, 3)
@@ -105,13 +105,13 @@
     assert sends(d.ask(time_left=3.0)[1])  # clients here wait 3 s a try, of 4 in all
     for left, repeat, goes in ((3.0, True, True), (2.5, True, False), (2.5, False, True)):
         d.made += 1
-        event = interface.Request(f"r{d.made}", "read", "free", "c", left, repeat=repeat)
+        event = interface.Request(f"r{d.made}", "read", "free", "c", left, client_retry=repeat)
         assert bool(sends(d.give(event))) is goes
 
 
 def test_naming_a_customer_wrongly_fills_no_store_again():
     other = interface.Plan("other", rate=9.0, burst=90.0)
-    capped = interface.Plan("capped", rate=3.0, burst=6.0, ceiling_rate=6.0, ceiling_depth=24.0)
+    capped = interface.Plan("capped", rate=3.0, burst=6.0, ceiling_rate=6.0, ceiling_capacity=24.0)
     quotas = Quotas(-60.0)
     a = quotas.account(0.0, "c", capped, 2)
     quotas.take(a, 3.0, True)
@@ -127,14 +127,16 @@
     d = Driver()
     for left in (2.0, 3.9, 0.5):
         d.made += 1
-        d.give(interface.Request(f"r{d.made}", "read", "free", "c", left, repeat=left == 3.9))
+        d.give(interface.Request(f"r{d.made}", "read", "free", "c", left, client_retry=left == 3.9))
     for left, goes in ((2.0, True), (0.5, True), (3.9, True), (2.8, False), (1.0, False)):
         d.made += 1
-        assert bool(sends(d.give(interface.Request(f"r{d.made}", "read", "free", "c", left, repeat=True)))) is goes
+        assert (
+            bool(sends(d.give(interface.Request(f"r{d.made}", "read", "free", "c", left, client_retry=True)))) is goes
+        )
     for _ in range(100):
         d.ask(time_left=3.0)
     assert len(d.gateway.waits._waits["read"]) == 32  # and a wait that nobody shows any more is forgotten
-    assert not sends(d.give(interface.Request("last", "read", "free", "c", 0.5, repeat=True)))
+    assert not sends(d.give(interface.Request("last", "read", "free", "c", 0.5, client_retry=True)))
 
 
 def test_coarse_readings_of_a_short_meter_are_averaged():
@@ -230,14 +232,17 @@
     # Parts that follow the traffic add up to the whole: running ahead of one of those would not.
     quotas, a = calm()
     move(
-        quotas, 19.0, interface.Shares(1, 99.0, 99.0, changes=(interface.Share(a.key, 0.2, 0.0, 3),)), {PLAN.name: PLAN}
+        quotas,
+        19.0,
+        interface.ShareUpdate(1, 99.0, 99.0, changes=(interface.ResourceShare(a.key, 0.2, 0.0, 3),)),
+        {PLAN.name: PLAN},
     )
     assert a.over != a.spread
     assert let_in(quotas, a) <= a.depth
 
 
 def test_places_at_once_follow_what_the_others_may_have_out():
-    plan = interface.Plan("both", rate=4.0, burst=12.0, at_once=2.0, excess_cost=0.1)
+    plan = interface.Plan("both", rate=4.0, burst=12.0, concurrency_limit=2.0, excess_cost=0.1)
     quotas, a = calm(plan=plan)
     a.took, a.out = 0.1, 1
     assert quotas.inside(a, 1.0, False)  # its part has one place, but the others surely have none out
@@ -250,7 +255,7 @@
     a = Quotas(0.0).account(0.0, "c", plan, 3)
     a.out = 1
     assert not quotas.inside(a, 1.0, False)  # nothing is known of it
-    quotas, a = calm(plan=interface.Plan("one", rate=4.0, burst=12.0, at_once=1.0))
+    quotas, a = calm(plan=interface.Plan("one", rate=4.0, burst=12.0, concurrency_limit=1.0))
     a.out = 1
     assert not quotas.inside(a, 1.0, False)
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -22,20 +22,20 @@
 def test_abandoned_requests_get_nothing_more():
     d = Driver()
     name, actions = d.ask()
-    d.give(interface.Abandoned(name))
+    d.give(interface.ClientDisconnected(name))
     assert d.answer(name, sends(actions)[0], interface.UNREACHABLE) == []
     assert d.pass_time(5) == []
 
 
 def test_an_unsafe_request_that_may_have_run_is_failed_not_repeated():
-    for status in (interface.FAILURE, interface.BROKEN, interface.TIMED_OUT, interface.CANCELLED):
+    for status in (interface.FAILURE, interface.CONNECTION_RESET, interface.TIMED_OUT, interface.CANCELLED):
         d = Driver()
         name, actions = d.ask("write")
         assert d.answer(name, sends(actions)[0], status) == [interface.Fail(name)]
 
 
 def test_an_unsafe_request_that_never_ran_goes_elsewhere():
-    for status in (interface.FULL, interface.UNREACHABLE):
+    for status in (interface.OVERLOADED, interface.UNREACHABLE):
         d = Driver()
         name, actions = d.ask("write")
         first = sends(actions)[0]
@@ -75,7 +75,7 @@
 
 def test_no_worker_at_all_is_a_refusal():
     d = Driver(1)
-    d.give(interface.WorkerList((interface.WorkerEntry("w0", state=interface.GONE),)))
+    d.give(interface.WorkerList((interface.WorkerEntry("w0", state=interface.REMOVED),)))
     name, actions = d.ask()
     assert len(actions) == 1 and isinstance(actions[0], interface.Refuse)
 
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -11,13 +11,13 @@
 from micagate.shares import MOVED, Shares
 from rig.driver import Driver, sends
 
-CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_depth=40.0)
+CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0)
 PLANS = {CAPPED.name: CAPPED}
 KEY = customer_key("capped", "c")
 
 
 def moved(session=1, lent=0.0, borrowed=0.0, until=10.0, key=KEY, **more):
-    return interface.Shares(session, until, until, (interface.Share(key, lent, borrowed),), **more)
+    return interface.ShareUpdate(session, until, until, (interface.ResourceShare(key, lent, borrowed),), **more)
 
 
 def test_the_divisor_is_the_count_to_the_letter_where_nothing_moved():
@@ -30,7 +30,7 @@
     assert shares.over(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 + 0.5), 1 / (1 / 3 + 0.5 * MOVED)))
     shares.change(moved(lent=1 / 3))
     assert shares.over(0.0, KEY, 3)[0] == math.inf
-    shares.change(interface.Shares(1, 10.0, 10.0, over=True))
+    shares.change(interface.ShareUpdate(1, 10.0, 10.0, expired=True))
     assert not shares and shares.over(0.0, KEY, 3) == (3, 3)
 
 
@@ -76,7 +76,10 @@
             until = now + 1.5
             freed = move(lender, now, moved(1, lent=0.4, until=until), PLANS)
             move(
-                borrower, now, interface.Shares(1, until, until, (interface.Share(KEY, 0.0, 0.4),), tuple(freed)), PLANS
+                borrower,
+                now,
+                interface.ShareUpdate(1, until, until, (interface.ResourceShare(KEY, 0.0, 0.4),), tuple(freed)),
+                PLANS,
             )
         for quotas in pair:
             for _ in range(4):
@@ -104,17 +107,23 @@
     spend(borrower, 0.0, 4.0, step=0.01)
     there = borrower.account(4.0, "c", CAPPED, 2)
     level = there.ceiling
-    (freed,) = move(lender, 4.0, interface.Shares(1, 9.0, 9.0, (interface.Share(KEY, 0.4, 0.0, 2),)), PLANS)
+    (freed,) = move(
+        lender, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.4, 0.0, 2),)), PLANS
+    )
     moved_on = 0.4 * MOVED  # of the stores less moves than of the rate
-    assert freed.store == pytest.approx(moved_on) and freed.ceiling == pytest.approx(moved_on)
+    assert freed.quota == pytest.approx(moved_on) and freed.ceiling == pytest.approx(moved_on)
     assert lender.account(4.0, "c", CAPPED, 2).ceiling == pytest.approx((0.5 - moved_on) * 40)
-    assert not move(borrower, 4.0, interface.Shares(1, 9.0, 9.0, (interface.Share(KEY, 0.0, 0.4, 2),), (freed,)), PLANS)
+    assert not move(
+        borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.0, 0.4, 2),), (freed,)), PLANS
+    )
     assert there.ceiling == pytest.approx(level + moved_on * 40)
-    (back,) = move(borrower, 4.0, interface.Shares(1, 9.0, 9.0, (interface.Share(KEY, 0.0, 0.0, 2),)), PLANS)
+    (back,) = move(
+        borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.0, 0.0, 2),)), PLANS
+    )
     assert back.ceiling * 40 + there.ceiling == pytest.approx(level + moved_on * 40)
     # A share that comes with more than it holds spills; a thing of an unknown plan is left.
-    fills = interface.Fill(KEY, 1.0, 1.0), interface.Fill("c/none/c", 1.0, 1.0)
-    move(borrower, 4.0, interface.Shares(1, 9.0, 9.0, (), fills), PLANS)
+    fills = interface.BucketLevels(KEY, 1.0, 1.0), interface.BucketLevels("c/none/c", 1.0, 1.0)
+    move(borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (), fills), PLANS)
     assert there.ceiling == pytest.approx(20) and there.store == pytest.approx(10)
 
 
@@ -128,7 +137,7 @@
         move(
             quotas,
             second,
-            interface.Shares(1, second + 1.5, second + 1.5, (interface.Share(key, 0.0, 0.6),)),
+            interface.ShareUpdate(1, second + 1.5, second + 1.5, (interface.ResourceShare(key, 0.0, 0.6),)),
             {plan.name: plan},
         )
     assert quotas.account(6.0, "c", plan, 3).slice >= 0.9 * 12
@@ -142,45 +151,47 @@
     for _ in range(1):
         assert sends(d.ask(plan="few")[1])
     assert not sends(d.ask(plan="few")[1])  # 4 over 3 gateways: one
-    d.give(interface.Shares(1, 100.0, 100.0, (interface.Share(customer_key("few", "c"), 0.0, 0.5),)))
+    d.give(interface.ShareUpdate(1, 100.0, 100.0, (interface.ResourceShare(customer_key("few", "c"), 0.0, 0.5),)))
     assert sends(d.ask(plan="few")[1]) and sends(d.ask(plan="few")[1])
 
 
 def test_a_cold_worker_s_room_that_is_lent_is_not_used_and_what_is_borrowed_is():
     def sent(share):
-        d = Driver(1, gateways=20, ramp_time=30.0)
+        d = Driver(1, gateways=20, slow_start_duration=30.0)
         for _ in range(40):  # warm: the pace becomes known
             name, actions = d.ask("read", after=0.02)
             for worker in sends(actions):
                 d.answer(name, worker, took=0.02)
         d.give(interface.WorkerList((interface.WorkerEntry("w0", zone="a", started=d.now),)))
-        d.give(interface.Shares(1, 1e9, 1e9, (share,) if share else ()))
+        d.give(interface.ShareUpdate(1, 1e9, 1e9, (share,) if share else ()))
         return sum(len(sends(d.ask("read", after=0.02)[1])) for _ in range(25))
 
-    assert sent(interface.Share(worker_key("w0"), lent=0.05)) == 0
-    assert sent(interface.Share(worker_key("w0"), borrowed=0.3)) >= sent(None)
+    assert sent(interface.ResourceShare(worker_key("w0"), lent=0.05)) == 0
+    assert sent(interface.ResourceShare(worker_key("w0"), borrowed=0.3)) >= sent(None)
 
 
 def test_a_survey_tells_what_was_asked_since_the_last_one_and_counts_from_the_first():
     d = Driver()
     d.ask(plan="metered", customer="a", units=2.0)
-    assert d.give(interface.Survey()) == [interface.Tallies(())]
+    assert d.give(interface.DemandQuery()) == [interface.DemandReport(())]
     d.ask(plan="metered", customer="a", units=2.0)
     d.ask(plan="metered", customer="a", units=1.0)
     d.ask(plan="free", customer="b")  # nothing is limited: nothing to share
     d.ask(plan="few", customer="a")
-    (tallies,) = d.give(interface.Survey())
-    found = {tally.key: tally for tally in tallies.tallies}
+    (tallies,) = d.give(interface.DemandQuery())
+    found = {tally.key: tally for tally in tallies.resources}
     assert set(found) == {customer_key("metered", "a"), customer_key("few", "a")}
-    assert found[customer_key("metered", "a")].asked == 3.0
-    assert found[customer_key("metered", "a")].whole == 3.0 and found[customer_key("few", "a")].open == 4
-    assert d.give(interface.Survey()) == [interface.Tallies(())]
+    assert found[customer_key("metered", "a")].requested_units == 3.0
+    assert (
+        found[customer_key("metered", "a")].total_rate == 3.0 and found[customer_key("few", "a")].concurrency_limit == 4
+    )
+    assert d.give(interface.DemandQuery()) == [interface.DemandReport(())]
 
 
 def test_a_survey_changes_no_decision():
     plain, asked = Driver(), Driver()
     for n in range(200):
-        asked.give(interface.Survey())
+        asked.give(interface.DemandQuery())
         for d in (plain, asked):
             name, actions = d.ask("read", plan="capped", customer=f"c{n % 5}", after=0.02)
             for worker in sends(actions):
--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -19,7 +19,7 @@
 
 READ = interface.RequestClass("read", aim=1.0, deadline=4.0)
 SETTINGS = interface.Settings(
-    (READ,), (interface.Plan("p"),), gateways=40, cold_from=0.25, ramp_time=10.0, fall_time=3.0
+    (READ,), (interface.Plan("p"),), gateways=40, slow_start_min_factor=0.25, slow_start_duration=10.0, fall_time=3.0
 )
 
 
@@ -88,7 +88,7 @@
     fleet = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
     name = fleet.arcs.ring[0].entry.worker
     for now in (1.0, 1.5):
-        serve(fleet, now, name, status=interface.FULL)
+        serve(fleet, now, name, status=interface.OVERLOADED)
     assert not fleet._healthy(1.65, fleet.workers[name])
     serve(fleet, 3.0, name)
     assert fleet._healthy(3.2, fleet.workers[name])
@@ -173,7 +173,7 @@
 
 
 def test_the_parts_of_a_ceiling_follow_who_sends_and_add_up_to_the_whole():
-    plan = interface.Plan("p", rate=4.0, burst=7.0, ceiling_rate=8.0, ceiling_depth=14.0, ceiling_slack=1.0)
+    plan = interface.Plan("p", rate=4.0, burst=7.0, ceiling_rate=8.0, ceiling_capacity=14.0, ceiling_slack=1.0)
     shares, filled = [0.5, 0.2, 0.1, 0.1, 0.05, 0.03, 0.02], 0.0
     for share in shares:
         quotas = Quotas(0.0, period=0.5)
--- a/tests/decisions/test_streams.py
+++ b/tests/decisions/test_streams.py
@@ -22,7 +22,7 @@
     name, actions = d.ask("stream")
     (worker,) = sends(actions)
     d.give(interface.StreamStarted(name, 0, worker, 0.1), after=0.1)
-    assert d.answer(name, worker, interface.BROKEN, terminal=True, took=2.0) == []
+    assert d.answer(name, worker, interface.CONNECTION_RESET, terminal=True, took=2.0) == []
     assert not d.gateway._pending
 
 
--- a/tests/endings/test_client_disconnects.py
+++ b/tests/endings/test_client_disconnects.py
@@ -108,22 +108,22 @@
 @pytest.mark.parametrize(
     ("status", "back"),
     [
-        (interface.VOID, True),
+        (interface.NOT_SENT, True),
         (interface.UNREACHABLE, True),
-        (interface.FULL, False),
-        (interface.BROKEN, False),
+        (interface.OVERLOADED, False),
+        (interface.CONNECTION_RESET, False),
         (interface.CANCELLED, False),
     ],
 )
 def test_units_and_ceiling_go_back_where_no_worker_had_the_request(status, back):
-    plan = interface.Plan("free", rate=1.0, burst=8.0, ceiling_rate=2.0, ceiling_depth=16.0, ceiling_slack=1.0)
+    plan = interface.Plan("free", rate=1.0, burst=8.0, ceiling_rate=2.0, ceiling_capacity=16.0, ceiling_slack=1.0)
     d = Driver(plans=(plan,))
     d.pass_time(60.0)
     name, actions = d.ask("write", plan="free", units=3.0, spread=1)
     (worker,) = sends(actions)
     account = d.gateway.out[name, 0].account
     before = account.store, account.ceiling, account.whole.level
-    d.give(interface.Abandoned(name))
+    d.give(interface.ClientDisconnected(name))
     d.answer(name, worker, status)
     more = 3.0 if back else 0.0
     assert account.store == pytest.approx(before[0] + more, abs=0.2)
--- a/tests/endings/test_hedges.py
+++ b/tests/endings/test_hedges.py
@@ -11,7 +11,7 @@
 from rig.fake_servers import Plugged, Worker, answer, run, until
 
 SETTINGS = interface.Settings(
-    (interface.RequestClass("read", 1.0, 4.0),), (interface.Plan("free"),), max_attempts=2, second_copies=True
+    (interface.RequestClass("read", 1.0, 4.0),), (interface.Plan("free"),), max_attempts=2, hedging=True
 )
 
 
@@ -61,7 +61,7 @@
         )
         await until(lambda: replies and replies[0] == 200)
         await until(lambda: len(module.outcomes) == 2)
-        assert sorted(module.outcomes) == [("here", interface.SUCCESS, True), ("there", interface.VOID, True)]
+        assert sorted(module.outcomes) == [("here", interface.SUCCESS, True), ("there", interface.NOT_SENT, True)]
         await there.open()
         await until(lambda: there.coming == 0 and there.connections > 0)
         await until(lambda: len(workers._processes["there"].idle) == 1)  # it stands, for whoever is next
--- a/tests/front/test_one_answer.py
+++ b/tests/front/test_one_answer.py
@@ -19,12 +19,12 @@
 
 SETTINGS = interface.Settings(
     (interface.RequestClass("read", 0.3, 1.0), interface.RequestClass("write", 0.3, 1.0, interface.SIDE_EFFECT)),
-    (interface.Plan("free"), interface.Plan("counted", rate=3.0, burst=6.0, at_once=2, excess_cost=1.0)),
+    (interface.Plan("free"), interface.Plan("counted", rate=3.0, burst=6.0, concurrency_limit=2, excess_cost=1.0)),
     gateways=40,
     max_attempts=3,
     can_cancel=True,
-    max_retry_advice=0.2,
-    counter_wait=0.05,
+    max_retry_after=0.2,
+    counter_timeout=0.05,
     meter_period=1.0,
 )
 HEADS = re.compile(rb"HTTP/1\.1 (\d{3}) ")
@@ -42,7 +42,8 @@
         if self.calls == self.fault:
             raise RuntimeError("the handler is closed")
         how = self.random.choice(
-            (interface.SUCCESS,) * 6 + (interface.FULL, interface.UNREACHABLE, interface.FAILURE, interface.BROKEN, "")
+            (interface.SUCCESS,) * 6
+            + (interface.OVERLOADED, interface.UNREACHABLE, interface.FAILURE, interface.CONNECTION_RESET, "")
         )
         if how:
             answer = Answer()
@@ -63,12 +64,16 @@
 
     def call(self, count, heard):
         status = self.random.choice(
-            (interface.SUCCESS, interface.SUCCESS, interface.SUCCESS, interface.FULL, interface.TIMED_OUT)
+            (interface.SUCCESS, interface.SUCCESS, interface.SUCCESS, interface.OVERLOADED, interface.TIMED_OUT)
         )
         wait = self.random.choice((0.0, 0.01, 0.05))
-        self.clock.after(wait, heard, interface.Counted(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait))
+        self.clock.after(
+            wait, heard, interface.CounterResult(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait)
+        )
         if status == interface.TIMED_OUT and self.random.random() < 0.5:
-            self.clock.after(wait + 0.1, heard, interface.Counted(count.name, interface.LATE, 1.0, wait + 0.1))
+            self.clock.after(
+                wait + 0.1, heard, interface.CounterResult(count.name, interface.LATE_RESPONSE, 1.0, wait + 0.1)
+            )
 
 
 class Case:
--- a/tests/gatekeeper/test_dispatcher.py
+++ b/tests/gatekeeper/test_dispatcher.py
@@ -81,9 +81,13 @@
 @pytest.mark.parametrize(
     ("sends", "changes", "expected"),
     [
-        (["nobody"], {}, [(0, interface.VOID, False)]),
-        (["w", "w"], {}, [(1, interface.VOID, False)]),  # never two at once
-        (["nobody"] * 3, {}, [(0, interface.VOID, False), (1, interface.VOID, False), (2, interface.VOID, False)]),
+        (["nobody"], {}, [(0, interface.NOT_SENT, False)]),
+        (["w", "w"], {}, [(1, interface.NOT_SENT, False)]),  # never two at once
+        (
+            ["nobody"] * 3,
+            {},
+            [(0, interface.NOT_SENT, False), (1, interface.NOT_SENT, False), (2, interface.NOT_SENT, False)],
+        ),
     ],
 )
 def test_what_may_not_be_sent_is_void_and_nothing_is_written(sends, changes, expected):
@@ -101,10 +105,10 @@
 def test_attempts_beyond_the_most_are_void():
     async def scenario():
         worker = await Worker("w", hang).start()
-        case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 3), second_copies=True)
+        case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 3), hedging=True)
         case.know(worker)
         case.submit(klass="read")
-        assert case.module.outcomes() == [(2, interface.VOID, False)]
+        assert case.module.outcomes() == [(2, interface.NOT_SENT, False)]
         assert case.dispatcher.guard.refused == {Reason.TOO_MANY_ATTEMPTS: 1}
         await until(lambda: len(worker.seen) == 2)
 
@@ -114,10 +118,10 @@
 def test_a_request_with_an_effect_is_not_sent_again_while_it_may_have_run():
     async def scenario():
         worker = await Worker("w", hang).start()
-        case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), second_copies=True)
+        case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), hedging=True)
         case.know(worker)
         case.submit(klass="write")
-        assert case.module.outcomes() == [(1, interface.VOID, False)]
+        assert case.module.outcomes() == [(1, interface.NOT_SENT, False)]
         assert case.dispatcher.guard.refused == {Reason.REPEAT_MAY_RUN_TWICE: 1}
         await until(lambda: len(worker.seen) == 1)
 
@@ -127,7 +131,7 @@
 def test_a_hedge_where_the_settings_allow_none_is_refused():
     async def scenario():
         worker = await Worker("w", hang).start()
-        case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), second_copies=False)
+        case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), hedging=False)
         case.know(worker)
         case.submit(klass="read")
         assert case.dispatcher.guard.refused == {Reason.HEDGE_NOT_ALLOWED: 1}
@@ -160,7 +164,7 @@
 
         def rules(event):
             """As the decisions do where they reckon with more time than there is."""
-            ending[0] = ending[0] or isinstance(event, interface.Ending)
+            ending[0] = ending[0] or isinstance(event, interface.StopRetrying)
             if isinstance(event, interface.Request) or isinstance(event, interface.Outcome) and not ending[0]:
                 return [interface.Send("r", "w")]
             return [interface.Fail("r")] if isinstance(event, interface.Outcome) else []
@@ -197,7 +201,7 @@
             case.know(worker)
             case.know(worker, status=status)
             case.submit()
-            assert case.module.outcomes() == [(0, interface.VOID, False)]
+            assert case.module.outcomes() == [(0, interface.NOT_SENT, False)]
             assert case.dispatcher.guard.refused == {Reason.ENDPOINT_NOT_READY: 1}
         assert not worker.seen and not worker.connections
 
@@ -274,7 +278,7 @@
             interface.TimerFired, interface.Fail("r"), interface.Refuse("r", 0.1), interface.Send("r", "w")
         )
         case.dispatcher._fired(1, "r")
-        assert case.replies == [502] and case.module.outcomes() == [(1, interface.VOID, True)]
+        assert case.replies == [502] and case.module.outcomes() == [(1, interface.NOT_SENT, True)]
         go.set()
         await until(lambda: len(case.module.outcomes()) == 2)
         assert case.module.outcomes()[1] == (0, interface.SUCCESS, True) and case.replies == [502]
@@ -288,7 +292,7 @@
         case = Case(lambda event: [])
         case.submit(left=0.1)
         await until(lambda: case.replies)
-        assert case.replies == [504] and isinstance(case.module.events[-1], interface.Abandoned)
+        assert case.replies == [504] and isinstance(case.module.events[-1], interface.ClientDisconnected)
         assert not case.dispatcher.holds("r")
 
     run(scenario())
@@ -343,7 +347,7 @@
         await until(lambda: worker.seen)
         case.dispatcher.abandon(request)
         case.dispatcher.abandon(request)
-        assert case.module.events.count(interface.Abandoned("r")) == 1
+        assert case.module.events.count(interface.ClientDisconnected("r")) == 1
         await until(lambda: case.module.outcomes())
         assert case.module.outcomes() == [(0, interface.TIMED_OUT, True)] and case.replies == []
 
@@ -358,7 +362,7 @@
         case.submit()  # the connection is on its way
         case.know(worker, status="draining")
         await until(lambda: case.module.outcomes())
-        assert case.module.outcomes() == [(0, interface.VOID, False)]  # nobody is to blame
+        assert case.module.outcomes() == [(0, interface.NOT_SENT, False)]  # nobody is to blame
         await until(lambda: worker.closed == worker.connections)
         assert not worker.seen
 
@@ -392,7 +396,7 @@
         self.aborted = True
 
 
-@pytest.mark.parametrize(("left", "status"), [(False, interface.UNREACHABLE), (True, interface.BROKEN)])
+@pytest.mark.parametrize(("left", "status"), [(False, interface.UNREACHABLE), (True, interface.CONNECTION_RESET)])
 def test_a_break_before_the_last_byte_left_proves_that_nothing_ran(left, status):
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
@@ -418,7 +422,7 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "status"), [(errno.EMFILE, interface.VOID), (errno.ECONNREFUSED, interface.UNREACHABLE)]
+    ("number", "status"), [(errno.EMFILE, interface.NOT_SENT), (errno.ECONNREFUSED, interface.UNREACHABLE)]
 )
 def test_a_shortage_on_this_side_is_held_against_no_worker(number, status, monkeypatch):
     async def scenario():
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -99,21 +99,21 @@
 
 
 def test_the_module_forgets_what_is_over_whatever_became_of_it():
-    d = Driver(second_copies=False)
+    d = Driver(hedging=False)
     ends = (
         interface.SUCCESS,
         interface.FAILURE,
-        interface.SPOILT,
-        interface.BROKEN,
+        interface.MALFORMED_RESPONSE,
+        interface.CONNECTION_RESET,
         interface.TIMED_OUT,
         interface.UNREACHABLE,
-        interface.FULL,
-        interface.VOID,
+        interface.OVERLOADED,
+        interface.NOT_SENT,
     )
     for n in range(400):
         name, actions = d.ask("read" if n % 2 else "write", customer=f"c{n}", after=0.05)
         if n % 7 == 0:
-            d.give(interface.Abandoned(name))
+            d.give(interface.ClientDisconnected(name))
         while went := sends(actions):
             actions = d.answer(name, went[0], ends[n % len(ends)], terminal=n % 7 == 0 or None)
     gateway = d.gateway
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -9,7 +9,7 @@
 from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.handover import state
 from micagate.handover.fields import Damaged
-from micagate.interface import Maintain, Outcome, Refuse, Request, Send, WorkerEntry, WorkerList
+from micagate.interface import Outcome, Refuse, Request, Send, SetMaintenance, WorkerEntry, WorkerList
 from oliveloft.takeover import wire
 
 CLASSES = (
@@ -18,14 +18,16 @@
 )
 PLANS = (
     Plan("basic", rate=2.0, burst=6.0, excess_cost=1.0),
-    Plan("team", rate=4.0, burst=8.0, at_once=2.0),
-    Plan("big", ceiling_rate=5.0, ceiling_depth=10.0),
+    Plan("team", rate=4.0, burst=8.0, concurrency_limit=2.0),
+    Plan("big", ceiling_rate=5.0, ceiling_capacity=10.0),
 )
 WORKERS = WorkerList(tuple(WorkerEntry(f"w{n}") for n in range(4)), whole=True)
 
 
 def gateway(seed=1, now=0.0, **how):
-    made = Gateway(Settings(CLASSES, PLANS, max_attempts=3, ramp_time=5.0, meter_period=1.0, **how), seed, now)
+    made = Gateway(
+        Settings(CLASSES, PLANS, max_attempts=3, slow_start_duration=5.0, meter_period=1.0, **how), seed, now
+    )
     made.handle(now, WORKERS)
     return made
 
@@ -44,7 +46,7 @@
         name, customer = f"r{self.count}", f"{self.random.randrange(6):016x}"
         klass = self.random.choice(("read", "write"))
         sent = None
-        for action in module.handle(now, Request(name, klass, plan, customer, 2.0, spread=2)):
+        for action in module.handle(now, Request(name, klass, plan, customer, 2.0, gateway_count=2)):
             if isinstance(action, Send):
                 sent = action.worker
                 self.open.append((name, 0, action.worker, now))
@@ -91,7 +93,7 @@
     module, clients = gateway(), Clients(seed)
     while clients.count < 300 or not module.out:
         clients.step(module)
-    module.handle(clients.now, Maintain("w1", True))
+    module.handle(clients.now, SetMaintenance("w1", True))
     taker = over(module, clients.now)
     assert set(taker.out) == set(module.out) and module.out
     for queue, other in zip(module.quotas.table.queues, taker.quotas.table.queues, strict=True):
@@ -135,7 +137,7 @@
 def test_bans_and_what_came_back_go_over():
     module = gateway()
     for name, out in (("w0", True), ("w1", True), ("w1", False)):
-        module.handle(1.0, Maintain(name, out))
+        module.handle(1.0, SetMaintenance(name, out))
     taker = over(module, 2.0)
     taker.handle(2.1, WORKERS)
     seen = set()
@@ -213,12 +215,12 @@
 
 
 def test_thirty_thousand_customers_are_copied_a_few_at_a_time_and_none_is_forgotten():
-    module = gateway(accounts=60_000)
+    module = gateway(max_accounts=60_000)
     quotas, now = module.quotas, 0.0
     for n in range(30_000):
         now += 0.0001
         quotas.take(quotas.account(now, f"{n:016x}", PLANS[0], 2), 1.0, True)
-    taker, random = gateway(4, now, accounts=60_000), Random(1)
+    taker, random = gateway(4, now, max_accounts=60_000), Random(1)
     copy, steps = state.Copy(module, now), 0
     while rows := copy.more(now, 40):
         state.put_accounts(taker, now, rows)
--- a/tests/operating/test_maintenance.py
+++ b/tests/operating/test_maintenance.py
@@ -5,7 +5,16 @@
 import pytest
 
 from micagate import Gateway, Plan, RequestClass, Settings, interface
-from micagate.interface import Maintain, Maintained, Outcome, Refuse, Request, Send, WorkerEntry, WorkerList
+from micagate.interface import (
+    MaintenanceResult,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
+    SetMaintenance,
+    WorkerEntry,
+    WorkerList,
+)
 from micagate.operating.maintenance import Maintenance
 
 READ = RequestClass("read", aim=1.0, deadline=4.0)
@@ -39,7 +48,7 @@
 
 
 def call(module, now, worker, out):
-    return next(a for a in module.handle(now, Maintain(worker, out)) if isinstance(a, Maintained)).known
+    return next(a for a in module.handle(now, SetMaintenance(worker, out)) if isinstance(a, MaintenanceResult)).known
 
 
 @pytest.mark.parametrize(
@@ -75,7 +84,7 @@
     module = gateway("a", "b")
     assert not call(module, 1.0, "nobody", True) and not call(module, 1.0, "nobody", False)
     assert call(module, 1.0, "a", True)
-    module.handle(2.0, WorkerList((WorkerEntry("a", state=interface.GONE),)))
+    module.handle(2.0, WorkerList((WorkerEntry("a", state=interface.REMOVED),)))
     assert call(module, 3.0, "a", True) and call(module, 3.0, "a", False)
     assert not call(module, 3.1, "a", False)
 
@@ -99,7 +108,7 @@
 @pytest.mark.parametrize("gateways", [1, 4, 40])
 def test_what_comes_back_among_sixty_gets_a_request_within_five_seconds(gateways):
     names = [f"w{n}" for n in range(60)]
-    how = {"gateways": gateways, "number": 0, "cold_from": 0.2, "ramp_time": 8.0}
+    how = {"gateways": gateways, "number": 0, "slow_start_min_factor": 0.2, "slow_start_duration": 8.0}
     module = gateway(*names, **how)
     traffic, random = Traffic(module), Random(3)
     for n in range(200):
@@ -115,7 +124,7 @@
 
 
 def test_what_comes_back_gets_one_request_until_it_has_answered():
-    module = gateway("a", "b", cold_from=0.2, ramp_time=8.0, gateways=4)
+    module = gateway("a", "b", slow_start_min_factor=0.2, slow_start_duration=8.0, gateways=4)
     traffic = Traffic(module)
     for n in range(100):
         traffic.ask(n / 50)
--- a/tests/planners/test_cold_workers.py
+++ b/tests/planners/test_cold_workers.py
@@ -30,8 +30,8 @@
             zone="a",
             max_attempts=3,
             can_cancel=True,
-            cold_from=COLD,
-            ramp_time=RAMP,
+            slow_start_min_factor=COLD,
+            slow_start_duration=RAMP,
             overload_factor=FACTOR,
             fall_time=FALL,
         )
--- a/tests/planners/test_paces.py
+++ b/tests/planners/test_paces.py
@@ -114,7 +114,7 @@
     made = cluster(1, True)
     made.clock.run(5.0)
     for _ in range(20):
-        made.holders[0].saw([interface.Work(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
+        made.holders[0].saw([interface.WorkerLoad(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
         made.clock.run(made.clock.now + 0.1)
     made.clock.run(made.clock.now + 6.0)  # it lies no more
     told = [made.ledger.workers(made.clock.now)[worker_key(f"w{n}")]["pace"] for n in (0, 7)]
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -59,7 +59,7 @@
         return ()
 
     def survey(self, works):
-        return interface.Tallies(())
+        return interface.DemandReport(())
 
 
 @contextlib.asynccontextmanager
--- a/tests/planning/test_demand.py
+++ b/tests/planning/test_demand.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from micagate.interface import Tally
+from micagate.interface import ResourceDemand
 from micagate.planning.demand import Demands
 
 
 def tally(asked, most=0.0, whole=10.0, burst=10.0, limit=0.0):
-    return Tally("k", 0, 3, asked, most, whole, burst, limit)
+    return ResourceDemand("k", 0, 3, asked, most, whole, burst, limit)
 
 
 def needs(demands, now, *tallies):
--- a/tests/recovery/test_write_ahead.py
+++ b/tests/recovery/test_write_ahead.py
@@ -8,7 +8,7 @@
 from micagate.recovery.write_ahead import MOST, OPEN, Marks, of_all
 from rig.crash_recovery import SURE, Variant, play
 
-PLAN = Plan("capped", rate=100.0, burst=100.0, ceiling_rate=12.0, ceiling_depth=48.0)
+PLAN = Plan("capped", rate=100.0, burst=100.0, ceiling_rate=12.0, ceiling_capacity=48.0)
 FREE = Plan("free", rate=3.0, burst=9.0)
 
 
