--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -132,11 +132,11 @@
     def _handle(self, n: int) -> Callable[[float, interface.Event], list[interface.Action]]:
         def handle(now: float, event: interface.Event) -> list[interface.Action]:
             gate = self.gates[n]
-            was = isinstance(gate, Gateway) and gate.throttle.on
+            was = isinstance(gate, Gateway) and gate.throttle.active
             actions = gate.handle(now, event)
             if isinstance(event, interface.Outcome) and event.status == interface.SUCCESS:
                 self.got += now - self.inside.pop(event.request, -math.inf) <= SETTINGS.classes[0].aim
-            self.controls += isinstance(gate, Gateway) and gate.throttle.on and not was
+            self.controls += isinstance(gate, Gateway) and gate.throttle.active and not was
             for action in actions:
                 if isinstance(action, interface.Send):
                     self._sent(n, now, action, event)
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -154,7 +154,7 @@
     giving, taking = Gateway(settings, 1, loop.time()), Gateway(settings, 2, loop.time())
     for n in range(customers):
         account = giving.quotas.account(loop.time(), f"{n:016x}", plan, 2)
-        giving.quotas.take(account, 1.0, True)
+        giving.quotas.spend(account, 1.0, True)
     longest, ended, random = 0.0, False, Random(3)
 
     async def tick() -> None:
@@ -182,7 +182,7 @@
         ended = True
         await asyncio.gather(*tasks)
         giver.stop()
-    assert good and len(taking.quotas.table) == customers, (good, len(taking.quotas.table))
+    assert good and len(taking.quotas.accounts) == customers, (good, len(taking.quotas.accounts))
     return {"handover_ms": round(1000 * took), "longest_pause_ms": round(1000 * longest, 1), "customers": customers}
 
 
@@ -277,7 +277,7 @@
             if n > 1500 and known is not None:
                 # A warm one serves this gateway 300 / 60 a second; of that so much, and twice that over its span.
                 warm = min(1.0, 0.2 + 0.8 * (now - back) / 8.0)
-                falls += len(known.out) > max(1.0, 2 * warm * 300 / 60)
+                falls += len(known.in_flight) > max(1.0, 2 * warm * 300 / 60)
     return {"cold_falls": falls}
 
 
--- a/benchmarks/power_loss.py
+++ b/benchmarks/power_loss.py
@@ -383,7 +383,7 @@
     case.lose()
     case.front = [0, 1]
     for gate in case.gates:
-        gate.fleet.among = 2 if by_who_is_up else case.count
+        gate.fleet.gateway_count = 2 if by_who_is_up else case.count
     return sum(case.served(3.0))
 
 
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -69,14 +69,14 @@
         began = time.thread_time()
         gate.quotas.account(now, f"again{n:012x}", PLANS[0], 1)
         longest = max(longest, time.thread_time() - began)
-    kept = len(gate.quotas.table)
+    kept = len(gate.quotas.accounts)
     now += 100.0  # all are idle
     for _ in range(kept):
         began = time.thread_time()
         gate.quotas.account(now, "late", PLANS[0], 1)
         longest = max(longest, time.thread_time() - began)
     gc.enable()
-    return {"memory_mb": memory, "kept": kept, "left": len(gate.quotas.table), "longest_ms": 1e3 * longest}
+    return {"memory_mb": memory, "kept": kept, "left": len(gate.quotas.accounts), "longest_ms": 1e3 * longest}
 
 
 def main() -> int:
--- a/micagate/account_table.py
+++ b/micagate/account_table.py
@@ -7,7 +7,7 @@
 from micagate.accounts import Account
 
 
-class Table:
+class AccountTable:
     """The accounts, bounded: those that asked once apart from those that asked again.
 
     Guards the usual customers against ever so many that come once: these only push out each other. Two
--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -103,22 +103,25 @@
         rank = self.ranks.get(a.plan.name)
         # Guards against starving: with a counter that bears little most of such customers are left to these parts.
         left = a.plan.ceiling_capacity + a.plan.ceiling_slack - 2 * a.plan.burst
-        bears = not a.plan.ceiling_rate or left >= a.spread
-        a.counted = rank is not None and bears and a.whole.sliver() and a.over == a.spread
-        if rank is None or not a.counted:
+        bears = not a.plan.ceiling_rate or left >= a.gateway_count
+        a.uses_counter = rank is not None and bears and a.quota_estimate.sliver() and a.rate_divisor == a.gateway_count
+        if rank is None or not a.uses_counter:
             return False
         asks = rank + fraction(a.key) < self.budget.level and self.budget.may(now)
-        if not asks and a.silent is None:
-            a.silent = now
+        if not asks and a.counter_unresponsive_since is None:
+            a.counter_unresponsive_since = now
         if a.plan.ceiling_rate:
-            if a.silent is None or a.filled < a.silent:
-                a.ceiling = 0.0
-            if a.silent is not None:
-                holders = min(a.spread, int(left / max(1.0, a.top)))
+            if a.counter_unresponsive_since is None or a.ceiling_filled_until < a.counter_unresponsive_since:
+                a.ceiling_balance = 0.0
+            if a.counter_unresponsive_since is not None:
+                holders = min(a.gateway_count, int(left / max(1.0, a.largest_request)))
                 if self._number is not None and (self._number - first) % self._gateways < holders:
-                    rate, since = a.plan.ceiling_rate - a.plan.rate, max(a.filled, a.silent)
-                    a.ceiling = min(left / holders, a.ceiling + (now - since) * rate / holders)
-            a.filled = now
+                    rate, since = (
+                        a.plan.ceiling_rate - a.plan.rate,
+                        max(a.ceiling_filled_until, a.counter_unresponsive_since),
+                    )
+                    a.ceiling_balance = min(left / holders, a.ceiling_balance + (now - since) * rate / holders)
+            a.ceiling_filled_until = now
         return asks
 
     def ask(self, now: float, a: Account, units: float, request: str = "") -> None:
@@ -157,9 +160,9 @@
         a = call.account
         self.budget.heard(now, event.status, event.took)
         if event.status == interface.SUCCESS:
-            a.silent = None
-        elif a.silent is None:
-            a.silent = now
+            a.counter_unresponsive_since = None
+        elif a.counter_unresponsive_since is None:
+            a.counter_unresponsive_since = now
         if event.status == interface.LATE_RESPONSE and call.kind == TRY and not call.sent:
             self.give_back(call)  # guards against places and units that stay taken for a try that was refused
         elif event.status == interface.TIMED_OUT:
@@ -202,7 +205,7 @@
         if gone or behind > depth * LAG:
             self._call(Call(RIGHT, a, call.where, (behind if behind > depth * LAG else 0.0) - gone * PLACE))
         if early > 0:
-            a.full_until = now + early
+            a.ceiling_full_until = now + early
         if call.kind == KEPT:
             return None
         inside = early <= 0 and (not taken or others - gone < int(a.plan.concurrency_limit))
--- a/micagate/deficit_sketch.py
+++ b/micagate/deficit_sketch.py
@@ -11,7 +11,7 @@
 PIECE = 1 << 12  # of them that are copied in one step
 
 
-class Debts:
+class DeficitSketch:
     """When accounts that were let go before they were full again would have been so, in bounded memory.
 
     Each is written in one place of each of two rows, the latest time wins, and the earlier of both is read
@@ -38,7 +38,7 @@
                 if self._added is not None:
                     self._added.append((number, place, row[place]))
 
-    def owed(self, now: float, key: str) -> float:
+    def deficit(self, now: float, key: str) -> float:
         """The seconds of filling that a returning account is short of."""
         first, second = self._places(key)
         return max(0.0, min(self._rows[0][first], self._rows[1][second]) - now)
--- a/micagate/estimates/metering.py
+++ b/micagate/estimates/metering.py
@@ -141,7 +141,7 @@
     return range(begins[0], begins[0] + sum(fits))
 
 
-class Whole:
+class QuotaEstimate:
     """What is in a customer's store of units over all gateways together, as far as this one can tell.
 
     Up to the end of the last metered period it is reckoned from the meter; since then from the own sends, which
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -11,7 +11,7 @@
 from micagate.resource_keys import worker_key
 from micagate.shares import Shares
 from micagate.worker import BACKOFF, LONGEST_BACKOFF, Worker
-from micagate.worker_subset import TOGETHER, Arcs
+from micagate.worker_subset import TOGETHER, WorkerSubset
 from micagate.workload import Workload
 
 # All ours, since the design leaves the choice of a worker open.
@@ -34,18 +34,18 @@
     def __init__(self, settings: interface.Settings, random: Random, now: float, shares: Shares) -> None:
         self._s, self._random, self._shares = settings, random, shares
         self.workers: dict[str, Worker] = {}
-        self.among = settings.gateways  # those that may send to a cold worker
-        self.owed: dict[str, float] = {}  # put back by operators, when, and not heard of since
+        self.gateway_count = settings.gateways  # those that may send to a cold worker
+        self.restored_at: dict[str, float] = {}  # put back by operators, when, and not heard of since
         self._usual: dict[str, float] = {}
         self._done, self._done_at = 0.0, now
         # Out, and not past its aim: when sent, the aim and where.
         self._waiting: dict[tuple[str, int], tuple[float, float, Worker]] = {}
-        self.serving, self.tails, self.recent = 0, Tails(now), Recent(now)
-        self.brisk = math.inf  # the shortest usual answer time so far, of the class that takes longest
+        self.usable_count, self.tails, self.recent = 0, Tails(now), Recent(now)
+        self.shortest_usual_latency = math.inf  # the shortest usual answer time so far, of the class that takes longest
         self._answers = 0
-        self.surveyed_at = now
+        self.reported_at = now
         self.workload: Workload | None = None  # counted once a survey has asked for it
-        self.arcs = Arcs(settings.number, settings.gateways)
+        self.subset = WorkerSubset(settings.number, settings.gateways)
         self._pooled: tuple[float, list[Worker]] | None = None  # the last pool, until anything changes
         self._aim = min(c.aim for c in settings.classes)
 
@@ -68,7 +68,7 @@
                     known.rank if known else source.random(),
                 )
                 if known is not None:
-                    fresh.out = known.out
+                    fresh.in_flight = known.in_flight
                     self._unlist(known)
                 self.workers[entry.worker] = known = fresh
             known.entry = entry
@@ -76,22 +76,22 @@
                 self._leave(known)
             elif not known.usable:
                 known.usable = True
-                self.arcs.add(known)
-        self.serving = len(self.arcs.ring)
+                self.subset.add(known)
+        self.usable_count = len(self.subset.ring)
         self._pooled = None
 
     def _unlist(self, worker: Worker) -> None:
         if worker.usable:
             worker.usable = False
-            self.arcs.remove(worker)
+            self.subset.remove(worker)
 
     def _leave(self, worker: Worker) -> None:
         """Give a worker no more; forget it if nothing is out there."""
         self._unlist(worker)
-        if not worker.out:
+        if not worker.in_flight:
             del self.workers[worker.entry.worker]
 
-    def usual(self, klass: interface.RequestClass) -> float:
+    def usual_latency(self, klass: interface.RequestClass) -> float:
         """The usual answer time of a class; its aim's tenth until something is known."""
         return self._usual.get(klass.name, klass.aim / 10)
 
@@ -104,15 +104,15 @@
         be tried, ever less the more it swallows. Harm: a lone unusually long request keeps the others away
         for a while.
         """
-        behind = [sent for sent in worker.out.values() if sent > worker.latest]
-        if not behind or now - max(behind[0], worker.heard) <= self._patience(worker):
+        behind = [sent for sent in worker.in_flight.values() if sent > worker.latest_answered_sent_at]
+        if not behind or now - max(behind[0], worker.last_response_at) <= self._patience(worker):
             return False
         pause: float = BACKOFF * 2 ** min(len(behind) - 1, 10)
         return now - behind[-1] < min(LONGEST_BACKOFF, pause)
 
     def _patience(self, worker: Worker) -> float:
         """How long a worker's silence is nothing unusual."""
-        return STALL * max(self._usual.values(), default=1.0) * max(1.0, min(2.0, worker.slow))
+        return STALL * max(self._usual.values(), default=1.0) * max(1.0, min(2.0, worker.relative_latency))
 
     def _queued(self, now: float, worker: Worker) -> list[float]:
         """When what a worker has before it was sent, without what is lost as far as can be told.
@@ -121,18 +121,20 @@
         answers lost on the way, of whatever cause: each would count as load until its client's deadline.
         Harm: unusually long requests among short ones count for nothing after a while.
         """
-        if not worker.out:
+        if not worker.in_flight:
             return []
-        return [sent for key, sent in worker.out.items() if key in self._waiting and not self._gone(now, worker, sent)]
+        return [
+            sent for key, sent in worker.in_flight.items() if key in self._waiting and not self._gone(now, worker, sent)
+        ]
 
     def _gone(self, now: float, worker: Worker, sent: float) -> bool:
         """Whether what was sent then is silent for unusually long, though later-sent ones were answered."""
-        return sent <= worker.latest and now - sent > self._patience(worker)
+        return sent <= worker.latest_answered_sent_at and now - sent > self._patience(worker)
 
     def _healthy(self, now: float, worker: Worker) -> bool:
-        if not worker.out:
-            return not worker.suspect() or now >= worker.until
-        if worker.suspect() and (now < worker.until or self._queued(now, worker)):
+        if not worker.in_flight:
+            return not worker.is_suspect() or now >= worker.backoff_until
+        if worker.is_suspect() and (now < worker.backoff_until or self._queued(now, worker)):
             return False  # one trial at a time
         return not self._stalled(now, worker)
 
@@ -143,37 +145,37 @@
         (factor - 1) x capacity x span; each gateway takes its own share of the rate a warm one serves it,
         or of one core at the briskest answer time known: in a jam the rate served says nothing.
         """
-        if (warm := self.warmth(now, worker)) is None:
+        if (warm := self.warm_up_factor(now, worker)) is None:
             return True
-        over, _ = self._shares.over(now, worker_key(worker.entry.worker), self.among)
-        if self.arcs.keeps and over == self.among:  # only those send to it in whose arcs it is
-            over = max(1.0, over * self.arcs.overlap())
+        over, _ = self._shares.over(now, worker_key(worker.entry.worker), self.gateway_count)
+        if self.subset.is_partial and over == self.gateway_count:  # only those send to it in whose arcs it is
+            over = max(1.0, over * self.subset.overlap())
         cap = (self._s.overload_factor - 1) * warm * self.rate(now) * self._s.fall_time
-        alone = (self._s.overload_factor - 1) * warm * self._s.fall_time / self.brisk / over
-        if over > self.among:
-            cap *= self.among / over  # lent; what is borrowed only shortens the turns
+        alone = (self._s.overload_factor - 1) * warm * self._s.fall_time / self.shortest_usual_latency / over
+        if over > self.gateway_count:
+            cap *= self.gateway_count / over  # lent; what is borrowed only shortens the turns
         spare = max(SPARE * cap, TOGETHER / over, alone)
         if spare <= 0:
             return False  # all of it is lent
         if spare < 1:  # with many gateways even one each is too much: they take turns by chance
             pause = self._s.fall_time / spare
-            if worker.turn is None:
-                worker.turn = now + pause * self._random.random()
-            elif worker.turn > now:  # what is left follows the pause: it shortens as the worker warms
-                worker.turn = now + (worker.turn - now) * min(1.0, pause / worker.pause)
-            worker.pause = pause
-            if now < worker.turn:
+            if worker.next_turn_at is None:
+                worker.next_turn_at = now + pause * self._random.random()
+            elif worker.next_turn_at > now:  # what is left follows the pause: it shortens as the worker warms
+                worker.next_turn_at = now + (worker.next_turn_at - now) * min(1.0, pause / worker.turn_interval)
+            worker.turn_interval = pause
+            if now < worker.next_turn_at:
                 return False
-        while worker.held and worker.held[0] <= now:
-            worker.held.popleft()
-        return len(worker.out) + len(worker.held) < max(1, int(cap))
+        while worker.held_slots_until and worker.held_slots_until[0] <= now:
+            worker.held_slots_until.popleft()
+        return len(worker.in_flight) + len(worker.held_slots_until) < max(1, int(cap))
 
     def rate(self, now: float) -> float:
         """What a warm worker serves this gateway in a second."""
         self._fade(now)
-        return self._done / RECENT / max(1, self.arcs.fit if self.arcs.keeps else self.serving)
+        return self._done / RECENT / max(1, self.subset.fit if self.subset.is_partial else self.usable_count)
 
-    def warmth(self, now: float, worker: Worker) -> float | None:
+    def warm_up_factor(self, now: float, worker: Worker) -> float | None:
         """The share of its capacity that a worker has which started lately; None for a warm one."""
         started = worker.entry.started
         if started is None or now - started >= self._s.slow_start_duration:
@@ -186,10 +188,10 @@
     def _slow(self, now: float, worker: Worker) -> float:
         """A worker's answer time over the usual, and what tells of it sooner where it is met seldom."""
         slow = worker.slowness(now)
-        if self.arcs.keeps and (queued := self._queued(now, worker)):  # it tells before its answer
+        if self.subset.is_partial and (queued := self._queued(now, worker)):  # it tells before its answer
             slow = max(slow, (now - queued[0]) / max(self._usual.values(), default=math.inf))
         # What a cold one has left of its capacity is learned too late by who meets it seldom.
-        return slow / (self.warmth(now, worker) or 1.0) if self.arcs.keeps else slow
+        return slow / (self.warm_up_factor(now, worker) or 1.0) if self.subset.is_partial else slow
 
     def _fade(self, now: float) -> None:
         self._done *= math.exp((self._done_at - now) / RECENT)
@@ -198,8 +200,8 @@
     def _pool(self, now: float) -> list[Worker]:
         """The workers to choose from, as they were last looked at."""
         if self._pooled is None or self._pooled[0] != now:
-            span = now if self.arcs.keeps else None
-            self._pooled = now, self._well(now, self._look(self.arcs.few, now=span))
+            span = now if self.subset.is_partial else None
+            self._pooled = now, self._well(now, self._look(self.subset.size, now=span))
         return self._pooled[1]
 
     def _well(self, now: float, looked: list[Worker]) -> list[Worker]:
@@ -216,12 +218,12 @@
         a few in a row would always meet the same others, and favour those with bad ones. Harm: the best of
         all is missed.
         """
-        ring = self.arcs.of(
-            span, None if now is None else lambda w: (self.warmth(now, w) is None and self._healthy(now, w))
+        ring = self.subset.members(
+            span, None if now is None else lambda w: (self.warm_up_factor(now, w) is None and self._healthy(now, w))
         )
         if zone is not None or cell is not None:
             ring = [w for w in ring if zone in (None, w.entry.zone) and cell in (None, w.entry.cell)]
-        elif span == self.serving <= LOOK:
+        elif span == self.usable_count <= LOOK:
             ring = [w for w in self.workers.values() if w.usable]
         if (many := len(ring)) > LOOK:
             begin, step = int(self._random.random() * many), 1 + int(self._random.random() * (many - 1))
@@ -247,7 +249,7 @@
         pool = self._pool(now)
         queued = [self._queued(now, w) for w in pool]
         out = sum(map(len, queued))
-        done = self._done * min(1.0, LOOK / max(1, self.arcs.few))  # of those that were looked at
+        done = self._done * min(1.0, LOOK / max(1, self.subset.size))  # of those that were looked at
         if out <= len(pool) * min(1.0, TOGETHER / self._s.gateways):
             return False
         age = now - sum(map(sum, queued)) / out
@@ -255,12 +257,12 @@
 
     def few(self) -> bool:
         """Whether too little is out and answered to measure a queue by."""
-        return len(self._waiting) + self._done < (KEEPS_ENOUGH if self.arcs.keeps else ENOUGH)
+        return len(self._waiting) + self._done < (KEEPS_ENOUGH if self.subset.is_partial else ENOUGH)
 
     def _slow_all_over(self, now: float) -> float:
         """The share to refuse, with too few out for Little's law: what the last answers say, pooled."""
         waiting = [(sent, aim) for sent, aim, w in self._waiting.values() if not self._gone(now, w, sent)]
-        return self.recent.pressed(now, waiting, self._aim, self._answers < ENOUGH, self.arcs.keeps)
+        return self.recent.pressed(now, waiting, self._aim, self._answers < ENOUGH, self.subset.is_partial)
 
     def pick(
         self,
@@ -275,13 +277,13 @@
         A gateway among many meets each worker too seldom to know any, and all at once would agree on the
         same favourite: so it keeps to a few of its own, which it meets often (subsetting).
         """
-        if self.owed and zone is None and cell is None and (name := self._back(now, tried)):
+        if self.restored_at and zone is None and cell is None and (name := self._back(now, tried)):
             return name
         for look in range(LOOKS):
             if look or zone is not None or cell is not None:
-                pool = self._well(now, self._look(self.serving, zone, cell))
-                if self.arcs.keeps:  # the room of cold ones is counted by arcs
-                    pool = [w for w in pool if self.warmth(now, w) is None]
+                pool = self._well(now, self._look(self.usable_count, zone, cell))
+                if self.subset.is_partial:  # the room of cold ones is counted by arcs
+                    pool = [w for w in pool if self.warm_up_factor(now, w) is None]
             else:
                 pool = self._pool(now)
             fit = [w for w in pool if w.entry.worker not in tried and self._has_room(now, w)]
@@ -295,10 +297,10 @@
         Guards against one that stands unused among many, or under control, since others look better. One
         request at a time, by the cold guard's room, and after `OWED` without.
         """
-        for name, since in list(self.owed.items()):
+        for name, since in list(self.restored_at.items()):
             worker = self.workers.get(name)
             if worker is None or not worker.usable or now - since > 10 * OWED:
-                del self.owed[name]
+                del self.restored_at[name]
             elif (
                 name not in tried
                 and not self._queued(now, worker)
@@ -317,12 +319,13 @@
         a few losses by chance make the load uneven for seconds.
         """
         once = klass.effect == interface.SIDE_EFFECT
-        lost = max(STALL, klass.aim / max(self.usual(klass), 1e-6)) if once else STALL
+        lost = max(STALL, klass.aim / max(self.usual_latency(klass), 1e-6)) if once else STALL
         waits = self._paced(now, klass, fit) if self._shares.paces else None
         waits = waits or [self._slow(now, w) * (1 + len(self._queued(now, w))) * self._far(w) for w in fit]
         return min(
             zip(waits, fit, strict=True),
-            key=lambda each: (each[0] + lost * each[1].loss(now, klass.name)) * (1.0 + 0.1 * self._random.random()),
+            key=lambda each: (each[0] + lost * each[1].loss_rate(now, klass.name))
+            * (1.0 + 0.1 * self._random.random()),
         )[1].entry.worker
 
     def _far(self, worker: Worker) -> float:
@@ -345,27 +348,27 @@
                 return None
             over, _ = self._shares.over(now, key, self._s.gateways)
             out = 1.0 / self._s.gateways + len(self._queued(now, worker))
-            waits.append(self._far(worker) * out * over / pace / max(self.usual(klass), 1e-6))
+            waits.append(self._far(worker) * out * over / pace / max(self.usual_latency(klass), 1e-6))
         return waits
 
-    def silent(self, now: float, name: str, klass: interface.RequestClass, lost: bool = True) -> None:
+    def record_no_response(self, now: float, name: str, klass: interface.RequestClass, lost: bool = True) -> None:
         """An attempt at a worker goes without an answer, or has one.
 
         Kept by class, since a worker may serve one well and lose another.
         """
         worker = self.workers.get(name)
-        if worker is not None and (lost or klass.name in worker.losses):
-            worker.lose(now, klass.name, lost, LEARN)
+        if worker is not None and (lost or klass.name in worker.loss_rates):
+            worker.record_loss(now, klass.name, lost, LEARN)
 
-    def sent(self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass) -> None:
+    def record_sent(self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass) -> None:
         """An attempt has gone to a worker."""
         worker, self._pooled = self.workers[name], None
         if self.workload is not None:
-            self.workload.sent(now, name, len(worker.out))
-        worker.out[key] = now
+            self.workload.sent(now, name, len(worker.in_flight))
+        worker.in_flight[key] = now
         self._waiting[key] = (now, klass.aim, worker)
-        if worker.turn is not None:
-            worker.turn = now + worker.pause * (0.5 + self._random.random())
+        if worker.next_turn_at is not None:
+            worker.next_turn_at = now + worker.turn_interval * (0.5 + self._random.random())
 
     def given_up(self, now: float, key: tuple[str, int]) -> None:
         """An attempt is past its aim: it has told of its lateness, and may be lost rather than waiting."""
@@ -377,12 +380,15 @@
         """An answer has begun: the worker lives, and what follows is no wait for it."""
         self._pooled = None
         waited = self._waiting.pop(key, None)
-        if waited is not None and key in waited[2].out:
-            waited[2].heard, waited[2].latest = now, max(waited[2].latest, waited[0])
+        if waited is not None and key in waited[2].in_flight:
+            waited[2].last_response_at, waited[2].latest_answered_sent_at = (
+                now,
+                max(waited[2].latest_answered_sent_at, waited[0]),
+            )
 
     def overtaken(self, name: str, sent: float) -> bool:
         """Whether the worker has answered something that was sent to it later."""
-        return (worker := self.workers.get(name)) is not None and sent <= worker.latest
+        return (worker := self.workers.get(name)) is not None and sent <= worker.latest_answered_sent_at
 
     def loses(self, now: float, name: str, klass: interface.RequestClass) -> bool:
         """Whether a worker goes on losing much of a class where another loses little.
@@ -394,8 +400,8 @@
         """
         if (worker := self.workers.get(name)) is None:
             return False
-        least = min((w.loss(now, klass.name) for w in self._look(self.serving)), default=0.0)
-        return worker.loss(now, klass.name) > max(LOSSY, LOSSIER * least)
+        least = min((w.loss_rate(now, klass.name) for w in self._look(self.usable_count)), default=0.0)
+        return worker.loss_rate(now, klass.name) > max(LOSSY, LOSSIER * least)
 
     def returned(
         self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass, status: str, took: float
@@ -404,40 +410,42 @@
         self._waiting.pop(key, None)
         self._pooled = None
         worker = self.workers.get(name)
-        sent = worker.out.pop(key, None) if worker is not None else None
+        sent = worker.in_flight.pop(key, None) if worker is not None else None
         if worker is None or sent is None:
             return
         if not worker.usable:
             self._leave(worker)
         if self.workload is not None:
-            self.workload.ended(now, name, len(worker.out) + 1, klass.name, self.usual(klass), status, took)
-        if status == interface.OVERLOADED and self.arcs.keeps:
-            worker.turned_away(now)
+            self.workload.ended(
+                now, name, len(worker.in_flight) + 1, klass.name, self.usual_latency(klass), status, took
+            )
+        if status == interface.OVERLOADED and self.subset.is_partial:
+            worker.record_overload(now)
         if status in (interface.TIMED_OUT, interface.OVERLOADED, interface.UNREACHABLE):
-            worker.held.append(now + self._s.fall_time)
+            worker.held_slots_until.append(now + self._s.fall_time)
         if status in (interface.CANCELLED, interface.NOT_SENT):
             return
         if status != interface.UNREACHABLE:
-            self.owed.pop(name, None)
+            self.restored_at.pop(name, None)
         if status in (interface.SUCCESS, interface.OVERLOADED, interface.FAILURE, interface.MALFORMED_RESPONSE):
-            worker.heard, worker.latest = now, max(worker.latest, sent)
-            self.silent(now, name, klass, lost=False)
+            worker.last_response_at, worker.latest_answered_sent_at = now, max(worker.latest_answered_sent_at, sent)
+            self.record_no_response(now, name, klass, lost=False)
         elif status == interface.CONNECTION_RESET:
-            self.silent(now, name, klass)
+            self.record_no_response(now, name, klass)
         if status == interface.SUCCESS:
             self._fade(now)
             self._done += 1
             usual = self._usual.setdefault(klass.name, took)
             self.recent.answered(now, took, klass.aim)
-            worker.slow = worker.slowness(now)
-            worker.answers += 1
-            learn = max(LEARN, 1 / (1 + worker.answers)) if self.arcs.keeps else LEARN  # it is met seldom
-            worker.slow += learn * (min(10.0, took / max(usual, 1e-6)) - worker.slow)
-            worker.learned, worker.fails, worker.fulls = now, 0, 0
+            worker.relative_latency = worker.slowness(now)
+            worker.response_count += 1
+            learn = max(LEARN, 1 / (1 + worker.response_count)) if self.subset.is_partial else LEARN  # it is met seldom
+            worker.relative_latency += learn * (min(10.0, took / max(usual, 1e-6)) - worker.relative_latency)
+            worker.latency_updated_at, worker.consecutive_failures, worker.consecutive_overloads = now, 0, 0
             self._usual[klass.name] = usual + LEARN / 3 * (took - usual)
             self._answers += 1
             if self._answers >= ENOUGH:
-                self.brisk = min(self.brisk, max(self._usual.values()))
+                self.shortest_usual_latency = min(self.shortest_usual_latency, max(self._usual.values()))
         elif status not in (
             interface.OVERLOADED,
             interface.MALFORMED_RESPONSE,
@@ -445,7 +453,7 @@
             # Errors that come at once draw ever more; who meets a worker seldom sees too few in a row.
             sudden = (
                 status in (interface.UNREACHABLE, interface.CONNECTION_RESET)
-                or self.arcs.keeps
+                or self.subset.is_partial
                 and status == interface.FAILURE
             )
-            worker.failed(now, sudden, self.arcs.keeps)
+            worker.record_failure(now, sudden, self.subset.is_partial)
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -48,7 +48,7 @@
         self.counting = Counting(settings, now, offset, self._random)
         self._held: dict[str, Pending] = {}  # tries that wait for their count
         self._pending: dict[str, Pending] = {}
-        self.out: dict[tuple[str, int], Attempt] = {}
+        self.in_flight: dict[tuple[str, int], Attempt] = {}
         self._timers: dict[int, tuple[str, str, int]] = {}
         self._refs = 0
         self.waits = Waits(settings.classes)
@@ -87,7 +87,7 @@
                     self._actions.append(interface.ReleasedLevels(tuple(freed)))
             case interface.DemandQuery():
                 seen = survey(now, self.fleet, self.quotas.shares, self._s.gateways)
-                tallies = (*self.quotas.survey(), *seen)
+                tallies = (*self.quotas.demand_report(), *seen)
                 self._actions.append(
                     interface.DemandReport(tallies, tuple(works(now, self.fleet)) if event.include_workers else ())
                 )
@@ -99,7 +99,7 @@
     def _list(self, now: float, event: interface.WorkerList) -> None:
         if not event.failed:
             self.fleet.update(now, self.maintenance.follow(event))
-            self.throttle.among(self.fleet.arcs.met, self.fleet.arcs.keeps)
+            self.throttle.set_workers(self.fleet.subset.reachable_count, self.fleet.subset.is_partial)
         if self._s.requires_subscription and (event.failed or not self._subscribed):
             self._subscribed = True
             if event.failed:  # ask again a little later: the list's service may be drowning
@@ -112,7 +112,7 @@
         if (news := change(now, event.worker, event.since)) is not None:
             self.fleet.update(now, news)
             if not event.out_of_service and news.entries:
-                self.fleet.owed[event.worker] = now
+                self.fleet.restored_at[event.worker] = now
         self._actions.append(interface.MaintenanceResult(event.worker, news is not None))
 
     def _request(self, now: float, event: interface.Request) -> None:
@@ -121,27 +121,27 @@
             self._actions.append(interface.Refuse(event.request, 0.0))
             return
         account = self.quotas.account(now, event.customer, plan, event.gateway_count)
-        self.quotas.count(account, event)
+        self.quotas.record_demand(account, event)
         pending = Pending(event, klass, account, now + event.time_left)
         counts = self.counting.counts(now, account, event.first_gateway)
-        pending.inside = not (counts and now < account.full_until) and self.quotas.inside(
-            account, event.units, self.throttle.on, counts
+        pending.within_quota = not (counts and now < account.ceiling_full_until) and self.quotas.is_within_quota(
+            account, event.units, self.throttle.active, counts
         )
         if not event.client_retry:
             self.waits.first(klass, event.time_left)
         self.budget = min(RETRY_DEPTH, self.budget + RETRY_SHARE)
         # Beyond the quota only where that pays, and never while the back end is pressed.
-        welcome = pending.inside or (plan.excess_revenue > plan.excess_cost and not self.throttle.on)
+        welcome = pending.within_quota or (plan.excess_revenue > plan.excess_cost and not self.throttle.active)
         welcome = welcome and not (event.client_retry and self.waits.too_late(klass, event.time_left))
-        if not welcome or not counts and not self.quotas.allowed(account, event.units, not pending.inside):
+        if not welcome or not counts and not self.quotas.ceiling_allows(account, event.units, not pending.within_quota):
             self._refuse(event.request, klass.aim)
             return
         worker = self.fleet.pick(now, klass, set())
-        part = self._part[klass.name] if self.throttle.on else 1.0
+        part = self._part[klass.name] if self.throttle.active else 1.0
         if worker is not None and not self.throttle.admit(now, part):
             worker = None
-        if worker is not None and self.fleet.overdue(now, account.room(), part):
-            self.throttle.signal(now, worker, plan.name, now)
+        if worker is not None and self.fleet.overdue(now, account.quota_headroom(), part):
+            self.throttle.record_signal(now, worker, plan.name, now)
             worker = None
         if worker is None:
             self._refuse(event.request, klass.aim)
@@ -157,14 +157,14 @@
         pending = self._held.pop(verdict.call.request, None)
         worker = None
         if pending is not None:
-            worker, pending.inside = self.fleet.pick(now, pending.klass, set()), verdict.inside is True
+            worker, pending.within_quota = self.fleet.pick(now, pending.klass, set()), verdict.inside is True
             if verdict.inside is None:
                 account, units = pending.account, pending.request.units
-                pending.inside = self.quotas.inside(account, units, self.throttle.on) and self.quotas.allowed(
-                    account, units, False
-                )
-            if worker is not None and pending.inside:
-                pending.call, verdict.call.sent = verdict.call, True
+                pending.within_quota = self.quotas.is_within_quota(
+                    account, units, self.throttle.active
+                ) and self.quotas.ceiling_allows(account, units, False)
+            if worker is not None and pending.within_quota:
+                pending.counter_call, verdict.call.sent = verdict.call, True
                 return self._first(now, pending, worker, verdict.inside is True)
             self._refuse(pending.request.request, pending.klass.aim)
         if verdict.inside:
@@ -172,11 +172,11 @@
 
     def _first(self, now: float, pending: Pending, worker: str, counted: bool = False) -> None:
         name, account = pending.request.request, pending.account
-        pending.counted = counted
-        self.quotas.take(account, pending.request.units, pending.inside, counted, pending.whole)
+        pending.on_counter = counted
+        self.quotas.spend(account, pending.request.units, pending.within_quota, counted, pending.complete)
         self._pending[name] = pending
         self._send(now, pending, worker)
-        if pending.whole:
+        if pending.complete:
             pending.timer = self._set_timer(pending.deadline - now - self._s.tick, "deadline", name, 0)
 
     def _refuse(self, request: str, aim: float) -> None:
@@ -188,10 +188,10 @@
         name, number, klass = pending.request.request, len(pending.attempts), pending.klass
         attempt = Attempt(self.fleet.workers[worker].entry, klass, now, pending)
         pending.attempts.append(attempt)
-        pending.account.out += 1
-        self.out[name, number] = attempt
+        pending.account.in_flight += 1
+        self.in_flight[name, number] = attempt
         self._actions.append(interface.Send(name, worker))
-        if pending.whole:
+        if pending.complete:
             self._began(now, pending, number)
 
     def _whole(self, now: float, name: str, kept: bool) -> None:
@@ -200,30 +200,30 @@
         What comes slowly would look like a worker that is slow.
         """
         pending = self._pending.get(name) or self._held.get(name)
-        if pending is None or pending.whole:
+        if pending is None or pending.complete:
             return
-        pending.whole, pending.kept, pending.deadline = True, kept, now + pending.request.time_left
+        pending.complete, pending.retryable, pending.deadline = True, kept, now + pending.request.time_left
         if not pending.attempts:
             return
-        self.quotas.arrived(now, pending.account, pending.request.units)
+        self.quotas.record_arrival(now, pending.account, pending.request.units)
         pending.timer = self._set_timer(pending.request.time_left - self._s.tick, "deadline", name, 0)
         number = len(pending.attempts) - 1
         if not pending.attempts[number].status:
-            pending.attempts[number].sent = now
+            pending.attempts[number].sent_at = now
             self._began(now, pending, number)
 
     def _began(self, now: float, pending: Pending, number: int) -> None:
         """An attempt is out: a worker has all of it."""
         name, attempt, klass = pending.request.request, pending.attempts[number], pending.klass
         if attempt.worker in self.fleet.workers:
-            self.fleet.sent(now, attempt.worker, (name, number), klass)
+            self.fleet.record_sent(now, attempt.worker, (name, number), klass)
         attempt.timers.append(self._set_timer(klass.aim, "aim", name, number))
-        if pending.kept and number + 1 < self._s.max_attempts and klass.effect != interface.SIDE_EFFECT:
+        if pending.retryable and number + 1 < self._s.max_attempts and klass.effect != interface.SIDE_EFFECT:
             attempt.timers.append(self._set_timer(self._silence(klass), "hedge", name, number))
 
     def _silence(self, klass: interface.RequestClass) -> float:
         """How long an attempt may be out before its silence is unusual."""
-        return min(STALL * self.fleet.usual(klass), klass.aim / 2)
+        return min(STALL * self.fleet.usual_latency(klass), klass.aim / 2)
 
     def _ending(self, now: float, name: str) -> None:
         """The gateway ends: what waits for its count is refused, and what is out ends with its outcome."""
@@ -246,27 +246,27 @@
         return self._refs
 
     def _timer(self, now: float, kind: str, name: str, number: int) -> None:
-        attempt, pending = self.out.get((name, number)), self._pending.get(name)
+        attempt, pending = self.in_flight.get((name, number)), self._pending.get(name)
         if kind == "subscribe":
             self._actions.append(interface.Subscribe())
-        elif kind == "aim" and attempt is not None and not attempt.signalled:
-            attempt.signalled = True
+        elif kind == "aim" and attempt is not None and not attempt.overload_signalled:
+            attempt.overload_signalled = True
             self.fleet.given_up(now, (name, number))
-            if overtaken := self.fleet.overtaken(attempt.worker, attempt.sent):
+            if overtaken := self.fleet.overtaken(attempt.worker, attempt.sent_at):
                 self.fleet.tails.missed(now)
-                attempt.free()  # its answer was written and got lost: the customer's place is free
+                attempt.release_slot()  # its answer was written and got lost: the customer's place is free
             if overtaken or attempt.klass.effect == interface.SIDE_EFFECT:
-                self.fleet.silent(now, attempt.worker, attempt.klass)
+                self.fleet.record_no_response(now, attempt.worker, attempt.klass)
             lost = self.fleet.loses(now, attempt.worker, attempt.klass)
             if not lost and not self.fleet.recent.lossy():
-                self.throttle.signal(now, attempt.worker, attempt.account.plan.name, attempt.sent)
+                self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
         elif kind == "deadline" and pending is not None and not pending.streaming:
             self._end(pending)
         elif kind == "hedge" and attempt is not None and pending is not None and not pending.streaming:
-            if self.fleet.overtaken(attempt.worker, attempt.sent):  # else it may be a queue or a pause
-                self.fleet.silent(now, attempt.worker, attempt.klass)
+            if self.fleet.overtaken(attempt.worker, attempt.sent_at):  # else it may be a queue or a pause
+                self.fleet.record_no_response(now, attempt.worker, attempt.klass)
                 if self.fleet.tails.lost():
-                    attempt.free()
+                    attempt.release_slot()
             self._hedge(now, pending, number)
 
     def _hedge(self, now: float, pending: Pending, number: int) -> None:
@@ -276,9 +276,9 @@
         twice, which a cancel need not stop: so only where what is silent for so long was mostly lost lately,
         not long; the retry budget bounds it, and control switches it off but where a worker loses answers.
         """
-        if self.throttle.on and not self.fleet.loses(now, pending.attempts[number].worker, pending.klass):
+        if self.throttle.active and not self.fleet.loses(now, pending.attempts[number].worker, pending.klass):
             return
-        if pending.deadline - now < self.fleet.usual(pending.klass):
+        if pending.deadline - now < self.fleet.usual_latency(pending.klass):
             return
         if self._s.hedging:
             self._again(now, pending)
@@ -291,43 +291,52 @@
             self._actions.append(interface.Cancel(pending.request.request, number))  # its outcome sends it again
 
     def _started(self, now: float, name: str, number: int, took: float) -> None:
-        pending, attempt = self._pending.get(name), self.out.get((name, number))
+        pending, attempt = self._pending.get(name), self.in_flight.get((name, number))
         if attempt is not None:
             self._late(now, attempt, took)
             self.fleet.answering(now, attempt.worker, (name, number))
-            attempt.signalled = True  # what follows is the stream's length, no sign of load
+            attempt.overload_signalled = True  # what follows is the stream's length, no sign of load
         if pending is not None:
             pending.streaming = True
 
     def _late(self, now: float, attempt: Attempt, took: float) -> None:
-        if took > attempt.klass.aim and not attempt.signalled:
-            self.throttle.signal(now, attempt.worker, attempt.account.plan.name, attempt.sent)
+        if took > attempt.klass.aim and not attempt.overload_signalled:
+            self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
 
     def _outcome(self, now: float, event: interface.Outcome) -> None:
         key = (event.request, event.attempt)
-        attempt, pending = self.out.pop(key, None), self._pending.get(event.request)
+        attempt, pending = self.in_flight.pop(key, None), self._pending.get(event.request)
         if attempt is None:
             return  # late or repeated news
         for ref in attempt.timers:
             self._timers.pop(ref, None)
         attempt.status = event.status
-        attempt.end(event.took)
-        self.quotas.took += (event.took - self.quotas.took) * (EACH if self.quotas.took else 1.0)
+        attempt.finish(event.took)
+        self.quotas.mean_duration += (event.took - self.quotas.mean_duration) * (
+            EACH if self.quotas.mean_duration else 1.0
+        )
         if event.used is not None:
-            attempt.account.metered(now, event.used, self.quotas.meter, event.used_age)
+            attempt.account.record_reading(now, event.used, self.quotas.meter, event.used_age)
         self.fleet.returned(now, attempt.worker, key, attempt.klass, event.status, event.took)
         if event.status == interface.SUCCESS and event.took > self._silence(attempt.klass):
             self.fleet.tails.came(now, event.took > attempt.klass.aim)
         if event.status in (interface.OVERLOADED, interface.TIMED_OUT):
-            if not attempt.signalled and (event.status == interface.OVERLOADED or not self.fleet.recent.lossy()):
-                self.throttle.signal(now, attempt.worker, attempt.account.plan.name, attempt.sent)
-        elif attempt.group.whole:  # else its time is that of whoever sends the request
+            if not attempt.overload_signalled and (
+                event.status == interface.OVERLOADED or not self.fleet.recent.lossy()
+            ):
+                self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
+        elif attempt.pending.complete:  # else its time is that of whoever sends the request
             self._late(now, attempt, event.took)
         if pending is None:
-            settle(self.counting, attempt.group, self._pending)
+            settle(self.counting, attempt.pending, self._pending)
             return
-        if event.status == interface.SUCCESS and event.final_units and pending.inside and pending.account.plan.rate:
-            pending.account.store += pending.request.units - event.final_units
+        if (
+            event.status == interface.SUCCESS
+            and event.final_units
+            and pending.within_quota
+            and pending.account.plan.rate
+        ):
+            pending.account.balance += pending.request.units - event.final_units
         if event.terminal or event.status == interface.SUCCESS:
             self._over(event.request)
             if self._s.can_cancel:
@@ -338,7 +347,7 @@
             pass  # another copy is still out
         elif not event.retryable or now >= pending.deadline - self._s.tick or not self._again(now, pending):
             self._end(pending)
-        settle(self.counting, attempt.group, self._pending)
+        settle(self.counting, attempt.pending, self._pending)
 
     def _again(self, now: float, pending: Pending) -> bool:
         """Send a further attempt if effect, group, window, budget and bucket allow."""
@@ -348,17 +357,17 @@
             if klass.effect == interface.SIDE_EFFECT:
                 return False
             if klass.effect == interface.TOKEN:
-                if now > anchor.sent + klass.window - self._s.tick:
+                if now > anchor.sent_at + klass.window - self._s.tick:
                     return False
                 zone = anchor.zone if klass.group == "zone" else None
                 cell = anchor.cell if klass.group == "cell" else None
         # What did not come up cost the workers nothing, and a lost zone takes a third of all tries.
-        free = self.fleet.arcs.keeps and pending.attempts[-1].status == interface.UNREACHABLE
+        free = self.fleet.subset.is_partial and pending.attempts[-1].status == interface.UNREACHABLE
         if len(pending.attempts) >= self._s.max_attempts or self.budget < 1 and not free:
             return False
         worker = self.fleet.pick(now, klass, {a.worker for a in pending.attempts}, zone, cell)
-        part = self._part[klass.name] if self.throttle.on else 1.0
-        if worker is None or self.fleet.overdue(now, pending.account.room(), part):
+        part = self._part[klass.name] if self.throttle.active else 1.0
+        if worker is None or self.fleet.overdue(now, pending.account.quota_headroom(), part):
             return False
         if not self.throttle.admit(now, part):
             return False
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -20,25 +20,25 @@
 
 # What is written of each object: the written key, which never changes, and the attribute that it stands for.
 ACCOUNT = {
-    "slice": "slice",
-    "stood": "stood",
-    "store": "store",
-    "ceiling": "ceiling",
-    "at": "at",
-    "tick": "tick",
-    "asked": "asked",
+    "slice": "local_rate",
+    "stood": "metered_local_rate",
+    "store": "balance",
+    "ceiling": "ceiling_balance",
+    "at": "updated_at",
+    "tick": "ticked_at",
+    "asked": "demand",
     "forecast": "forecast",
-    "longer": "longer",
-    "top": "top",
-    "use": "use",
-    "read": "read",
-    "readings": "readings",
-    "fresh": "fresh",
-    "counted": "counted",
-    "silent": "silent",
-    "filled": "filled",
-    "full_until": "full_until",
-    "took": "took",
+    "longer": "long_forecast",
+    "top": "largest_request",
+    "use": "metered_use",
+    "read": "read_at",
+    "readings": "reading_count",
+    "fresh": "has_new_reading",
+    "counted": "uses_counter",
+    "silent": "counter_unresponsive_since",
+    "filled": "ceiling_filled_until",
+    "full_until": "ceiling_full_until",
+    "took": "mean_duration",
 }
 WHOLE = {
     "level": "level",
@@ -69,13 +69,13 @@
     "late": "late",
 }
 THROTTLE = {
-    "on": "on",
+    "on": "active",
     "rate": "rate",
-    "base": "base",
-    "fill": "fill",
-    "workers": "workers",
-    "plans": "plans",
-    "least": "least",
+    "base": "base_rate",
+    "fill": "bucket_level",
+    "workers": "worker_count",
+    "plans": "plan_count",
+    "least": "min_signals",
     "_born": "_born",
     "_leaked": "_leaked",
     "_since": "_since",
@@ -90,23 +90,23 @@
     "_usual": "_usual",
     "_done": "_done",
     "_done_at": "_done_at",
-    "brisk": "brisk",
+    "brisk": "shortest_usual_latency",
     "_answers": "_answers",
-    "owed": "owed",
+    "owed": "restored_at",
 }
 WORKER = {
-    "slow": "slow",
-    "learned": "learned",
-    "heard": "heard",
-    "latest": "latest",
-    "losses": "losses",
-    "fails": "fails",
-    "until": "until",
-    "turn": "turn",
-    "pause": "pause",
-    "answers": "answers",
-    "fulls": "fulls",
-    "held": "held",
+    "slow": "relative_latency",
+    "learned": "latency_updated_at",
+    "heard": "last_response_at",
+    "latest": "latest_answered_sent_at",
+    "losses": "loss_rates",
+    "fails": "consecutive_failures",
+    "until": "backoff_until",
+    "turn": "next_turn_at",
+    "pause": "turn_interval",
+    "answers": "response_count",
+    "fulls": "consecutive_overloads",
+    "held": "held_slots_until",
 }
 RECENT = {
     "_at": "_at",
@@ -130,7 +130,7 @@
 }
 QUOTAS = {
     "_born": "_born",
-    "took": "took",
+    "took": "mean_duration",
 }
 WAITS = {
     "_waits": "_waits",
@@ -139,7 +139,13 @@
 
 def account_row(a: Account, often: bool) -> dict[str, Any]:
     """An account as it goes over, of a customer who asked `often`, or once."""
-    return {"key": a.key, "spread": a.spread, "often": often, **take(a, ACCOUNT), "whole": take(a.whole, WHOLE)}
+    return {
+        "key": a.key,
+        "spread": a.gateway_count,
+        "often": often,
+        **take(a, ACCOUNT),
+        "whole": take(a.quota_estimate, WHOLE),
+    }
 
 
 class Copy:
@@ -150,7 +156,7 @@
     """
 
     def __init__(self, gateway: Gateway, now: float) -> None:
-        self._quotas, self._debts = gateway.quotas, gateway.quotas.debts.copy()
+        self._quotas, self._debts = gateway.quotas, gateway.quotas.deficits.copy()
         self._since = now  # whatever was used last before this is given once the round is over
         self._rounds = 0
         self._given: set[str] = set()
@@ -166,7 +172,7 @@
         if any(self._keys) or not self._untold:
             return False
         often = self._untold.pop()
-        self._keys[often] = list(self._quotas.table.queues[often].keys())  # a third faster than by the queue itself
+        self._keys[often] = list(self._quotas.accounts.queues[often].keys())  # a third faster than by the queue itself
         self._keys[often].reverse()
         return True
 
@@ -185,7 +191,7 @@
         while len(rows) < most and any(self._keys):
             often = not self._keys[0]
             key = self._keys[often].pop()
-            account = self._quotas.table.get(key)
+            account = self._quotas.accounts.get(key)
             if account is not None:
                 self._given.add(key)
                 rows.append(account_row(account, often))
@@ -193,15 +199,15 @@
 
     def _used(self) -> Iterator[tuple[str, bool]]:
         """The customers who asked since this round began, or were never given."""
-        for often, queue in enumerate(self._quotas.table.queues):
+        for often, queue in enumerate(self._quotas.accounts.queues):
             for key in reversed(queue):  # by last use: whatever is older has not changed
-                if key in self._given and queue[key].at < self._since:
+                if key in self._given and queue[key].updated_at < self._since:
                     break
                 yield key, bool(often)
 
     def rest(self) -> list[dict[str, Any]]:
         """What was used since: once, at the end."""
-        return [account_row(self._quotas.table.queues[often][key], often) for key, often in self._used()]
+        return [account_row(self._quotas.accounts.queues[often][key], often) for key, often in self._used()]
 
 
 def core(gateway: Gateway) -> dict[str, Any]:
@@ -210,7 +216,7 @@
     return {
         "quotas": take(q, QUOTAS),
         "meter": take(q.meter, METER),
-        "debts": q.debts.rest(),
+        "debts": q.deficits.rest(),
         "throttle": take(g.throttle, THROTTLE),
         "fleet": take(f, FLEET),
         "recent": take(f.recent, RECENT),
@@ -226,7 +232,7 @@
 
 def outs(gateway: Gateway) -> Iterator[dict[str, Any]]:
     """The attempts that are out."""
-    for (name, number), attempt in gateway.out.items():
+    for (name, number), attempt in gateway.in_flight.items():
         yield out_row(name, number, attempt)
 
 
@@ -238,12 +244,12 @@
         "worker": attempt.worker,
         "klass": attempt.klass.name,
         "key": attempt.account.key,
-        "spread": attempt.account.spread,
-        "sent": attempt.sent,
-        "signalled": attempt.signalled,
-        "counted": attempt.counted,
-        "units": attempt.group.request.units,
-        "inside": attempt.group.inside,
+        "spread": attempt.account.gateway_count,
+        "sent": attempt.sent_at,
+        "signalled": attempt.overload_signalled,
+        "counted": attempt.holds_slot,
+        "units": attempt.pending.request.units,
+        "inside": attempt.pending.within_quota,
     }
 
 
@@ -258,10 +264,10 @@
         account = Account(plan, row["key"], spread, now, now)
         put(account, ACCOUNT, row)
         if isinstance(whole := row.get("whole"), dict):
-            put(account.whole, WHOLE, whole)
-        table = gateway.quotas.table
+            put(account.quota_estimate, WHOLE, whole)
+        table = gateway.quotas.accounts
         old = table.get(account.key)
-        account.out = old.out if old is not None else 0
+        account.in_flight = old.in_flight if old is not None else 0
         for queue in table.queues:
             queue.pop(account.key, None)
         table.queues[bool(row.get("often"))][account.key] = account
@@ -284,7 +290,7 @@
     for name, known in _mapping(state, "workers").items():
         if name in f.workers and isinstance(known, dict):
             put(f.workers[name], WORKER, known)
-    q.debts.restore(_mapping(state, "debts"))
+    q.deficits.restore(_mapping(state, "debts"))
     g.waits.restore(_mapping(state, "waits"))
     if isinstance(budget := state.get("budget"), int | float):
         g.budget = float(budget)
@@ -310,31 +316,33 @@
     klass, worker = gateway.classes.get(row["klass"]), gateway.fleet.workers.get(row["worker"])
     plan_name, customer = customer_of(str(row["key"])) or ("", "")
     plan, name, number = gateway.plans.get(plan_name), str(row["request"]), int(row["number"])
-    if klass is None or plan is None or (name, number) in gateway.out:
+    if klass is None or plan is None or (name, number) in gateway.in_flight:
         return
-    account = gateway.quotas.table.get(row["key"]) or gateway.quotas.account(now, customer, plan, int(row["spread"]))
+    account = gateway.quotas.accounts.get(row["key"]) or gateway.quotas.account(now, customer, plan, int(row["spread"]))
     units, sent = float(row["units"]), float(row["sent"])
     if spends and number == 0:
-        gateway.quotas.take(account, units, bool(row["inside"]))
+        gateway.quotas.spend(account, units, bool(row["inside"]))
     request = interface.Request(
         name, klass.name, plan.name, customer, klass.deadline, units=units, gateway_count=int(row["spread"])
     )
     stub = Pending(request, klass, account, sent + klass.deadline)
     entry = worker.entry if worker is not None else interface.WorkerEntry(str(row["worker"]))
     attempt = Attempt(entry, klass, sent, stub)
-    attempt.signalled, attempt.counted = bool(row["signalled"]), bool(row["counted"])
+    attempt.overload_signalled, attempt.holds_slot = bool(row["signalled"]), bool(row["counted"])
     stub.attempts.append(attempt)
-    account.out += attempt.counted
-    gateway.out[name, number] = attempt
+    account.in_flight += attempt.holds_slot
+    gateway.in_flight[name, number] = attempt
     if worker is not None:
-        gateway.fleet.sent(now, worker.entry.worker, (name, number), klass)
-        worker.out[name, number] = sent
+        gateway.fleet.record_sent(now, worker.entry.worker, (name, number), klass)
+        worker.in_flight[name, number] = sent
 
 
 def left_out(gateway: Gateway, theirs: Iterable[tuple[str, int]]) -> list[interface.Outcome]:
     """The giver is gone, and with it what it had out, as its connections are closed: the outcomes of that."""
     return [
-        interface.Outcome(name, number, gateway.out[name, number].worker, interface.CANCELLED, terminal=True, took=0.0)
+        interface.Outcome(
+            name, number, gateway.in_flight[name, number].worker, interface.CANCELLED, terminal=True, took=0.0
+        )
         for name, number in theirs
-        if (name, number) in gateway.out
+        if (name, number) in gateway.in_flight
     ]
--- a/micagate/pending.py
+++ b/micagate/pending.py
@@ -19,36 +19,36 @@
         "zone",
         "cell",
         "klass",
-        "sent",
+        "sent_at",
         "status",
-        "signalled",
+        "overload_signalled",
         "account",
         "timers",
-        "counted",
-        "group",
+        "holds_slot",
+        "pending",
     )
 
     def __init__(
         self, entry: interface.WorkerEntry, klass: interface.RequestClass, sent: float, pending: Pending
     ) -> None:
         self.worker, self.zone, self.cell = entry.worker, entry.zone, entry.cell
-        self.klass, self.sent, self.account = klass, sent, pending.account
-        self.group = pending  # the request's, also when that is over
-        self.status, self.signalled = "", False
+        self.klass, self.sent_at, self.account = klass, sent, pending.account
+        self.pending = pending  # the request's, also when that is over
+        self.status, self.overload_signalled = "", False
         self.timers: list[int] = []
-        self.counted = True  # among what its customer has out
+        self.holds_slot = True  # among what its customer has out
 
-    def end(self, took: float) -> None:
+    def finish(self, took: float) -> None:
         """It is out no more, after `took` seconds, which are averaged with its customer's others."""
-        self.free()
+        self.release_slot()
         account = self.account
-        account.took += (took - account.took) * (TOOK if account.took else 1.0)
+        account.mean_duration += (took - account.mean_duration) * (TOOK if account.mean_duration else 1.0)
 
-    def free(self) -> None:
+    def release_slot(self) -> None:
         """Count it no more among what its customer has out."""
-        if self.counted:
-            self.counted = False
-            self.account.out -= 1
+        if self.holds_slot:
+            self.holds_slot = False
+            self.account.in_flight -= 1
 
 
 class Pending:
@@ -59,25 +59,25 @@
         "klass",
         "account",
         "deadline",
-        "inside",
+        "within_quota",
         "attempts",
         "streaming",
         "timer",
-        "call",
-        "whole",
-        "kept",
-        "counted",
+        "counter_call",
+        "complete",
+        "retryable",
+        "on_counter",
     )
 
     def __init__(
         self, request: interface.Request, klass: interface.RequestClass, account: Account, deadline: float
     ) -> None:
         self.request, self.klass, self.account, self.deadline = request, klass, account, deadline
-        self.inside, self.streaming = True, False
+        self.within_quota, self.streaming = True, False
         self.attempts: list[Attempt] = []
         self.timer = 0
-        self.whole, self.kept = request.complete, True
+        self.complete, self.retryable = request.complete, True
         if not request.complete:
             self.deadline = math.inf  # its time has not begun
-        self.call: Call | None = None  # that counted it
-        self.counted = False  # its units stand on the counter, and not in the part of the ceiling here
+        self.counter_call: Call | None = None  # that counted it
+        self.on_counter = False  # its units stand on the counter, and not in the part of the ceiling here
--- a/micagate/recovery/persisted_state.py
+++ b/micagate/recovery/persisted_state.py
@@ -38,10 +38,10 @@
 
     def step(self, now: float, whole: bool = True) -> list[Row]:
         """The next rows, of customers only if they are kept. Times in them are on the caller's clock."""
-        table, rows = self._gateway.quotas.table, list[Row]()
+        table, rows = self._gateway.quotas.accounts, list[Row]()
         for queue in table.queues if whole else ():
             for key in islice(reversed(queue), NAMES):  # by last use
-                if queue[key].at < self._since:
+                if queue[key].updated_at < self._since:
                     break
                 self._changed.setdefault(key, now)
         passed, self._since = max(0.0, now - self._since), now
@@ -64,7 +64,7 @@
 
     def _smooth(self, now: float) -> None:
         """Control lets through what it has learned, not what is asked: only what was served without it counts."""
-        if not self._gateway.throttle.on:
+        if not self._gateway.throttle.active:
             self._paces += 1
             self.pace += max(STEADY, 1 / self._paces) * (served(self._gateway, now) - self.pace)
 
@@ -73,7 +73,7 @@
         rows = [
             (ACCOUNT, key, account_row(account))
             for key in self._changed
-            if (account := self._gateway.quotas.table.get(key)) is not None
+            if (account := self._gateway.quotas.accounts.get(key)) is not None
         ]
         return [*rows, (CORE, "", core(self._gateway, now, self.pace))]
 
@@ -81,13 +81,13 @@
 def account_row(a: Account) -> list[float]:
     """An account's stores and what is expected of it: at, store, level of the whole, use, forecast, longer, slice."""
     return [
-        round(a.at, 3),
-        round(a.store, 4),
-        round(a.whole.level, 4),
-        round(a.use, 4),
+        round(a.updated_at, 3),
+        round(a.balance, 4),
+        round(a.quota_estimate.level, 4),
+        round(a.metered_use, 4),
         round(a.forecast, 3),
-        round(a.longer, 3),
-        round(a.slice, 4),
+        round(a.long_forecast, 3),
+        round(a.local_rate, 4),
     ]
 
 
@@ -97,13 +97,13 @@
     return {
         "at": now,
         "usual": dict(fleet._usual),
-        "brisk": fleet.brisk if fleet.brisk < math.inf else None,
+        "brisk": fleet.shortest_usual_latency if fleet.shortest_usual_latency < math.inf else None,
         "answers": fleet._answers,
         "pace": pace,
         "load": load(gateway),
-        "control": throttle.on,
+        "control": throttle.active,
         "budget": gateway.budget,
-        "took": gateway.quotas.took,
+        "took": gateway.quotas.mean_duration,
         "waits": gateway.waits.kept(),
     }
 
@@ -111,7 +111,7 @@
 def served(gateway: Gateway, now: float) -> float:
     """What workers serve this gateway in a second, all together."""
     return gateway.fleet.rate(now) * max(
-        1, gateway.fleet.arcs.fit if gateway.fleet.arcs.keeps else gateway.fleet.serving
+        1, gateway.fleet.subset.fit if gateway.fleet.subset.is_partial else gateway.fleet.usable_count
     )
 
 
@@ -124,8 +124,8 @@
         round(now, 3),
         worker.entry.started,
         round(worker.slowness(now), 4),
-        worker.fails,
-        round(max(0.0, worker.until - now), 3),
+        worker.consecutive_failures,
+        round(max(0.0, worker.backoff_until - now), 3),
     ]
 
 
@@ -150,12 +150,12 @@
             return
         passed = max(0.0, now - at)
         unsaved = 0.0 if verdict.way is Way.TAKEN else max(forecast, longer) * UNSAVED
-        a.store = min(a.depth, max(0.0, store - unsaved) + passed * a.floor)
+        a.balance = min(a.capacity, max(0.0, store - unsaved) + passed * a.equal_rate)
         # While the others served on, they took from the whole: it is no fuller than it was.
         filled = passed * a.plan.rate if self.case.all_lost else 0.0
-        a.whole.level = min(a.plan.burst, max(0.0, level - unsaved) + filled)
-        a.use, a.forecast, a.longer = use, forecast, longer
-        a.slice = max(a.floor, min(slice_, a.plan.rate))
+        a.quota_estimate.level = min(a.plan.burst, max(0.0, level - unsaved) + filled)
+        a.metered_use, a.forecast, a.long_forecast = use, forecast, longer
+        a.local_rate = max(a.equal_rate, min(slice_, a.plan.rate))
 
     def learned(self, gateway: Gateway, now: float) -> None:
         """What was learned of the fleet comes first: it says how much room cold workers have."""
@@ -171,9 +171,12 @@
                     }
                 )
             if (brisk := _positive(core.get("brisk"))) > 0:
-                fleet.brisk, fleet._answers = brisk, max(fleet._answers, int(_positive(core.get("answers"))))
+                fleet.shortest_usual_latency, fleet._answers = (
+                    brisk,
+                    max(fleet._answers, int(_positive(core.get("answers")))),
+                )
             if (took := _positive(core.get("took"))) > 0:
-                gateway.quotas.took = took
+                gateway.quotas.mean_duration = took
         retries = judge(Kind.RETRIES, self.case)
         if self.case.disk is not Disk.NONE:
             gateway.budget = min(RETRY_DEPTH, retries.share * _positive(core.get("budget")))
@@ -199,10 +202,10 @@
         )
         warmth = judge(Kind.WARMTH, _aged(self.case, now - at, same))
         if warmth.share > 0:
-            worker.slow, worker.learned = 1 + (max(0.1, slow) - 1) * warmth.share, now
+            worker.relative_latency, worker.latency_updated_at = 1 + (max(0.1, slow) - 1) * warmth.share, now
         health = judge(Kind.HEALTH, _aged(self.case, now - at, same))
         if health.share > 0 and fails > 0:
-            worker.fails, worker.until = int(fails), now + max(0.0, until - (now - at))
+            worker.consecutive_failures, worker.backoff_until = int(fails), now + max(0.0, until - (now - at))
         return warmth.share > 0
 
 
--- a/micagate/recovery/slow_start.py
+++ b/micagate/recovery/slow_start.py
@@ -11,7 +11,7 @@
     """The share of what the usable workers do once all are warm that they can do now; 1 where there are none."""
     fleet = gateway.fleet
     known = [
-        1.0 if (warm := fleet.warmth(now, worker)) is None else warm
+        1.0 if (warm := fleet.warm_up_factor(now, worker)) is None else warm
         for worker in fleet.workers.values()
         if worker.usable
     ]
@@ -26,9 +26,9 @@
     """
     fleet = gateway.fleet
     usual = max(fleet._usual.values(), default=0.0)
-    if not usual or fleet.brisk > usual:
+    if not usual or fleet.shortest_usual_latency > usual:
         return 1.0
-    return (1 + max(LEAST_LOAD, 1 - fleet.brisk / usual)) / 2
+    return (1 + max(LEAST_LOAD, 1 - fleet.shortest_usual_latency / usual)) / 2
 
 
 def begin(gateway: Gateway, now: float, pace: float, asked: float) -> bool:
@@ -41,10 +41,10 @@
     warm = warmth(gateway, now)
     if pace <= 0 or warm >= 1 or asked > 0 and warm >= asked:
         return False
-    gateway.throttle.returns(now, pace / max(asked, LEAST_LOAD), warm)
+    gateway.throttle.activate_at(now, pace / max(asked, LEAST_LOAD), warm)
     return True
 
 
 def follow(gateway: Gateway, now: float) -> None:
     """A look in service: control's rate follows the workers' warmth, up and down."""
-    gateway.throttle.follow(now, warmth(gateway, now))
+    gateway.throttle.update_warm_share(now, warmth(gateway, now))
--- a/micagate/recovery/write_ahead.py
+++ b/micagate/recovery/write_ahead.py
@@ -30,8 +30,8 @@
 
 def part(a: Account) -> tuple[float, float]:
     """An account's part of the ceiling: its size in units, and the least that it is filled by in a second."""
-    rate = a.plan.ceiling_rate / a.spread
-    return a.plan.ceiling_capacity / a.spread, rate * HALF if rate < THIN else rate
+    rate = a.plan.ceiling_rate / a.gateway_count
+    return a.plan.ceiling_capacity / a.gateway_count, rate * HALF if rate < THIN else rate
 
 
 def of_all(key: str, since: float, top: float, rate: float) -> Mark:
@@ -41,13 +41,13 @@
 
 def lead(a: Account) -> float:
     """How far ahead of an account its marks are made, units."""
-    return max(REQUESTS * max(1.0, a.top), SOON * max(a.forecast, a.longer))
+    return max(REQUESTS * max(1.0, a.largest_request), SOON * max(a.forecast, a.long_forecast))
 
 
 def mark(a: Account, now: float) -> Mark:
     """A mark of an account as it is now."""
     (top, rate), ahead = part(a), lead(a)
-    return Mark(a.key, max(0.0, a.ceiling - ahead), now, top - min(ahead, OPEN * top), rate)
+    return Mark(a.key, max(0.0, a.ceiling_balance - ahead), now, top - min(ahead, OPEN * top), rate)
 
 
 class Marks:
@@ -80,38 +80,38 @@
             return
         top, rate = part(a)
         if (mine := self._mine.get(a.key)) is not None:  # it was let go meanwhile
-            a.held = mine
-            a.ceiling = max(a.ceiling, min(top, mine.stands(now)))
+            a.ceiling_mark = mine
+            a.ceiling_balance = max(a.ceiling_balance, min(top, mine.stands(now)))
             return
         # What its last life left at the least of all that had no mark, and of this one if it had one.
         left = of_all(a.key, self._before, top, rate).stands(self.born)
         if (kept := self._kept.get(a.key)) is not None:
             left = kept.stands(self.born) if kept.at >= self._before else min(left, kept.stands(self.born))
         left = min(top, left + (now - self.born) * rate)
-        a.ceiling = max(0.0, left - short * a.plan.ceiling_rate / a.spread)
-        a.held = of_all(a.key, self.born, top, rate)
+        a.ceiling_balance = max(0.0, left - short * a.plan.ceiling_rate / a.gateway_count)
+        a.ceiling_mark = of_all(a.key, self.born, top, rate)
 
     def lets(self, a: Account, units: float) -> bool:
         """Whether so much may be spent by what stands on disk; where only that forbids it a mark is due."""
-        if a.held is None or a.ceiling - a.held.stands(a.at) >= units:
+        if a.ceiling_mark is None or a.ceiling_balance - a.ceiling_mark.stands(a.updated_at) >= units:
             return True
-        if a.ceiling >= units:
+        if a.ceiling_balance >= units:
             self.due[a.key], self.urgent = a, True
         return False
 
     def spent(self, a: Account) -> None:
         """An account was spent from: a mark is due before it comes to the last one."""
-        if a.held is None:
+        if a.ceiling_mark is None:
             return
         self._used[a.key] = a
-        left = a.ceiling - a.held.stands(a.at)
-        if left < max(a.top, lead(a) / 2):
-            self.due[a.key], self.urgent = a, self.urgent or left < a.top <= a.ceiling
+        left = a.ceiling_balance - a.ceiling_mark.stands(a.updated_at)
+        if left < max(a.largest_request, lead(a) / 2):
+            self.due[a.key], self.urgent = a, self.urgent or left < a.largest_request <= a.ceiling_balance
 
     def look(self) -> None:
         """Once in `AGAIN`: marks for what is well above its last one, so that a crash costs little."""
         for a in self._used.values():
-            if a.held is not None and a.ceiling - a.held.stands(a.at) > 2 * lead(a):
+            if a.ceiling_mark is not None and a.ceiling_balance - a.ceiling_mark.stands(a.updated_at) > 2 * lead(a):
                 self.due.setdefault(a.key, a)
         self._used.clear()
 
@@ -121,7 +121,7 @@
         self.urgent = False
         for key in [key for key in self.due if key not in self._out][:MOST]:
             a = self.due.pop(key)
-            if a.held is not None:
+            if a.ceiling_mark is not None:
                 self._out.add(key)
                 made.append(mark(a, now))
         return made
@@ -132,14 +132,14 @@
             self._out.discard(each.key)
             self._mine[each.key] = each
             a = account(each.key)
-            if a is not None and a.held is not None:
-                a.held = each
+            if a is not None and a.ceiling_mark is not None:
+                a.ceiling_mark = each
 
     def last(self, now: float, accounts: Iterable[Account]) -> Iterator[Mark]:
         """At a planned end, with nothing spent any more: what each account holds."""
         for a in accounts:
-            if a.held is not None:
-                yield Mark(a.key, round(a.ceiling, 4), now, *part(a))  # all of it: nothing is spent below it
+            if a.ceiling_mark is not None:
+                yield Mark(a.key, round(a.ceiling_balance, 4), now, *part(a))  # all of it: nothing is spent below it
 
     def failed(self, marks: Iterable[Mark]) -> None:
         """Marks did not come to be on disk, or may yet: the last ones hold."""
@@ -151,13 +151,13 @@
         self._kept.clear()
         self._before = self.born
         for a in accounts:
-            if a.held is not None:
-                a.ceiling = min(a.ceiling, max(0.0, now - self.born) * part(a)[1])
+            if a.ceiling_mark is not None:
+                a.ceiling_balance = min(a.ceiling_balance, max(0.0, now - self.born) * part(a)[1])
 
     def end(self, accounts: Iterable[Account]) -> None:
         """Nothing is kept any more, nor believed of what was: accounts are spent as with no memory."""
         for a in accounts:
-            a.held = None
+            a.ceiling_mark = None
         self.due.clear()
         self._used.clear()
 
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -19,17 +19,17 @@
         return
     reached = any(attempt.status not in interface.NOT_DELIVERED_STATUSES for attempt in pending.attempts)
     if not reached:
-        untake(pending.account, pending.request.units, pending.inside, pending.counted, pending.whole)
-    if pending.call is not None:
-        (counting.leave if reached else counting.give_back)(pending.call)
-        pending.call = None
+        untake(pending.account, pending.request.units, pending.within_quota, pending.on_counter, pending.complete)
+    if pending.counter_call is not None:
+        (counting.leave if reached else counting.give_back)(pending.counter_call)
+        pending.counter_call = None
 
 
 def untake(a: Account, units: float, inside: bool, counted: bool, whole: bool) -> None:
     """Put back what `Quotas.take` took."""
     if whole:
-        a.whole.unsent(a.at, units)
+        a.quota_estimate.unsent(a.updated_at, units)
     if a.plan.ceiling_rate and not counted:
-        a.ceiling = min(a.plan.ceiling_capacity / a.span, a.ceiling + units)
+        a.ceiling_balance = min(a.plan.ceiling_capacity / a.capacity_divisor, a.ceiling_balance + units)
     if inside and a.plan.rate:
-        a.store = min(a.depth, a.store + units)
+        a.balance = min(a.capacity, a.balance + units)
--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -22,28 +22,30 @@
     for key in (*(share.key for share in event.changes), *(fill.key for fill in event.bucket_levels)):
         whose = customer_of(key)
         if whose is not None and (plan := plans.get(whose[0])) is not None:
-            known, count = quotas.table.get(key), counts.get(key, 1)
+            known, count = quotas.accounts.get(key), counts.get(key, 1)
             if known is not None or count > 1:
-                touched[key] = quotas.account(now, whose[1], plan, known.spread if known else count)
-    before = {key: (account.span, account.store, account.ceiling) for key, account in touched.items()}
+                touched[key] = quotas.account(now, whose[1], plan, known.gateway_count if known else count)
+    before = {
+        key: (account.capacity_divisor, account.balance, account.ceiling_balance) for key, account in touched.items()
+    }
     quotas.shares.change(event)
     freed = []
     for key, a in touched.items():
         span, store, ceiling = before[key]
         quotas.refill(now, a)
-        if a.span > span:
-            kept, whole, top = span / a.span, a.plan.burst, a.plan.ceiling_capacity
-            a.store, a.ceiling = min(store, store * kept), ceiling * kept
+        if a.capacity_divisor > span:
+            kept, whole, top = span / a.capacity_divisor, a.plan.burst, a.plan.ceiling_capacity
+            a.balance, a.ceiling_balance = min(store, store * kept), ceiling * kept
             freed.append(
                 interface.BucketLevels(
                     key,
-                    max(0.0, store - a.store) / whole if whole else 0.0,
-                    (ceiling - a.ceiling) / top if top else 0.0,
+                    max(0.0, store - a.balance) / whole if whole else 0.0,
+                    (ceiling - a.ceiling_balance) / top if top else 0.0,
                 )
             )
     for fill in event.bucket_levels:
         if fill.key in touched:
             a, top = touched[fill.key], touched[fill.key].plan.ceiling_capacity
-            a.store = min(a.depth, a.store + fill.quota * a.plan.burst)
-            a.ceiling = min(top / a.span, a.ceiling + fill.ceiling * top)
+            a.balance = min(a.capacity, a.balance + fill.quota * a.plan.burst)
+            a.ceiling_balance = min(top / a.capacity_divisor, a.ceiling_balance + fill.ceiling * top)
     return freed
--- a/micagate/worker.py
+++ b/micagate/worker.py
@@ -20,67 +20,71 @@
     __slots__ = (
         "entry",
         "usable",
-        "slow",
-        "learned",
-        "out",
-        "heard",
-        "latest",
-        "losses",
-        "fails",
-        "until",
-        "held",
-        "turn",
-        "pause",
+        "relative_latency",
+        "latency_updated_at",
+        "in_flight",
+        "last_response_at",
+        "latest_answered_sent_at",
+        "loss_rates",
+        "consecutive_failures",
+        "backoff_until",
+        "held_slots_until",
+        "next_turn_at",
+        "turn_interval",
         "rank",
-        "answers",
-        "fulls",
+        "response_count",
+        "consecutive_overloads",
     )
 
     def __init__(self, entry: interface.WorkerEntry, slow: float, now: float, rank: float) -> None:
         self.entry = entry
         self.rank = rank  # drawn by chance: a gateway among many keeps to the first few
         self.usable = False
-        self.slow = slow  # answer time over the usual one
-        self.learned = now
-        self.out: dict[tuple[str, int], float] = {}
-        self.heard = self.latest = now  # the last answer; when the latest-sent of those answered was sent
-        self.losses: dict[str, tuple[float, float]] = {}  # by class: share left unanswered, and as of when
-        self.fails = 0
-        self.answers = self.fulls = 0  # answers ever; refusals as full since the last
-        self.until = 0.0
-        self.turn: float | None = None  # when this gateway may next send to it while it is too cold for all
-        self.pause = 0.0
-        self.held: deque[float] = deque()  # ends of the places that time-outs and refusals still hold
+        self.relative_latency = slow  # answer time over the usual one
+        self.latency_updated_at = now
+        self.in_flight: dict[tuple[str, int], float] = {}
+        self.last_response_at = self.latest_answered_sent_at = (
+            now  # the last answer; when the latest-sent of those answered was sent
+        )
+        self.loss_rates: dict[str, tuple[float, float]] = {}  # by class: share left unanswered, and as of when
+        self.consecutive_failures = 0
+        self.response_count = self.consecutive_overloads = 0  # answers ever; refusals as full since the last
+        self.backoff_until = 0.0
+        self.next_turn_at: float | None = None  # when this gateway may next send to it while it is too cold for all
+        self.turn_interval = 0.0
+        self.held_slots_until: deque[float] = deque()  # ends of the places that time-outs and refusals still hold
 
-    def suspect(self) -> bool:
+    def is_suspect(self) -> bool:
         """Whether it failed last, or has turned away all lately."""
-        return bool(self.fails) or self.fulls > 1
+        return bool(self.consecutive_failures) or self.consecutive_overloads > 1
 
-    def failed(self, now: float, sudden: bool, seldom: bool) -> None:
+    def record_failure(self, now: float, sudden: bool, seldom: bool) -> None:
         """An error or a time-out; a sudden one puts it out at once, others after some in a row."""
-        self.fails += 1
-        if sudden or self.fails >= FAILS:
-            doublings = self.fails - (1 if sudden else FAILS)
-            self.until = now + min(LONGEST_BACKOFF * (SELDOM if seldom else 1.0), BACKOFF * 2 ** min(doublings, 10))
+        self.consecutive_failures += 1
+        if sudden or self.consecutive_failures >= FAILS:
+            doublings = self.consecutive_failures - (1 if sudden else FAILS)
+            self.backoff_until = now + min(
+                LONGEST_BACKOFF * (SELDOM if seldom else 1.0), BACKOFF * 2 ** min(doublings, 10)
+            )
 
-    def turned_away(self, now: float) -> None:
+    def record_overload(self, now: float) -> None:
         """A refusal as full: after two with no answer between, as of one that drains unannounced, others go first."""
-        self.fulls += 1
-        if self.fulls > 1:
-            self.until = now + min(LONGEST_BACKOFF, BACKOFF * 2 ** min(self.fulls - 2, 10))
+        self.consecutive_overloads += 1
+        if self.consecutive_overloads > 1:
+            self.backoff_until = now + min(LONGEST_BACKOFF, BACKOFF * 2 ** min(self.consecutive_overloads - 2, 10))
 
     def slowness(self, now: float) -> float:
         """Its answer time over the usual; an old judgement fades, so that it is tried again."""
-        return 1.0 + (self.slow - 1.0) * math.exp((self.learned - now) / FORGET)
+        return 1.0 + (self.relative_latency - 1.0) * math.exp((self.latency_updated_at - now) / FORGET)
 
-    def loss(self, now: float, klass: str) -> float:
+    def loss_rate(self, now: float, klass: str) -> float:
         """The share of a class that it leaves unanswered; it fades, so that it is tried again."""
-        if klass not in self.losses:
+        if klass not in self.loss_rates:
             return 0.0
-        loss, at = self.losses[klass]
+        loss, at = self.loss_rates[klass]
         return loss * math.exp((at - now) / FORGET)
 
-    def lose(self, now: float, klass: str, lost: bool, weight: float) -> None:
+    def record_loss(self, now: float, klass: str, lost: bool, weight: float) -> None:
         """One of a class went unanswered, or was answered."""
-        loss = self.loss(now, klass)
-        self.losses[klass] = loss + weight * (lost - loss), now
+        loss = self.loss_rate(now, klass)
+        self.loss_rates[klass] = loss + weight * (lost - loss), now
--- a/micagate/worker_subset.py
+++ b/micagate/worker_subset.py
@@ -16,7 +16,7 @@
 TOGETHER = 3.0  # attempts at a worker that all gateways together may always have (latecomer and cold guards)
 
 
-class Arcs:
+class WorkerSubset:
     """The ring, and this gateway's arc of it."""
 
     def __init__(self, number: int | None, gateways: int) -> None:
@@ -39,12 +39,12 @@
         """Once for each change of the ring, since every choice asks for these."""
         serving = len(self.ring)
         # How many a gateway keeps to; all of a small fleet.
-        self.few = min(serving, max(NEAR, math.ceil(TOGETHER * serving / self._gateways)))
+        self.size = min(serving, max(NEAR, math.ceil(TOGETHER * serving / self._gateways)))
         # Whether this is a gateway of many that keeps to few of many workers.
-        self.keeps = self._number is not None and self.few < serving
-        self.met = self.few if self.keeps else serving  # how many workers it sends to
+        self.is_partial = self._number is not None and self.size < serving
+        self.reachable_count = self.size if self.is_partial else serving  # how many workers it sends to
 
-    def of(self, span: int, fit: Callable[[Worker], bool] | None = None) -> list[Worker]:
+    def members(self, span: int, fit: Callable[[Worker], bool] | None = None) -> list[Worker]:
         """The arc from the own place on of so many workers, or of so many that are `fit`, with those between.
 
         Guards against arcs of which a mass replacement or a lost zone leaves hardly any that may be sent to.
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -98,16 +98,16 @@
             tallies.append(
                 interface.ResourceDemand(
                     a.key,
-                    a.first,
-                    a.spread,
-                    a.tally,
-                    a.most,
+                    a.first_gateway,
+                    a.gateway_count,
+                    a.requested_units,
+                    a.peak_in_flight,
                     min(rates, default=0.0),
                     min(bursts) if rates else 0.0,
                     a.plan.concurrency_limit,
                 )
             )
-        a.tally, a.most = 0.0, 0
+        a.requested_units, a.peak_in_flight = 0.0, 0
     return tallies
 
 
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -315,7 +315,7 @@
         marks = self._ceilings(now)
         if self.memory is not None and self._marks_hold():
             if await self._new_life(now):
-                self._marks = gateway.quotas.marks = marks
+                self._marks = gateway.quotas.ceiling_marks = marks
                 kept = self._kept
                 if kept is not None:
                     marks.recall = kept.account
@@ -409,7 +409,7 @@
                 for key in self._marks.idle(now, IDLE):
                     self.memory.put(MARK, key, None)
         share = members.up() / len(self.fleet.members)
-        self._gateway.fleet.among = max(1, round(self._settings.gateways * share))
+        self._gateway.fleet.gateway_count = max(1, round(self._settings.gateways * share))
         self.longest_step = max(self.longest_step, time.perf_counter() - began)
 
     def _beats(self) -> None:
@@ -536,7 +536,7 @@
         if self._marks is None:
             return
         if kept:
-            self._marks.written(marks, self._gateway.quotas.table.get)
+            self._marks.written(marks, self._gateway.quotas.accounts.get)
         else:
             self._marks.failed(marks)
 
@@ -546,8 +546,8 @@
         """Nothing on disk will be believed: ceilings go on as with no memory."""
         self.why = why
         if self._marks is not None:
-            self._marks.end(account for queue in self._gateway.quotas.table.queues for account in queue.values())
-            self._marks = self._gateway.quotas.marks = None
+            self._marks.end(account for queue in self._gateway.quotas.accounts.queues for account in queue.values())
+            self._marks = self._gateway.quotas.ceiling_marks = None
         if self.memory is not None:
             for key in self.memory.holds(MARK):
                 self.memory.put(MARK, key, None)
@@ -573,11 +573,11 @@
         now = self._loop.time()
         if self.memory is None or not await self.memory.keep(LIFE, "", {**self._life_row(now), "end": ""}):
             return
-        self._marks = self._gateway.quotas.marks = Marks(now)
-        for queue in self._gateway.quotas.table.queues:
+        self._marks = self._gateway.quotas.ceiling_marks = Marks(now)
+        for queue in self._gateway.quotas.accounts.queues:
             for account in queue.values():
                 if account.plan.ceiling_rate:
-                    account.held = of_all(account.key, now, *part(account))
+                    account.ceiling_mark = of_all(account.key, now, *part(account))
 
     # What members say.
 
@@ -619,7 +619,7 @@
         log.warning("fleet: a member knows of a later life of this one: its disk is old; ceilings begin empty")
         self._case = replace(self._case, disk=Disk.VOID if knows.void else Disk.OLD)
         if self._marks is not None:
-            self._marks.distrust(now, (a for q in self._gateway.quotas.table.queues for a in q.values()))
+            self._marks.distrust(now, (a for q in self._gateway.quotas.accounts.queues for a in q.values()))
 
     def life(self) -> int:
         """The number of this life."""
@@ -644,7 +644,7 @@
         elif known is not None and known.boot == boot and peer in members.heard_of:
             ago = now - members.heard_of[peer]
         workers = tuple(
-            (name[:LONGEST], round(min(1.0, 1 / max(1.0, worker.slowness(now))), 3), worker.suspect())
+            (name[:LONGEST], round(min(1.0, 1 / max(1.0, worker.slowness(now))), 3), worker.is_suspect())
             for name, worker in list(gateway.fleet.workers.items())[:MOST_WORKERS]
         )
         return Knows(
@@ -755,8 +755,8 @@
             pace, fails = self._told.workers[name]
             worker = self._gateway.fleet.workers[name]
             if worker.entry.started is None or now - worker.entry.started > self._settings.slow_start_duration:
-                worker.slow, worker.learned = 1 / max(0.1, pace), now
-                worker.fails = int(fails)
+                worker.relative_latency, worker.latency_updated_at = 1 / max(0.1, pace), now
+                worker.consecutive_failures = int(fails)
 
     # For people.
 
@@ -847,7 +847,9 @@
                 last += [(kind, key, self._timed(kind, value)) for kind, key, value in self._walk.all(now)]
             if self._marks is not None:
                 assert self.members is not None
-                for mark in self._marks.last(now, (a for q in self._gateway.quotas.table.queues for a in q.values())):
+                for mark in self._marks.last(
+                    now, (a for q in self._gateway.quotas.accounts.queues for a in q.values())
+                ):
                     last.append((MARK, mark.key, [mark.level, mark.at, mark.top, mark.rate, self.members.boot]))
             last.append(
                 (LIFE, "", {**self._life_row(self._born()), "end": End.ASKED.value, "stepped": self._told.stepped})
--- a/oliveloft/takeover/handoff.py
+++ b/oliveloft/takeover/handoff.py
@@ -121,7 +121,7 @@
         return self.giver is not None and self.giver.tell(wire.Client(good), fd)
 
     def _began(self, name: str, number: int) -> None:
-        if self.giver is not None and (attempt := self._gateway.out.get((name, number))) is not None:
+        if self.giver is not None and (attempt := self._gateway.in_flight.get((name, number))) is not None:
             self.giver.tell(wire.Began(state.out_row(name, number, attempt)))
 
     def _ended(self, attempt: Attempt, outcome: interface.Outcome) -> None:
--- a/oliveloft/takeover/predecessor.py
+++ b/oliveloft/takeover/predecessor.py
@@ -107,7 +107,7 @@
 
     def _lost(self, why: str) -> None:
         if self._copy is not None:
-            self._gateway.quotas.debts.rest()  # nobody takes note of them any more
+            self._gateway.quotas.deficits.rest()  # nobody takes note of them any more
         self.channel = self._copy = None
         if not self._paused:
             return
--- a/oliveloft/takeover/successor.py
+++ b/oliveloft/takeover/successor.py
@@ -88,7 +88,7 @@
             self._channel.send(wire.Taken())
 
     def _fail(self, why: str) -> None:
-        for queue in self._gateway.quotas.table.queues:
+        for queue in self._gateway.quotas.accounts.queues:
             queue.clear()  # half of it would be worse than none
         log.warning("takeover: %s; starting with nothing", why)
         if not self._given.done():
@@ -180,7 +180,7 @@
         self._theirs.update((row["request"], row["number"]) for row in self._parts["outs"])
         state.put_core(self._gateway, now, self._parts, self._parts["outs"])
         for debts in self._debts:
-            self._gateway.quotas.debts.restore(debts)
+            self._gateway.quotas.deficits.restore(debts)
         self._restored = True
         self._parts, self._debts = {}, []
         if not self._given.done():
--- a/rig/crash_recovery.py
+++ b/rig/crash_recovery.py
@@ -45,7 +45,7 @@
     def __init__(self, disk: Disk, now: float, number: int, variant: Variant) -> None:
         self.disk, self.variant = disk, variant
         self.quotas = Quotas(now, None, 100, str(number))
-        self.marks = self.quotas.marks = Marks(now, disk.marks, disk.before)
+        self.marks = self.quotas.ceiling_marks = Marks(now, disk.marks, disk.before)
         if variant is not Variant.LAST_LIFE or disk.before is None:
             disk.before = now
         self.full = variant is Variant.FULL
@@ -54,22 +54,22 @@
     def ask(self, now: float, customer: str, units: float, count: int) -> bool:
         """A customer's try: whether it is sent on."""
         account = self.quotas.account(now, customer, PLAN, count)
-        if self.full and account.ceiling < PLAN.ceiling_capacity / count and not account.asked:
-            account.ceiling = PLAN.ceiling_capacity / count
-        account.asked += units
-        account.top = max(account.top, units)
-        if self.variant is Variant.NOT_AHEAD and account.held is not None:
-            account.held = account.held._replace(level=-1e9)
-        if not self.quotas.allowed(account, units, False):
+        if self.full and account.ceiling_balance < PLAN.ceiling_capacity / count and not account.demand:
+            account.ceiling_balance = PLAN.ceiling_capacity / count
+        account.demand += units
+        account.largest_request = max(account.largest_request, units)
+        if self.variant is Variant.NOT_AHEAD and account.ceiling_mark is not None:
+            account.ceiling_mark = account.ceiling_mark._replace(level=-1e9)
+        if not self.quotas.ceiling_allows(account, units, False):
             return False
-        self.quotas.take(account, units, True)
+        self.quotas.spend(account, units, True)
         return True
 
     def write(self, now: float, takes: float) -> None:
         """What is due goes to the disk, and is there after some time."""
         if marks := self.marks.make(now):
             if self.variant is Variant.EARLY:
-                self.marks.written(marks, self.quotas.table.get)
+                self.marks.written(marks, self.quotas.accounts.get)
             self.writing.append((now + takes, marks))
 
     def synced(self, now: float) -> None:
@@ -77,7 +77,7 @@
         for when, marks in [entry for entry in self.writing if entry[0] <= now]:
             self.writing.remove((when, marks))
             self.disk.marks.update({mark.key: mark for mark in marks})
-            self.marks.written(marks, self.quotas.table.get)
+            self.marks.written(marks, self.quotas.accounts.get)
 
 
 @dataclass
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -175,31 +175,31 @@
             who.out -= attempt != GIVEN_UP
             if day.sees is not None:
                 who.note(now)
-            account.out -= attempt != WRITTEN
+            account.in_flight -= attempt != WRITTEN
             if attempt in (WRITTEN, GIVEN_UP):
                 continue
             period = int((now - day.late) / day.period) - 1
             if period >= 0:
-                account.metered(now, who.counted[period] / day.period / who.plan.rate, part.meter)
+                account.record_reading(now, who.counted[period] / day.period / who.plan.rate, part.meter)
             in_time = inside and now - begun <= AIM + (day.tries - 1) * day.wait
             kind.served += units * in_time
             kind.earned += units * in_time * who.plan.price
             continue
         kind.tries += units
         account = part.account(now, who.name, who.plan, spread)
-        part.count(
+        part.record_demand(
             account,
             interface.Request("r", "k", who.plan.name, who.name, 1.0, units, spread, day.marked and attempt > 0),
         )
         room = who.has_room(now, units)
         lets = (
-            part.inside(account, units, False) and part.allowed(account, units, False)
+            part.is_within_quota(account, units, False) and part.ceiling_allows(account, units, False)
             if day.sees is None
             else who.seemed(now, day.sees, at_gateway, units)
         )
         if lets:
-            part.take(account, units, True)
-            account.out += 1
+            part.spend(account, units, True)
+            account.in_flight += 1
             who.out += 1
             who.counted[int(now / day.period)] += units
             if room:
--- a/rig/fleet_restart.py
+++ b/rig/fleet_restart.py
@@ -100,7 +100,7 @@
         klass = "write" if self.random.random() < 0.2 else "read"
         entrance.ask(klass, PLAN.name, f"{self.random.randrange(34):x}", spread=self.count)
         if entrance.tally.ends["refused"] > before["refused"]:
-            self.reasons.setdefault(at, Counter())["control" if self.gates[n].throttle.on else "else"] += 1
+            self.reasons.setdefault(at, Counter())["control" if self.gates[n].throttle.active else "else"] += 1
 
     def lose(self) -> None:
         """All power goes, and comes back `off` seconds later; gateways serve `boot` seconds after that."""
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -144,8 +144,8 @@
             for key, need in self.needs.items():
                 account = self.quotas.account(now, key.rpartition("/")[2], PLAN, self.world.count)
                 wanted = self.world.random.random() * 2 * need * PLAN.ceiling_rate * TICK
-                while wanted >= 1 and self.quotas.allowed(account, 1.0, False):
-                    self.quotas.take(account, 1.0, False)
+                while wanted >= 1 and self.quotas.ceiling_allows(account, 1.0, False):
+                    self.quotas.spend(account, 1.0, False)
                     self.world.spent(key)
                     wanted -= 1
 
--- a/rig/schedules.py
+++ b/rig/schedules.py
@@ -83,7 +83,7 @@
         silent = n % 1000 > 600 and draw.random() < 0.9
         number = draw.randrange(gateways)
         one, account, goes = fleet[number], accounts[number], False
-        if one.counts(now, account) and now >= account.full_until:
+        if one.counts(now, account) and now >= account.ceiling_full_until:
             one.ask(now, account, 1.0, "r")
             goes = not before
             while one.actions:
@@ -97,8 +97,8 @@
                 )
                 goes = goes or verdict is not None and verdict.inside is True
                 silent = False
-        if not goes and account.silent is not None and account.ceiling >= 1.0:
-            account.ceiling -= 1.0
+        if not goes and account.counter_unresponsive_since is not None and account.ceiling_balance >= 1.0:
+            account.ceiling_balance -= 1.0
             goes = True
         if goes:
             level -= 1.0
--- a/rig/subsets.py
+++ b/rig/subsets.py
@@ -31,7 +31,7 @@
 
 def module(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
     """The arc of a numbered gateway."""
-    return [worker.entry.worker for worker in fleet(names, gateway, gateways).arcs.of(size)]
+    return [worker.entry.worker for worker in fleet(names, gateway, gateways).subset.members(size)]
 
 
 def by_chance(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
--- a/rig/upgrades.py
+++ b/rig/upgrades.py
@@ -81,7 +81,7 @@
         for action in actions:
             match action:
                 case interface.Send(name, worker):
-                    key = name, max(number for request, number in process.gateway.out if request == name)
+                    key = name, max(number for request, number in process.gateway.in_flight if request == name)
                     process.out[key] = worker, customer
                     self.told.bans_broken += worker in self.banned
                     plan, _, who = customer.partition("/")
@@ -93,7 +93,7 @@
                     elif key[1] == 0:
                         self._grant(int(who, 16))
                     if process.taker is not None and self.news:
-                        row = state.out_row(*key, process.gateway.out[key])
+                        row = state.out_row(*key, process.gateway.in_flight[key])
                         state.adopt(process.taker.gateway, self.now, row, spends=True)
                 case interface.Refuse(name) | interface.Fail(name):
                     process.owed.discard(name)
@@ -103,7 +103,7 @@
     def _held(self, key: tuple[str, int]) -> bool:
         """Whether an attempt still holds its place: one whose answer is taken to be lost has given it back."""
         return any(
-            key in process.out and process.gateway.out[key].counted
+            key in process.out and process.gateway.in_flight[key].holds_slot
             for process in (self.serving, self.old)
             if process is not None
         )
@@ -195,7 +195,7 @@
             for _ in range(self.random.randrange(3)):
                 self.random.choice((self.ask, self.answer, self.call, self.list))()
         if self.random.random() < 0.2:
-            old.gateway.quotas.debts.rest()
+            old.gateway.quotas.deficits.rest()
             return
         state.put_accounts(new.gateway, self.now, copy.rest())
         new.gateway.handle(self.now, interface.WorkerList(tuple(self.listed.values()), whole=True))
@@ -253,7 +253,7 @@
         self.tick()
         for process in filter(None, (self.old, self.serving)):
             self.told.lost += len(process.owed) + len(process.gateway._pending)
-        self.told.lost += len(self.serving.gateway.out) if self.news else 0
+        self.told.lost += len(self.serving.gateway.in_flight) if self.news else 0
         return self.told
 
 
--- a/tests/backend/test_losses.py
+++ b/tests/backend/test_losses.py
@@ -100,11 +100,11 @@
         d = Driver(1, hedging=False)
         answered(d, 60)
         losing(d)
-        d.gateway.fleet.workers["w0"].losses.clear()
+        d.gateway.fleet.workers["w0"].loss_rates.clear()
         for _ in range(losses):
-            d.gateway.fleet.silent(d.now, "w0", d.gateway.classes["read"])
+            d.gateway.fleet.record_no_response(d.now, "w0", d.gateway.classes["read"])
         d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b", state=interface.DRAINING),)))
-        d.gateway.throttle.on, d.gateway.throttle.rate, d.gateway.throttle.base = True, 100.0, 50.0
+        d.gateway.throttle.active, d.gateway.throttle.rate, d.gateway.throttle.base_rate = True, 100.0, 50.0
         d.gateway.throttle._due = d.now + 9.0
         name, actions = d.ask()
         d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b"),)))
--- a/tests/counting/test_stores.py
+++ b/tests/counting/test_stores.py
@@ -56,7 +56,7 @@
     shared, sent = Shared(7), 0
     sent = sum(shared.send(n % 7, 10.0 + n * 0.1) for n in range(200))
     assert 22 <= sent <= 24  # a burst of 4 and 20 seconds at 1
-    refused = [n for n in range(7) if shared.accounts[n].full_until > 29.0]
+    refused = [n for n in range(7) if shared.accounts[n].ceiling_full_until > 29.0]
     assert len(refused) == 7  # each knows until when there is no room, and asks no more
 
 
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from micagate import interface
-from micagate.deficit_sketch import SLOTS, Debts
+from micagate.deficit_sketch import SLOTS, DeficitSketch
 from micagate.quotas import Quotas
 from micagate.share_transfers import move
 from rig.driver import Driver, sends
@@ -19,8 +19,8 @@
     went = 0
     for _ in range(times):
         account = quotas.account(now, customer, CAPPED, 2)
-        if quotas.allowed(account, 1.0, False):
-            quotas.take(account, 1.0, quotas.inside(account, 1.0, False))
+        if quotas.ceiling_allows(account, 1.0, False):
+            quotas.spend(account, 1.0, quotas.is_within_quota(account, 1.0, False))
             went += 1
     return went
 
@@ -36,8 +36,8 @@
         if n % 10 == 0:
             name = f"u{n // 10 % 900}"
             assert quotas.account(n / 1000, name, CAPPED, 2) is usual[name]
-        assert len(quotas.table) <= 2001
-    assert len(quotas.table) > 1500  # and no more are let go than must be
+        assert len(quotas.accounts) <= 2001
+    assert len(quotas.accounts) > 1500  # and no more are let go than must be
 
 
 def test_an_account_that_was_let_go_is_not_fresh_when_it_comes_back():
@@ -45,7 +45,7 @@
     assert spend(quotas, 0.0, "c", 100) == 20  # its half of the ceiling's depth
     for n in range(1000):
         quotas.account(0.1, f"twice-{n // 2}", CAPPED, 2)
-    assert quotas.table.get("c/capped/c") is None
+    assert quotas.accounts.get("c/capped/c") is None
     assert spend(quotas, 0.1, "c", 100) <= 0.1 * 10 + 1
     assert 0.9 * 10 <= spend(quotas, 1.1, "c", 100) <= 11  # it fills as if it had been here
 
@@ -57,7 +57,7 @@
     for _ in range(1500):
         now += random.expovariate(100.0)
         if random.random() < 0.5:
-            gone += quotas.table.get("c/capped/c") is None
+            gone += quotas.accounts.get("c/capped/c") is None
             went = spend(quotas, now, "c", random.choice((1, 1, 5)))
             level, at = min(20.0, level + (now - at) * 10.0) - went, now
             spent += went
@@ -68,7 +68,7 @@
 
 
 def test_a_table_that_forgets_debts_lets_a_ceiling_be_passed(monkeypatch):
-    monkeypatch.setattr(Debts, "owed", lambda self, now, key: 0.0)
+    monkeypatch.setattr(DeficitSketch, "deficit", lambda self, now, key: 0.0)
     quotas = Quotas(-60.0, most=40)
     went = 0
     for n in range(20):
@@ -81,11 +81,11 @@
 def test_what_has_something_out_or_lent_is_not_let_go():
     quotas = Quotas(-60.0, most=50)
     account = quotas.account(0.0, "busy", CAPPED, 2)
-    account.out = 1
+    account.in_flight = 1
     key = "c/capped/lender"
     quotas.account(0.0, "lender", CAPPED, 2)
     move(quotas, 0.0, interface.ShareUpdate(1, 100.0, 100.0, (interface.ResourceShare(key, 0.4, 0.0, 2),)), PLANS)
-    lender = quotas.table.get(key)
+    lender = quotas.accounts.get(key)
     for n in range(500):
         quotas.account(0.5, f"once-{n}", CAPPED, 2)
     assert quotas.account(0.6, "busy", CAPPED, 2) is account
@@ -112,23 +112,23 @@
     assert len(looked) <= 5
     for _ in range(5000):
         quotas.account(1000.0, "late", CAPPED, 2)
-    assert len(quotas.table) == 1
+    assert len(quotas.accounts) == 1
 
 
 def test_debts_are_never_too_small_whatever_shares_their_places():
-    debts, random = Debts("salt"), Random(1)
+    debts, random = DeficitSketch("salt"), Random(1)
     true = {}
     for n in range(3 * SLOTS):
         seconds = random.uniform(0.0, 10.0)
         true[f"k{n}"] = seconds
         debts.add(0.0, f"k{n}", seconds)
-    assert all(debts.owed(0.0, key) >= seconds - 1e-9 for key, seconds in true.items())
-    few = Debts("salt")
+    assert all(debts.deficit(0.0, key) >= seconds - 1e-9 for key, seconds in true.items())
+    few = DeficitSketch("salt")
     for key, seconds in list(true.items())[:1000]:
         few.add(0.0, key, seconds)
-    wrong = sum(few.owed(0.0, f"new{n}") > 0 for n in range(1000))
+    wrong = sum(few.deficit(0.0, f"new{n}") > 0 for n in range(1000))
     assert wrong <= 10  # with few debts, hardly any new customer is taken for one of them
 
 
 def test_two_gateways_place_debts_differently():
-    assert Debts("1")._places("c/p/x") != Debts("2")._places("c/p/x")
+    assert DeficitSketch("1")._places("c/p/x") != DeficitSketch("2")._places("c/p/x")
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -109,15 +109,15 @@
         serve(d, 60)
         for _ in range(4):
             name, actions = d.ask("write", "few")
-            account = d.gateway.quotas.table.get("c/few/c")
-            assert sends(actions) and account.out == 1
+            account = d.gateway.quotas.accounts.get("c/few/c")
+            assert sends(actions) and account.in_flight == 1
             if answered:
                 other, actions = d.ask("write", after=0.01)
                 d.answer(other, sends(actions)[0], took=0.005)
             d.pass_time(1.1)
-            assert account.out == (0 if answered else 1)
+            assert account.in_flight == (0 if answered else 1)
             d.answer(name, "w0", interface.TIMED_OUT, terminal=True)
-            assert account.out == 0
+            assert account.in_flight == 0
             d.pass_time(5.0)
         assert d.gateway.fleet.tails.lost() is answered
 
@@ -189,8 +189,8 @@
     d.give(workers(1, started=0.0))
     d.ask()  # nothing known of any rate: the turn is drawn from a long pause
     cold = d.gateway.fleet.workers["w0"]
-    cold.turn, first = d.now + cold.pause, cold.pause  # the longest that it may have drawn
-    d.gateway.fleet.brisk = 0.1
+    cold.next_turn_at, first = d.now + cold.turn_interval, cold.turn_interval  # the longest that it may have drawn
+    d.gateway.fleet.shortest_usual_latency = 0.1
     d.ask(after=15.0)
-    assert cold.pause < first / 2
-    assert cold.turn - d.now <= cold.pause
+    assert cold.turn_interval < first / 2
+    assert cold.next_turn_at - d.now <= cold.turn_interval
--- a/tests/decisions/test_large_fleets.py
+++ b/tests/decisions/test_large_fleets.py
@@ -61,8 +61,8 @@
     assert sum(own) > 9_700  # idle, all goes to the own zone: 40 to each there
     assert min(own) > 10 and max(own) < 100
     other = fleet(1000, seed=2)
-    names = [w.entry.worker for w in f.arcs.ring]
-    assert names != [w.entry.worker for w in other.arcs.ring]
+    names = [w.entry.worker for w in f.subset.ring]
+    assert names != [w.entry.worker for w in other.subset.ring]
 
 
 def test_a_small_fleet_is_looked_at_whole():
@@ -70,7 +70,7 @@
     for n in range(LOOK):
         for m in range(LOOK):  # all others have something out
             if m != n:
-                f.sent(0.0, f"w{m}", (f"r{m}", n), READ)
+                f.record_sent(0.0, f"w{m}", (f"r{m}", n), READ)
         assert f.pick(0.0, READ, set()) == f"w{n}"
         for m in range(LOOK):
             if m != n:
@@ -105,7 +105,7 @@
         now = n / 1000
         gone[n] = worker = f.pick(now, READ, set())
         assert not f.overdue(now, 1.0)
-        f.sent(now, worker, (f"r{n}", 0), READ)
+        f.record_sent(now, worker, (f"r{n}", 0), READ)
         if n >= 40:
             f.returned(now, gone[n - 40], (f"r{n - 40}", 0), READ, interface.SUCCESS, 0.04)
 
@@ -116,7 +116,7 @@
         now = n / 2000
         worker = f.pick(now, READ, set())
         late += f.overdue(now, 1.0)
-        f.sent(now, worker, (f"r{n}", 0), READ)
+        f.record_sent(now, worker, (f"r{n}", 0), READ)
         if n % 5 == 0:
             key = next(iter(f._waiting))
             f.returned(now, f._waiting[key][2].entry.worker, key, READ, interface.SUCCESS, now - f._waiting[key][0])
@@ -147,13 +147,13 @@
                 )
             case 4 if (worker := f.pick(now, READ, set())) is not None:
                 assert worker in told
-                f.sent(now, worker, (f"r{step}", 0), READ)
+                f.record_sent(now, worker, (f"r{step}", 0), READ)
                 out[f"r{step}", 0] = worker
             case _ if out:
                 key = random.choice(list(out))
                 f.returned(now, out.pop(key), key, READ, interface.SUCCESS, 0.02)
-        assert {w.entry.worker for w in f.arcs.ring} == told and len(f.arcs.ring) == f.serving == len(told)
-        assert all(f.workers[w.entry.worker] is w and w.usable for w in f.arcs.ring)
+        assert {w.entry.worker for w in f.subset.ring} == told and len(f.subset.ring) == f.usable_count == len(told)
+        assert all(f.workers[w.entry.worker] is w and w.usable for w in f.subset.ring)
         assert set(f.workers) - told <= set(out.values())  # what is gone is kept while something is out there
 
 
--- a/tests/decisions/test_long_bodies.py
+++ b/tests/decisions/test_long_bodies.py
@@ -48,7 +48,7 @@
     actions = module.handle(30.0, RequestComplete("r"))
     assert max(timer.delay for timer in of(actions, SetTimer)) == pytest.approx(2.0, abs=0.01)
     module.handle(30.2, Outcome("r", 0, worker, interface.SUCCESS, terminal=True, took=0.2))
-    assert not module.out and not module._timers and not module._pending
+    assert not module.in_flight and not module._timers and not module._pending
 
 
 def test_what_comes_slowly_is_no_sign_of_load_or_of_a_worker_that_hangs():
@@ -56,10 +56,10 @@
     for n in range(40):
         begin(module, 0.0, name=f"slow{n}")
     for n in range(40):
-        worker = module.out[f"slow{n}", 0].worker
+        worker = module.in_flight[f"slow{n}", 0].worker
         module.handle(9.0, ClientDisconnected(f"slow{n}"))
         module.handle(9.0, Outcome(f"slow{n}", 0, worker, interface.CANCELLED, terminal=True, took=9.0))
-    assert not module.throttle.on
+    assert not module.throttle.active
     seen = {of(module.handle(9.1, Request(f"x{n}", "write", "basic", "d", 2.0)), Send)[0].worker for n in range(30)}
     assert len(seen) == 3
 
@@ -106,7 +106,7 @@
     timers = of(module.handle(1.0, RequestComplete("r", retryable=False)), SetTimer)
     for timer in sorted(timers, key=lambda each: each.delay)[:-1]:  # all but the deadline
         assert not of(module.handle(1.0 + timer.delay, TimerFired(timer.ref)), Cancel | Send)
-    assert module.out["r", 0].worker == worker
+    assert module.in_flight["r", 0].worker == worker
 
 
 def test_an_upload_holds_one_of_its_customers_places():
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -141,7 +141,7 @@
     d.pass_time(10)
     assert not d.open  # nothing lost
     assert not d.gateway._pending and not d.gateway._timers  # and nothing kept
-    assert set(d.gateway.out) == set(d.out)
+    assert set(d.gateway.in_flight) == set(d.out)
 
 
 @given(STEPS)
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -14,47 +14,47 @@
 
 def asked(quotas: Quotas, now: float, units: float, used: float | None = None, plan: interface.Plan = PLAN):
     a = quotas.account(now, "c", plan, 3)
-    a.asked += units
+    a.demand += units
     if used is not None:
-        a.metered(now, used, Meter(2.0))
+        a.record_reading(now, used, Meter(2.0))
     return a
 
 
 def test_an_unseen_customer_starts_at_the_floor_with_its_part_of_the_store():
     a = asked(Quotas(0.0), 5.0, 0)
-    assert (a.slice, a.store) == (1.0, 4.0)
+    assert (a.local_rate, a.balance) == (1.0, 4.0)
 
 
 def test_the_slice_follows_the_meter_between_floor_and_forecast():
     quotas = Quotas(0.0)
     for second in range(8):
         a = asked(quotas, float(second), 1.0, used=0.5)
-    assert a.slice > 1.5  # little used elsewhere: more for here
-    assert a.slice <= 2 * a.forecast and a.slice <= PLAN.rate
-    high = a.slice
+    assert a.local_rate > 1.5  # little used elsewhere: more for here
+    assert a.local_rate <= 2 * a.forecast and a.local_rate <= PLAN.rate
+    high = a.local_rate
     a = asked(quotas, 8.0, 3.0, used=2.0)
     a = asked(quotas, 9.0, 3.0, used=2.0)
-    assert a.slice < high
+    assert a.local_rate < high
     for second in range(10, 20):
         a = asked(quotas, float(second), 3.0, used=4.0)
-    assert a.slice == a.floor
+    assert a.local_rate == a.equal_rate
 
 
 def test_without_readings_the_last_slice_stands():
     quotas = Quotas(0.0)
     for second in range(8):
         a = asked(quotas, float(second), 1.0, used=0.5)
-    standing = asked(quotas, 8.0, 1.0).slice
+    standing = asked(quotas, 8.0, 1.0).local_rate
     for second in range(9, 15):
         a = asked(quotas, float(second), 1.0)
-        assert a.slice == standing
+        assert a.local_rate == standing
 
 
 def test_a_customer_that_moved_away_falls_back_to_the_floor():
     quotas = Quotas(0.0)
     for second in range(8):
         a = asked(quotas, float(second), 1.0, used=0.5)
-    assert asked(quotas, 20.0, 0).slice == a.floor
+    assert asked(quotas, 20.0, 0).local_rate == a.equal_rate
 
 
 def test_idle_customers_age_out_but_not_before_their_ceiling_is_full():
@@ -65,7 +65,7 @@
         quotas.account(1.0, f"c{n}", PLAN, 3)
     for _ in range(1000):  # a few go at each step
         quotas.account(2.0 + IDLE, "new", PLAN, 3)
-    assert len(quotas.table) == 2
+    assert len(quotas.accounts) == 2
     assert quotas.account(3.0 + IDLE, "slow", capped, 3) is a
 
 
@@ -90,9 +90,9 @@
 def test_units_are_settled_afterwards():
     d = Driver()
     name, actions = d.ask(plan="metered", units=1.0)
-    account = d.gateway.out[name, 0].account
+    account = d.gateway.in_flight[name, 0].account
     d.answer(name, sends(actions)[0], final_units=3.5)
-    assert abs(account.store - (4.0 - 3.5)) < 1e-9
+    assert abs(account.balance - (4.0 - 3.5)) < 1e-9
 
 
 def test_a_request_larger_than_the_part_of_the_store_is_not_starved():
@@ -114,12 +114,12 @@
     capped = interface.Plan("capped", rate=3.0, burst=6.0, ceiling_rate=6.0, ceiling_capacity=24.0)
     quotas = Quotas(-60.0)
     a = quotas.account(0.0, "c", capped, 2)
-    quotas.take(a, 3.0, True)
-    assert (a.store, a.ceiling) == (0.0, 9.0)
+    quotas.spend(a, 3.0, True)
+    assert (a.balance, a.ceiling_balance) == (0.0, 9.0)
     quotas.account(0.0, "c", other, 2)  # a plan that is not the customer's
     for spread in (1, 3, 2):  # and sets that are not
         assert quotas.account(0.0, "c", capped, spread) is a
-        assert a.store == 0.0 and a.ceiling <= 9.0 and a.depth == 6.0 / spread
+        assert a.balance == 0.0 and a.ceiling_balance <= 9.0 and a.capacity == 6.0 / spread
 
 
 def test_a_repeat_is_no_latecomer_because_others_wait_for_longer():
@@ -143,10 +143,10 @@
     quotas = Quotas(0.0)
     a = quotas.account(0.0, "c", PLAN, 3)
     for n in range(40):  # a unit in every fourth half second: half the rate
-        a.metered(n * 0.5, 0.0 if (n + 2) % 4 else 2.0, Meter(0.5))
-        assert 0.1 < a.use < 1.2
-    a.metered(30.0, 2.0, Meter(2.0))  # a long period needs none of it
-    assert a.use == 2.0
+        a.record_reading(n * 0.5, 0.0 if (n + 2) % 4 else 2.0, Meter(0.5))
+        assert 0.1 < a.metered_use < 1.2
+    a.record_reading(30.0, 2.0, Meter(2.0))  # a long period needs none of it
+    assert a.metered_use == 2.0
 
 
 def test_slices_steer_to_the_whole_quota_with_a_part_of_the_whole_store_left():
@@ -154,11 +154,11 @@
     a = asked(quotas, 0.0, 3.0)
     for level in (0.0, (1.0 - AIMED) * PLAN.burst, PLAN.burst):
         for _ in range(1, 60):
-            used = (a.slice + 1.0) / PLAN.rate  # one unit a second goes through the other gateways
-            a.whole.level, a.whole.at = level, a.at + 1.0
-            a = asked(quotas, a.at + 1.0, 3.0, used=used)
+            used = (a.local_rate + 1.0) / PLAN.rate  # one unit a second goes through the other gateways
+            a.quota_estimate.level, a.quota_estimate.at = level, a.updated_at + 1.0
+            a = asked(quotas, a.updated_at + 1.0, 3.0, used=used)
         aim = AIMED + level / PLAN.burst  # empty it steers below the quota, full beyond
-        assert abs(a.slice - max(a.floor, min(PLAN.rate, aim * PLAN.rate - 1.0))) < 0.1
+        assert abs(a.local_rate - max(a.equal_rate, min(PLAN.rate, aim * PLAN.rate - 1.0))) < 0.1
 
 
 def test_a_slice_follows_from_what_stood_when_the_use_was_metered():
@@ -166,7 +166,7 @@
     quotas, told = Quotas(0.0), []
     for second in range(40):
         a = asked(quotas, float(second), 9.0, used=told[-3] if len(told) > 2 else 1.0)
-        told.append((a.slice + 1.0) / PLAN.rate)
+        told.append((a.local_rate + 1.0) / PLAN.rate)
     assert max(told[20:]) - min(told[20:]) < 0.1  # it settles
 
 
@@ -184,14 +184,14 @@
     quotas.meter = Known()
     for second in range(seconds):
         a = quotas.account(float(second), "c", plan, spread)
-        a.metered(float(second), used, quotas.meter)
+        a.record_reading(float(second), used, quotas.meter)
     return quotas, a
 
 
 def let_in(quotas, a, pressed=False):
     count = 0
-    while quotas.inside(a, 1.0, pressed):
-        quotas.take(a, 1.0, True)
+    while quotas.is_within_quota(a, 1.0, pressed):
+        quotas.spend(a, 1.0, True)
         count += 1
         assert count <= a.plan.burst
     return count
@@ -200,7 +200,7 @@
 def test_a_part_runs_ahead_of_itself_while_the_whole_store_is_full():
     dear = interface.Plan("dear", rate=3.0, burst=12.0, excess_cost=1.2)
     quotas, a = calm(plan=dear)
-    assert a.whole.level == 12.0 and a.depth == 4.0
+    assert a.quota_estimate.level == 12.0 and a.capacity == 4.0
     assert 4 < let_in(quotas, a) < 12  # the others may have sent on as much meanwhile
     assert let_in(*calm(plan=dear, used=3.0)) <= 4  # not where the whole is empty
     cheap = interface.Plan("cheap", rate=3.0, burst=12.0, excess_cost=0.2)
@@ -210,11 +210,11 @@
 
 def test_a_part_never_runs_further_ahead_than_the_rest_of_the_whole_store():
     quotas, a = calm(plan=interface.Plan("free", rate=3.0, burst=12.0))
-    a.whole.level = a.whole.burst = 99.0
-    while quotas.inside(a, 1.0, False):
-        quotas.take(a, 1.0, True)
-        a.whole.level = 99.0
-    assert -8.0 <= a.store < -7.0
+    a.quota_estimate.level = a.quota_estimate.burst = 99.0
+    while quotas.is_within_quota(a, 1.0, False):
+        quotas.spend(a, 1.0, True)
+        a.quota_estimate.level = 99.0
+    assert -8.0 <= a.balance < -7.0
 
 
 def test_before_any_reading_a_part_is_what_it_was():
@@ -237,27 +237,27 @@
         interface.ShareUpdate(1, 99.0, 99.0, changes=(interface.ResourceShare(a.key, 0.2, 0.0, 3),)),
         {PLAN.name: PLAN},
     )
-    assert a.over != a.spread
-    assert let_in(quotas, a) <= a.depth
+    assert a.rate_divisor != a.gateway_count
+    assert let_in(quotas, a) <= a.capacity
 
 
 def test_places_at_once_follow_what_the_others_may_have_out():
     plan = interface.Plan("both", rate=4.0, burst=12.0, concurrency_limit=2.0, excess_cost=0.1)
     quotas, a = calm(plan=plan)
-    a.took, a.out = 0.1, 1
-    assert quotas.inside(a, 1.0, False)  # its part has one place, but the others surely have none out
-    assert not quotas.inside(a, 1.0, True)
-    a.out = 2
-    assert not quotas.inside(a, 1.0, False)  # never beyond the whole
+    a.mean_duration, a.in_flight = 0.1, 1
+    assert quotas.is_within_quota(a, 1.0, False)  # its part has one place, but the others surely have none out
+    assert not quotas.is_within_quota(a, 1.0, True)
+    a.in_flight = 2
+    assert not quotas.is_within_quota(a, 1.0, False)  # never beyond the whole
     quotas, a = calm(plan=plan, used=0.9)
-    a.took, a.out = 3.0, 1
-    assert not quotas.inside(a, 1.0, False)
+    a.mean_duration, a.in_flight = 3.0, 1
+    assert not quotas.is_within_quota(a, 1.0, False)
     a = Quotas(0.0).account(0.0, "c", plan, 3)
-    a.out = 1
-    assert not quotas.inside(a, 1.0, False)  # nothing is known of it
+    a.in_flight = 1
+    assert not quotas.is_within_quota(a, 1.0, False)  # nothing is known of it
     quotas, a = calm(plan=interface.Plan("one", rate=4.0, burst=12.0, concurrency_limit=1.0))
-    a.out = 1
-    assert not quotas.inside(a, 1.0, False)
+    a.in_flight = 1
+    assert not quotas.is_within_quota(a, 1.0, False)
 
 
 def test_repeats_ask_for_nothing_more():
@@ -266,19 +266,19 @@
     d.now = 60.0
     for _ in range(4):
         d.ask(plan="metered")
-    account = d.gateway.quotas.table.get("c/metered/c")
-    assert account.asked == 4.0
+    account = d.gateway.quotas.accounts.get("c/metered/c")
+    assert account.demand == 4.0
     for _ in range(8):
         d.ask(plan="metered", repeat=True)
-    assert account.asked == 4.0
+    assert account.demand == 4.0
 
 
 def test_a_customer_that_comes_back_owing_has_no_full_store_behind_it():
     a = Quotas(0.0).account(0.0, "c", PLAN, 3)
-    a.owe(1.0)
-    assert a.whole.level == 3.0
-    a.owe(60.0)
-    assert a.whole.level == 0.0
+    a.apply_deficit(1.0)
+    assert a.quota_estimate.level == 3.0
+    a.apply_deficit(60.0)
+    assert a.quota_estimate.level == 0.0
 
 
 def test_customers_inside_their_quota_are_served_through_uneven_parts():
@@ -299,26 +299,26 @@
 def test_a_calm_customer_with_a_thin_part_is_not_starved_unless_the_meter_shows_no_room():
     plan = replace(PLAN, excess_cost=0.8)  # what goes beyond costs something
     a = (quotas := Quotas(0.0)).account(0.0, "c", plan, 300)  # a part of 0.04 units
-    assert quotas.inside(a, 1.0, False)
-    quotas.take(a, 1.0, True)
-    assert quotas.inside(a, 1.0, False)  # nothing known yet: taken for calm, as most are
-    a.metered(1.0, 8.0, Meter(2.0))
-    assert not quotas.inside(a, 1.0, False)
+    assert quotas.is_within_quota(a, 1.0, False)
+    quotas.spend(a, 1.0, True)
+    assert quotas.is_within_quota(a, 1.0, False)  # nothing known yet: taken for calm, as most are
+    a.record_reading(1.0, 8.0, Meter(2.0))
+    assert not quotas.is_within_quota(a, 1.0, False)
     for second in range(2, 12):
-        a.metered(float(second), 0.1, Meter(2.0))
-    assert quotas.inside(a, 1.0, False)
-    assert quotas.inside(a, 1.0, True)  # the bucket, not a sliver of a store, says what goes under control
+        a.record_reading(float(second), 0.1, Meter(2.0))
+    assert quotas.is_within_quota(a, 1.0, False)
+    assert quotas.is_within_quota(a, 1.0, True)  # the bucket, not a sliver of a store, says what goes under control
 
 
 def test_a_flood_through_many_gateways_takes_little_at_each_of_them():
     quotas, went = Quotas(0.0), 0
     for n in range(200):  # ten a second for twenty seconds, the meter at many times the quota
         a = quotas.account(n / 10, "c", PLAN, 300)
-        a.asked += 1
-        if quotas.inside(a, 1.0, False):
-            quotas.take(a, 1.0, True)
+        a.demand += 1
+        if quotas.is_within_quota(a, 1.0, False):
+            quotas.spend(a, 1.0, True)
             went += 1
-            a.metered(n / 10, 8.0, Meter(2.0))
+            a.record_reading(n / 10, 8.0, Meter(2.0))
     assert went <= 20  # one try in a second, to hear the meter again: what is refused brings no reading
 
 
@@ -327,4 +327,4 @@
     for n in range(12):  # one request in ten seconds, well inside
         a = asked(quotas, 10.0 * n, 1.0, used=0.2)
     a = quotas.account(118.0, "c", PLAN, 300)
-    assert a.forecast < 0.05 and a.longer > 0.05
+    assert a.forecast < 0.05 and a.long_forecast > 0.05
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -47,8 +47,8 @@
     went, now = 0.0, start
     while now < end:
         account = quotas.account(now, customer, CAPPED, 2)
-        if quotas.allowed(account, 1.0, False):
-            quotas.take(account, 1.0, False)
+        if quotas.ceiling_allows(account, 1.0, False):
+            quotas.spend(account, 1.0, False)
             went += 1
         now += step
     return went
@@ -84,8 +84,8 @@
         for quotas in pair:
             for _ in range(4):
                 account = quotas.account(now, "c", CAPPED, 2)
-                if quotas.allowed(account, 1.0, False):
-                    quotas.take(account, 1.0, False)
+                if quotas.ceiling_allows(account, 1.0, False):
+                    quotas.spend(account, 1.0, False)
                     spent += 1
         log.append((now, spent))
     for begin, before in log:
@@ -99,32 +99,32 @@
     quotas.account(0.0, "c", CAPPED, 2)
     move(quotas, 0.0, moved(borrowed=0.5, until=1.5), PLANS)
     account = quotas.account(100.0, "c", CAPPED, 2)
-    assert account.ceiling <= 20 and account.over == 2
+    assert account.ceiling_balance <= 20 and account.rate_divisor == 2
 
 
 def test_what_is_in_a_store_moves_with_its_share_and_nothing_is_made_anew():
     lender, borrower = Quotas(-60.0), Quotas(-60.0)
     spend(borrower, 0.0, 4.0, step=0.01)
     there = borrower.account(4.0, "c", CAPPED, 2)
-    level = there.ceiling
+    level = there.ceiling_balance
     (freed,) = move(
         lender, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.4, 0.0, 2),)), PLANS
     )
     moved_on = 0.4 * MOVED  # of the stores less moves than of the rate
     assert freed.quota == pytest.approx(moved_on) and freed.ceiling == pytest.approx(moved_on)
-    assert lender.account(4.0, "c", CAPPED, 2).ceiling == pytest.approx((0.5 - moved_on) * 40)
+    assert lender.account(4.0, "c", CAPPED, 2).ceiling_balance == pytest.approx((0.5 - moved_on) * 40)
     assert not move(
         borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.0, 0.4, 2),), (freed,)), PLANS
     )
-    assert there.ceiling == pytest.approx(level + moved_on * 40)
+    assert there.ceiling_balance == pytest.approx(level + moved_on * 40)
     (back,) = move(
         borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.0, 0.0, 2),)), PLANS
     )
-    assert back.ceiling * 40 + there.ceiling == pytest.approx(level + moved_on * 40)
+    assert back.ceiling * 40 + there.ceiling_balance == pytest.approx(level + moved_on * 40)
     # A share that comes with more than it holds spills; a thing of an unknown plan is left.
     fills = interface.BucketLevels(KEY, 1.0, 1.0), interface.BucketLevels("c/none/c", 1.0, 1.0)
     move(borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (), fills), PLANS)
-    assert there.ceiling == pytest.approx(20) and there.store == pytest.approx(10)
+    assert there.ceiling_balance == pytest.approx(20) and there.balance == pytest.approx(10)
 
 
 def test_the_slice_stands_on_the_share_and_no_cliff_comes_with_its_end():
@@ -133,17 +133,19 @@
     key = customer_key("metered", "c")
     for second in range(6):
         account = quotas.account(second, "c", plan, 3)
-        account.asked += 12.0
+        account.demand += 12.0
         move(
             quotas,
             second,
             interface.ShareUpdate(1, second + 1.5, second + 1.5, (interface.ResourceShare(key, 0.0, 0.6),)),
             {plan.name: plan},
         )
-    assert quotas.account(6.0, "c", plan, 3).slice >= 0.9 * 12
-    before = quotas.account(6.4, "c", plan, 3).slice
+    assert quotas.account(6.0, "c", plan, 3).local_rate >= 0.9 * 12
+    before = quotas.account(6.4, "c", plan, 3).local_rate
     after = quotas.account(7.0, "c", plan, 3)
-    assert after.over == 3 and after.slice > 0.9 * before  # the last slice stands until a reading says more
+    assert (
+        after.rate_divisor == 3 and after.local_rate > 0.9 * before
+    )  # the last slice stands until a reading says more
 
 
 def test_an_at_once_cap_follows_the_share():
@@ -196,5 +198,5 @@
             name, actions = d.ask("read", plan="capped", customer=f"c{n % 5}", after=0.02)
             for worker in sends(actions):
                 d.answer(name, worker, took=0.02)
-        assert len(plain.gateway.quotas.table) == len(asked.gateway.quotas.table)
+        assert len(plain.gateway.quotas.accounts) == len(asked.gateway.quotas.accounts)
     assert plain.gateway._random.getstate() == asked.gateway._random.getstate()
--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -13,7 +13,7 @@
 from micagate.shares import Shares
 from micagate.throttle import LEAST_SIGNALS, PERIOD, Throttle
 from micagate.worker import LONGEST_BACKOFF, Worker
-from micagate.worker_subset import NEAR, Arcs
+from micagate.worker_subset import NEAR, WorkerSubset
 from rig.capacity import Capacity
 from rig.cluster import Cluster
 
@@ -30,20 +30,20 @@
 
 
 def serve(fleet, now, name, took=0.1, status=interface.SUCCESS):
-    fleet.sent(now, name, (name, int(now * 1000)), READ)
+    fleet.record_sent(now, name, (name, int(now * 1000)), READ)
     fleet.returned(now + took, name, (name, int(now * 1000)), READ, status, took)
 
 
 def test_an_arc_holds_so_many_that_are_fit_and_tells_how_many_share_a_worker():
-    arcs = Arcs(3, 40)
+    arcs = WorkerSubset(3, 40)
     for n in range(60):
         arcs.add(Worker(interface.WorkerEntry(f"w{n}"), 1.0, 0.0, n / 60))
-    assert arcs.keeps and arcs.met == arcs.few == NEAR and len(arcs.of(NEAR)) == NEAR
-    arc = arcs.of(NEAR, lambda w: int(w.entry.worker[1:]) % 3 > 0)  # two in three
+    assert arcs.is_partial and arcs.reachable_count == arcs.size == NEAR and len(arcs.members(NEAR)) == NEAR
+    arc = arcs.members(NEAR, lambda w: int(w.entry.worker[1:]) % 3 > 0)  # two in three
     assert arcs.fit == NEAR and len(arc) in (11, 12) and arcs.overlap() == len(arc) / 60
     assert [w.entry.worker for w in arc[:2]] == ["w4", "w5"]  # from its own place on
-    assert arcs.of(NEAR, lambda w: False) == arcs.ring[4:] + arcs.ring[:4] and arcs.overlap() == 1.0
-    assert not Arcs(None, 40).keeps and Arcs(0, 3).met == 0
+    assert arcs.members(NEAR, lambda w: False) == arcs.ring[4:] + arcs.ring[:4] and arcs.overlap() == 1.0
+    assert not WorkerSubset(None, 40).is_partial and WorkerSubset(0, 3).reachable_count == 0
 
 
 @pytest.mark.parametrize("cold", [0, 36])
@@ -52,7 +52,7 @@
     for number in range(0, 40, 7):
         fleet = gateway(number, entries)
         fleet.pick(0.1, READ, set())
-        looked = fleet.arcs.of(NEAR, lambda w, f=fleet: f.warmth(0.1, w) is None)
+        looked = fleet.subset.members(NEAR, lambda w, f=fleet: f.warm_up_factor(0.1, w) is None)
         assert sum(w.entry.started is None for w in looked) == NEAR
 
 
@@ -75,18 +75,18 @@
     assert part > 0.08  # not left to the others
     # No cold worker is sent to from beyond the arc, where its room is not counted.
     fleet = cluster.gates[0].fleet
-    arc = {w.entry.worker for w in fleet.arcs.of(NEAR, lambda w: fleet.warmth(6.1, w) is None)}
+    arc = {w.entry.worker for w in fleet.subset.members(NEAR, lambda w: fleet.warm_up_factor(6.1, w) is None)}
     assert fleet.pick(6.1, READ, arc | {f"w{n:02}" for n in range(36, 60)}) is None
 
 
 def test_two_refusals_with_no_answer_between_put_others_first_and_an_answer_ends_that():
     worker = Worker(interface.WorkerEntry("w"), 1.0, 0.0, 0.0)
-    worker.turned_away(1.0)
-    assert not worker.suspect()
-    worker.turned_away(1.1)
-    assert worker.suspect() and 1.1 < worker.until <= 1.1 + LONGEST_BACKOFF
+    worker.record_overload(1.0)
+    assert not worker.is_suspect()
+    worker.record_overload(1.1)
+    assert worker.is_suspect() and 1.1 < worker.backoff_until <= 1.1 + LONGEST_BACKOFF
     fleet = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
-    name = fleet.arcs.ring[0].entry.worker
+    name = fleet.subset.ring[0].entry.worker
     for now in (1.0, 1.5):
         serve(fleet, now, name, status=interface.OVERLOADED)
     assert not fleet._healthy(1.65, fleet.workers[name])
@@ -100,34 +100,34 @@
     few.update(0.0, interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(6)), whole=True))
     for fleet in (many, few):
         serve(fleet, 1.0, "w1", status=interface.FAILURE)
-    assert not many._healthy(1.15, many.workers["w1"]) and not many.workers["w1"].until < 1.2
-    assert few.workers["w1"].until == 0.0
+    assert not many._healthy(1.15, many.workers["w1"]) and not many.workers["w1"].backoff_until < 1.2
+    assert few.workers["w1"].backoff_until == 0.0
 
 
 def test_what_is_out_for_long_tells_of_a_worker_before_its_answer():
     fleet = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
-    one, other = (w.entry.worker for w in fleet.arcs.ring[:2])
+    one, other = (w.entry.worker for w in fleet.subset.ring[:2])
     for step in range(10):
         for name in (one, other):
             serve(fleet, step / 5, name)
-    fleet.sent(3.0, one, ("slow", 0), READ)
+    fleet.record_sent(3.0, one, ("slow", 0), READ)
     assert fleet._slow(3.05, fleet.workers[one]) < 1.1
     assert fleet._slow(3.35, fleet.workers[one]) > 3 > fleet._slow(3.35, fleet.workers[other])
 
 
 def test_one_signal_each_of_a_third_of_the_few_workers_met_starts_no_control_and_one_more_does():
     throttle = Throttle(0.0, 1)
-    throttle.among(8, True)
-    assert throttle.least > LEAST_SIGNALS
+    throttle.set_workers(8, True)
+    assert throttle.min_signals > LEAST_SIGNALS
     for n in range(14):
         throttle.admit(n / 7)
     for n in range(3):
-        throttle.signal(1.9 + n / 100, f"w{n}", "p", 1.0)
-    assert not throttle.on
-    throttle.signal(1.95, "w3", "p", 1.0)
-    assert throttle.on
-    throttle.among(8, False)
-    assert throttle.target(0.0) == LEAST_SIGNALS / PERIOD
+        throttle.record_signal(1.9 + n / 100, f"w{n}", "p", 1.0)
+    assert not throttle.active
+    throttle.record_signal(1.95, "w3", "p", 1.0)
+    assert throttle.active
+    throttle.set_workers(8, False)
+    assert throttle.target_signal_rate(0.0) == LEAST_SIGNALS / PERIOD
 
 
 def test_a_few_out_by_chance_are_no_queue_where_traffic_is_thin_and_slow_answers_are():
@@ -151,25 +151,25 @@
     quotas = Quotas(0.0, period=0.5)
     a = sliver(quotas, 0.0)
     for second in range(3):
-        if quotas.inside(a := sliver(quotas, second / 10), 1.0, False):
-            quotas.take(a, 1.0, True)
-            a.metered(second / 10 + 0.2, 6.0, quotas.meter)  # much use, by all
-    assert not quotas.inside(sliver(quotas, 0.6), 1.0, False)
-    assert quotas.inside(sliver(quotas, 20.0), 1.0, False)  # nothing was heard since: the whole has filled
-    assert quotas.inside(sliver(quotas, 20.0), 1.0, True)  # and control leaves it to the bucket
+        if quotas.is_within_quota(a := sliver(quotas, second / 10), 1.0, False):
+            quotas.spend(a, 1.0, True)
+            a.record_reading(second / 10 + 0.2, 6.0, quotas.meter)  # much use, by all
+    assert not quotas.is_within_quota(sliver(quotas, 0.6), 1.0, False)
+    assert quotas.is_within_quota(sliver(quotas, 20.0), 1.0, False)  # nothing was heard since: the whole has filled
+    assert quotas.is_within_quota(sliver(quotas, 20.0), 1.0, True)  # and control leaves it to the bucket
 
 
 def test_few_gateways_go_by_their_parts_as_before():
     quotas = Quotas(0.0, period=0.5)
-    assert sliver(quotas, 0.0, 30).whole.sliver() and not sliver(Quotas(0.0), 0.0, 3).whole.sliver()
+    assert sliver(quotas, 0.0, 30).quota_estimate.sliver() and not sliver(Quotas(0.0), 0.0, 3).quota_estimate.sliver()
 
 
 def test_a_reading_counts_where_the_meters_times_are_not_known_and_the_part_is_a_sliver():
     meter = Meter(0.5)
     for spread, heard in ((30, True), (3, False)):
         a = sliver(Quotas(0.0, period=0.5), 0.0, spread)
-        a.metered(5.0, 2.0, meter)
-        assert (a.whole.told is not None) is heard
+        a.record_reading(5.0, 2.0, meter)
+        assert (a.quota_estimate.told is not None) is heard
 
 
 def test_the_parts_of_a_ceiling_follow_who_sends_and_add_up_to_the_whole():
@@ -178,9 +178,9 @@
     for share in shares:
         quotas = Quotas(0.0, period=0.5)
         a = quotas.account(0.0, "c", plan, 7)
-        a.whole._mine, a.whole._all = 1000 * share, 1000.0  # what the meter showed
-        a.ceiling = 0.0
+        a.quota_estimate._mine, a.quota_estimate._all = 1000 * share, 1000.0  # what the meter showed
+        a.ceiling_balance = 0.0
         quotas.account(0.5, "c", plan, 7)
-        assert a.ceiling > 0.25 * 8.0 / 7 - 1e-9  # none falls below half of its even part
-        filled += a.ceiling
+        assert a.ceiling_balance > 0.25 * 8.0 / 7 - 1e-9  # none falls below half of its even part
+        filled += a.ceiling_balance
     assert filled == pytest.approx(4.0, rel=0.02)
--- a/tests/decisions/test_streams.py
+++ b/tests/decisions/test_streams.py
@@ -14,7 +14,7 @@
     assert d.pass_time(10.0) == []  # no copy, no end of ours, no signal
     assert not d.gateway.throttle._signals
     assert d.answer(name, worker, took=10.1) == []
-    assert not d.gateway._pending and not d.gateway.out
+    assert not d.gateway._pending and not d.gateway.in_flight
 
 
 def test_a_stream_that_breaks_owes_nothing():
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -22,7 +22,7 @@
 
 
 def subsets(all_of: list[Fleet]) -> list[list[str]]:
-    return [[worker.entry.worker for worker in f.arcs.of(f.arcs.few)] for f in all_of]
+    return [[worker.entry.worker for worker in f.subset.members(f.subset.size)] for f in all_of]
 
 
 @pytest.mark.parametrize(("workers", "gateways"), [(1000, 50), (1000, 10), (997, 13), (30, 40), (9, 3), (200, 200)])
@@ -43,7 +43,7 @@
     for number, f in enumerate(all_of):
         for n in range(20):
             worker = f.pick(0.0, READ, set())
-            f.sent(0.0, worker, (f"r{number}-{n}", 0), READ)
+            f.record_sent(0.0, worker, (f"r{number}-{n}", 0), READ)
             went[worker] += 1
     assert max(went.values()) <= 3  # a thousand requests over a thousand workers, each in three arcs
     assert len(went) > 500
@@ -64,7 +64,7 @@
             after = subsets(all_of)
             step = churn(before, after)
             assert all(len(subset) == 60 for subset in after) and step < 0.1
-            rings = [[w.entry.worker for w in f.arcs.ring] for f in all_of]
+            rings = [[w.entry.worker for w in f.subset.ring] for f in all_of]
             assert len(rings[0]) == 1000 and all(ring == rings[0] for ring in rings)  # so all arcs stay even
             before, moved = after, moved + step
     assert moved < 50 * 0.06  # of which 50 x 0.02 are the new workers themselves
@@ -90,8 +90,8 @@
         )
         (told.add if up else told.discard)(name)
         assert f.pick(step / 100, READ, set()) in told
-    ranks = [worker.rank for worker in f.arcs.ring]
-    assert ranks == sorted(ranks) and {w.entry.worker for w in f.arcs.ring} == told
+    ranks = [worker.rank for worker in f.subset.ring]
+    assert ranks == sorted(ranks) and {w.entry.worker for w in f.subset.ring} == told
 
 
 def test_the_measure_of_subsets_finds_those_by_chance_uneven():
--- a/tests/decisions/test_throttle.py
+++ b/tests/decisions/test_throttle.py
@@ -14,30 +14,30 @@
 ) -> tuple[Throttle, int]:
     """A throttle that was offered `rate` requests and told `signals` signals a second; what it let in."""
     t, admitted = throttle or Throttle(0.0, 3), 0
-    t.workers = len(WORKERS)
+    t.worker_count = len(WORKERS)
     for second in range(seconds):
         for n in range(rate):
             now = start + second + n / rate
             admitted += t.admit(now)
             if n < signals:
-                t.signal(now, WORKERS[(second * signals + n) % len(WORKERS)], PLANS[n % 3], now)
+                t.record_signal(now, WORKERS[(second * signals + n) % len(WORKERS)], PLANS[n % 3], now)
     return t, admitted
 
 
 def test_without_control_everything_passes():
     t, admitted = loaded(signals=0, seconds=30)
-    assert admitted == 600 and not t.on
+    assert admitted == 600 and not t.active
 
 
 def test_control_starts_early_once_a_periods_worth_of_signals_came():
     t, _ = loaded(signals=0, seconds=4)
-    assert not t.on
+    assert not t.active
     for n in range(2):
-        t.signal(4.0, WORKERS[n], PLANS[n], 4.0)
-    assert not t.on
-    t.signal(4.0, WORKERS[3], PLANS[2], 4.0)
-    assert t.on
-    assert t.rate == t.base == 20.0  # the rate let through over the period
+        t.record_signal(4.0, WORKERS[n], PLANS[n], 4.0)
+    assert not t.active
+    t.record_signal(4.0, WORKERS[3], PLANS[2], 4.0)
+    assert t.active
+    assert t.rate == t.base_rate == 20.0  # the rate let through over the period
     assert not t.admit(4.0)  # the bucket starts full
     assert t.admit(4.0 + 1 / 19.9)  # and leaks one per leak interval
 
@@ -45,9 +45,9 @@
 def test_the_leak_rate_follows_the_target_and_stays_in_bounds():
     t, _ = loaded(signals=0, seconds=4)
     loaded(signals=4, seconds=6, throttle=t, start=4.0)
-    assert t.on and t.rate < 0.8 * t.base
+    assert t.active and t.rate < 0.8 * t.base_rate
     loaded(signals=20, seconds=60, throttle=t, start=10.0)
-    assert t.rate == throttle.SLOWEST * t.base
+    assert t.rate == throttle.SLOWEST * t.base_rate
 
 
 def test_the_rate_rises_by_a_fixed_step_when_refusing_without_signals():
@@ -59,7 +59,7 @@
     while t._due == due:
         loaded(rate=40, signals=0, seconds=1, throttle=t, start=start)
         start += 1
-    assert abs(t.rate - low - throttle.RISE * t.base) < 1e-9
+    assert abs(t.rate - low - throttle.RISE * t.base_rate) < 1e-9
 
 
 def test_the_rate_is_not_raised_while_nothing_is_refused_and_control_ends_when_quiet():
@@ -68,9 +68,9 @@
     loaded(rate=2, signals=0, seconds=5, throttle=t, start=10.0)  # the last refusals pass
     low = t.rate
     loaded(rate=2, signals=0, seconds=6, throttle=t, start=15.0)
-    assert t.on and t.rate == low
+    assert t.active and t.rate == low
     loaded(rate=2, signals=0, seconds=12, throttle=t, start=21.0)
-    assert not t.on
+    assert not t.active
 
 
 def share_let_in(t, start, seconds, rate=75):
@@ -84,8 +84,8 @@
     for n in range(15):
         assert t.admit(60.0 + n / 75)
     for n in range(9):
-        t.signal(60.2, WORKERS[n], PLANS[n % 3], 60.1)
-    assert t.on and round(t.base) == 75  # over the time that requests came, not over the whole window
+        t.record_signal(60.2, WORKERS[n], PLANS[n % 3], 60.1)
+    assert t.active and round(t.base_rate) == 75  # over the time that requests came, not over the whole window
     assert share_let_in(t, 60.2, 10) > 0.95
 
 
@@ -94,17 +94,17 @@
     for n in range(4):
         assert t.admit(10.0 + n / 75)
     for n in range(4):
-        t.signal(10.45, WORKERS[n], PLANS[n % 3], 10.0)
-    assert t.on and t.base < 10  # all that came: the clients were held up too
+        t.record_signal(10.45, WORKERS[n], PLANS[n % 3], 10.0)
+    assert t.active and t.base_rate < 10  # all that came: the clients were held up too
     share_let_in(t, 10.5, 5)
-    assert t.base > 70 and share_let_in(t, 15.5, 5) > 0.9
+    assert t.base_rate > 70 and share_let_in(t, 15.5, 5) > 0.9
 
 
 def test_traffic_that_grows_under_control_is_not_held_to_what_came_before_it():
     t, _ = loaded(rate=5, signals=0, seconds=4)
     for n in range(4):
-        t.signal(4.0, WORKERS[n], PLANS[n % 3], 4.0)
-    assert t.on and t.base == 5.0
+        t.record_signal(4.0, WORKERS[n], PLANS[n % 3], 4.0)
+    assert t.active and t.base_rate == 5.0
     share_let_in(t, 4.0, 25)
     assert share_let_in(t, 29.0, 5) > 0.95  # 4.5 times the base were 0.3 of it
 
@@ -112,17 +112,17 @@
 def test_the_base_stays_while_signals_come():
     t, _ = loaded(signals=0, seconds=4)
     loaded(rate=80, signals=8, seconds=1, throttle=t, start=4.0)
-    base = t.base
-    assert t.on and base < 25
+    base = t.base_rate
+    assert t.active and base < 25
     loaded(rate=80, signals=8, seconds=20, throttle=t, start=5.0)
-    assert t.base == base
+    assert t.base_rate == base
 
 
 def test_two_sick_workers_of_nine_do_not_start_control():
     t, _ = loaded(signals=0, seconds=4)
     for n in range(200):
-        t.signal(4.0 + n / 100, WORKERS[n % 2], PLANS[n % 3], 4.0)
-    assert not t.on
+        t.record_signal(4.0 + n / 100, WORKERS[n % 2], PLANS[n % 3], 4.0)
+    assert not t.active
 
 
 def test_a_sure_latecomer_is_refused_before_any_time_out():
@@ -151,9 +151,9 @@
     fleet = d.gateway.fleet
     assert fleet.overdue(d.now, 0.0, 0.5) and not fleet.overdue(d.now, 0.0)
     assert sends(d.ask("cheap")[1])  # no control: all alike
-    d.gateway.throttle.on, d.gateway.throttle.base, d.gateway.throttle.rate = True, 10.0, 10.0
-    d.gateway.throttle.fill = 0.0
-    d.answer("r45", next(name for name, worker in fleet.workers.items() if ("r45", 0) in worker.out))
+    d.gateway.throttle.active, d.gateway.throttle.base_rate, d.gateway.throttle.rate = True, 10.0, 10.0
+    d.gateway.throttle.bucket_level = 0.0
+    d.answer("r45", next(name for name, worker in fleet.workers.items() if ("r45", 0) in worker.in_flight))
     assert not sends(d.ask("cheap")[1]) and sends(d.ask("dear")[1])
     assert len(d.gateway.throttle._signals) == 1
 
@@ -161,22 +161,22 @@
 def test_one_worker_or_one_plan_alone_can_press_the_rate_down():
     for plans, workers in ((1, 9), (3, 1), (1, 1)):
         t = Throttle(0.0, plans)
-        t.workers = workers
+        t.worker_count = workers
         for n in range(1200):
             now = n / 20
             if t.admit(now) and n % 2:  # half of what is let in goes wrong
-                t.signal(now, WORKERS[n % workers], PLANS[n % plans], now)
-        assert t.on and t.rate < 0.4 * t.base, (plans, workers, t.rate)
+                t.record_signal(now, WORKERS[n % workers], PLANS[n % plans], now)
+        assert t.active and t.rate < 0.4 * t.base_rate, (plans, workers, t.rate)
 
 
 def test_one_plan_that_goes_wrong_everywhere_does_not_start_control():
     t, _ = loaded(signals=0, seconds=4)
     for n in range(200):
-        t.signal(4.0 + n / 100, WORKERS[n % 9], "a", 4.0)
-    assert not t.on
-    t.signal(6.0, WORKERS[0], "b", 6.0)
-    t.signal(6.0, WORKERS[1], "b", 6.0)
-    assert t.on  # two plans of three are overload
+        t.record_signal(4.0 + n / 100, WORKERS[n % 9], "a", 4.0)
+    assert not t.active
+    t.record_signal(6.0, WORKERS[0], "b", 6.0)
+    t.record_signal(6.0, WORKERS[1], "b", 6.0)
+    assert t.active  # two plans of three are overload
 
 
 def test_one_update_does_not_overshoot_on_a_backlogs_signals():
@@ -190,7 +190,7 @@
 def test_the_first_burst_after_a_start_is_let_in_as_no_pace_is_known_yet():
     d = Driver()
     went = [bool(sends(d.ask("write", after=0.005)[1])) for _ in range(30)]
-    assert all(went) and not d.gateway.throttle.on
+    assert all(went) and not d.gateway.throttle.active
     d.now += 1.5  # and then nothing is answered within its aim
     assert not all(sends(d.ask("write")[1]) for _ in range(10))
 
@@ -209,11 +209,11 @@
 def test_under_control_a_backlog_from_before_the_last_update_does_not_count():
     t, _ = loaded(signals=0, seconds=4)
     loaded(signals=4, seconds=1, throttle=t, start=4.0)
-    assert t.on
+    assert t.active
     seen = len(t._signals)
-    t.signal(5.0, WORKERS[0], "a", 2.0)
+    t.record_signal(5.0, WORKERS[0], "a", 2.0)
     assert len(t._signals) == seen
-    t.signal(5.0, WORKERS[0], "a", 4.95)
+    t.record_signal(5.0, WORKERS[0], "a", 4.95)
     assert len(t._signals) == seen + 1
 
 
@@ -302,13 +302,13 @@
 def test_lost_answers_are_no_signals_while_the_others_are_brisk():
     d = silent(5)
     assert d.gateway.fleet.recent.lossy()
-    assert len(d.gateway.throttle._signals) <= 1 and not d.gateway.throttle.on  # the guard's, by chance
+    assert len(d.gateway.throttle._signals) <= 1 and not d.gateway.throttle.active  # the guard's, by chance
 
 
 def test_silence_of_all_workers_still_starts_control():
     d = silent(1)
     assert not d.gateway.fleet.recent.lossy()
-    assert d.gateway.throttle.on
+    assert d.gateway.throttle.active
 
 
 def test_the_guard_refuses_only_what_the_bucket_let_through():
@@ -318,7 +318,7 @@
     seen = len(throttle._signals)
     d.ask("write")
     assert len(throttle._signals) == seen + 1  # a signal, like a worker's full
-    throttle.on, throttle.rate, throttle.base, throttle.fill = True, 1e-9, 1.0, 5.0
+    throttle.active, throttle.rate, throttle.base_rate, throttle.bucket_level = True, 1e-9, 1.0, 5.0
     throttle._due = throttle._leaked = d.now + 60
     d.ask("write")
     assert len(throttle._signals) == seen + 1  # refused by the bucket: none
@@ -334,8 +334,8 @@
             admitted = t.admit(now, part)
             let_in[klass] += admitted and 2 * n >= seconds * 40
         if n % 10 < 2:
-            t.signal(now, WORKERS[n // 10 % 9], PLANS[n % 3], now)
-    assert t.on
+            t.record_signal(now, WORKERS[n // 10 % 9], PLANS[n % 3], now)
+    assert t.active
     return let_in
 
 
@@ -349,8 +349,8 @@
 def test_what_is_worth_less_gets_the_room_that_nothing_else_asks_for():
     t, _ = loaded(signals=0, seconds=4)
     for n in range(9):
-        t.signal(4.0, WORKERS[n], PLANS[n % 3], 4.0)
-    assert t.on
+        t.record_signal(4.0, WORKERS[n], PLANS[n % 3], 4.0)
+    assert t.active
     assert sum(t.admit(4.0 + n / 40, 0.5) for n in range(400)) > 0.95 * 10 * 20
 
 
@@ -368,7 +368,7 @@
                 served[asked[n % 2]] += 1
                 # One answer of five is late: control is on for as long as this goes on.
                 d.answer(name, worker, took=1.5 if sum(served.values()) % 5 == 0 else 0.1)
-        assert d.gateway.throttle.on
+        assert d.gateway.throttle.active
         return served
 
     apart, alike = played(3.0), played(1.0)
--- a/tests/endings/test_client_disconnects.py
+++ b/tests/endings/test_client_disconnects.py
@@ -121,12 +121,12 @@
     d.pass_time(60.0)
     name, actions = d.ask("write", plan="free", units=3.0, spread=1)
     (worker,) = sends(actions)
-    account = d.gateway.out[name, 0].account
-    before = account.store, account.ceiling, account.whole.level
+    account = d.gateway.in_flight[name, 0].account
+    before = account.balance, account.ceiling_balance, account.quota_estimate.level
     d.give(interface.ClientDisconnected(name))
     d.answer(name, worker, status)
     more = 3.0 if back else 0.0
-    assert account.store == pytest.approx(before[0] + more, abs=0.2)
-    assert account.ceiling == pytest.approx(before[1] + more, abs=0.2)
-    assert account.whole.level == pytest.approx(before[2] + more, abs=0.2)
-    assert account.out == 0
+    assert account.balance == pytest.approx(before[0] + more, abs=0.2)
+    assert account.ceiling_balance == pytest.approx(before[1] + more, abs=0.2)
+    assert account.quota_estimate.level == pytest.approx(before[2] + more, abs=0.2)
+    assert account.in_flight == 0
--- a/tests/estimates/test_metering.py
+++ b/tests/estimates/test_metering.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from micagate.estimates.metering import LONGEST, Meter, Whole
+from micagate.estimates.metering import LONGEST, Meter, QuotaEstimate
 from rig.traffic import PlanShape, Store
 
 
@@ -20,7 +20,7 @@
 
     def customer(self, name):
         self.wholes[name] = [
-            Whole(self.rate, self.burst, self.gateways, self.now, self.burst / 2) for _ in range(self.gateways)
+            QuotaEstimate(self.rate, self.burst, self.gateways, self.now, self.burst / 2) for _ in range(self.gateways)
         ]
         self.sends[name], self.true[name] = [], Store(PlanShape(self.rate, self.burst), self.now)
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_readings_that_have_nothing_to_do_with_the_sends_are_never_believed(seed):
     random, meter = Random(seed), Meter(2.0)
-    whole, now = Whole(6.0, 24.0, 2, 0.0, 12.0), 0.0
+    whole, now = QuotaEstimate(6.0, 24.0, 2, 0.0, 12.0), 0.0
     for _ in range(800):
         now += random.expovariate(4.0)
         whole.sent(now, 1.0, 0.06)
@@ -145,7 +145,7 @@
 
 
 def test_units_beyond_an_at_once_cap_take_nothing():
-    full, half = (Whole(6.0, 24.0, 2, 0.0, 24.0) for _ in range(2))
+    full, half = (QuotaEstimate(6.0, 24.0, 2, 0.0, 24.0) for _ in range(2))
     full.sent(0.0, 4.0, 0.06)
     half.sent(0.0, 4.0, 0.06, 0.5)
     assert (full.level, half.level) == (20.0, 22.0)
@@ -155,7 +155,7 @@
 
 
 def test_places_fall_with_what_is_out_here_and_what_is_usual():
-    calm, busy = Whole(6.0, 24.0, 2, 0.0, 24.0), Whole(60.0, 240.0, 2, 0.0, 240.0)
+    calm, busy = QuotaEstimate(6.0, 24.0, 2, 0.0, 24.0), QuotaEstimate(60.0, 240.0, 2, 0.0, 240.0)
     chances = [calm.places(out, 0.1, 4) for out in range(5)]
     assert chances == sorted(chances, reverse=True) and chances[0] > 0.9 and chances[4] == 0.0
     assert busy.places(1, 0.1, 4) < calm.places(1, 0.1, 4)
@@ -171,7 +171,7 @@
 
 def test_units_that_come_back_late_make_no_negative_use():
     """They were counted as sent, faded since, and were taken off in full: the next request failed as a fault."""
-    whole = Whole(10.0, 20.0, 4, 0.0, 20.0)
+    whole = QuotaEstimate(10.0, 20.0, 4, 0.0, 20.0)
     whole.sent(0.0, 5.0, 0.1)
     whole.unsent(30.0, 5.0)
     assert whole.others() >= 0.0
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -117,13 +117,13 @@
         while went := sends(actions):
             actions = d.answer(name, went[0], ends[n % len(ends)], terminal=n % 7 == 0 or None)
     gateway = d.gateway
-    assert not (gateway._pending or gateway.out or gateway._timers or gateway.fleet._waiting)
-    assert not any(worker.out for worker in gateway.fleet.workers.values())
-    assert all(len(worker.held) <= 400 for worker in gateway.fleet.workers.values())
+    assert not (gateway._pending or gateway.in_flight or gateway._timers or gateway.fleet._waiting)
+    assert not any(worker.in_flight for worker in gateway.fleet.workers.values())
+    assert all(len(worker.held_slots_until) <= 400 for worker in gateway.fleet.workers.values())
     d.ask(after=100.0)
     for _ in range(400):  # a few go at each step
         d.ask()
-    assert len(gateway.quotas.table) <= 1
+    assert len(gateway.quotas.accounts) <= 1
 
 
 def test_ever_new_connections_customers_and_workers_leave_nothing_behind():
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -83,7 +83,7 @@
     for message in accounts:
         state.put_accounts(taker, now, wire.decode(wire.encode(message)).rows)
     for piece in debts:
-        taker.quotas.debts.restore(piece)
+        taker.quotas.deficits.restore(piece)
     state.put_core(taker, now, core.value, outs.value)
     return taker
 
@@ -91,16 +91,16 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_gateway_that_took_over_knows_all_that_the_other_knew(seed):
     module, clients = gateway(), Clients(seed)
-    while clients.count < 300 or not module.out:
+    while clients.count < 300 or not module.in_flight:
         clients.step(module)
     module.handle(clients.now, SetMaintenance("w1", True))
     taker = over(module, clients.now)
-    assert set(taker.out) == set(module.out) and module.out
-    for queue, other in zip(module.quotas.table.queues, taker.quotas.table.queues, strict=True):
+    assert set(taker.in_flight) == set(module.in_flight) and module.in_flight
+    for queue, other in zip(module.quotas.accounts.queues, taker.quotas.accounts.queues, strict=True):
         assert list(queue) == list(other)
         for key, account in queue.items():
             assert state.account_row(account, True) == state.account_row(other[key], True)
-            assert account.out == other[key].out and account.depth == other[key].depth
+            assert account.in_flight == other[key].in_flight and account.capacity == other[key].capacity
     mine, theirs = state.core(module), state.core(taker)
     for core in (mine, theirs):
         core["debts"] = json.dumps(core["debts"]["places"])
@@ -108,11 +108,11 @@
         core["fleet"].pop("_done")
     assert mine == theirs
     for name, worker in module.fleet.workers.items():
-        assert set(worker.out) == set(taker.fleet.workers[name].out)
+        assert set(worker.in_flight) == set(taker.fleet.workers[name].in_flight)
     for attempt in list(clients.open):
         clients.end(module, attempt)
         clients.end(taker, attempt)
-    assert not taker.out and not any(a.out for q in taker.quotas.table.queues for a in q.values())
+    assert not taker.in_flight and not any(a.in_flight for q in taker.quotas.accounts.queues for a in q.values())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -127,7 +127,7 @@
         served[0] += one.step(alone)
         served[1] += two.step(second or first)
         if second is not None:  # what was begun by the first ends there, and the second is told
-            for attempt in [a for a in two.open if (a[0], a[1]) in first.out]:
+            for attempt in [a for a in two.open if (a[0], a[1]) in first.in_flight]:
                 two.open.remove(attempt)
                 two.end(first, attempt)
                 two.end(second, attempt)
@@ -156,21 +156,21 @@
     while len(clients.open) < 3:
         clients.step(module)
     taker = over(module, clients.now)
-    for outcome in state.left_out(taker, set(taker.out)):
+    for outcome in state.left_out(taker, set(taker.in_flight)):
         taker.handle(clients.now, outcome)
-    assert not taker.out and not any(w.out for w in taker.fleet.workers.values())
+    assert not taker.in_flight and not any(w.in_flight for w in taker.fleet.workers.values())
 
 
 def test_an_attempt_that_the_giver_begins_later_takes_its_units_and_place():
     module, taker = gateway(), gateway(2)
     account = taker.quotas.account(0.0, "0" * 16, PLANS[1], 1)
-    before = account.store
+    before = account.balance
     for action in module.handle(0.0, Request("late", "write", "team", "0" * 16, 2.0, units=2.0)):
         if isinstance(action, Send):
-            row = state.out_row("late", 0, module.out["late", 0])
+            row = state.out_row("late", 0, module.in_flight["late", 0])
             state.adopt(taker, 0.0, row, spends=True)
             state.adopt(taker, 0.0, row, spends=True)  # told twice
-    assert account.out == 1 and account.store == before - 2.0
+    assert account.in_flight == 1 and account.balance == before - 2.0
 
 
 def test_another_versions_fields_are_left_and_missing_ones_stay():
@@ -182,9 +182,9 @@
     del core["throttle"]["fill"], core["budget"]
     taker = gateway(5)
     state.put_core(taker, clients.now, msgspec.msgpack.decode(msgspec.msgpack.encode(core)))
-    assert taker.throttle.rate == module.throttle.rate and taker.throttle.fill == 0.0
+    assert taker.throttle.rate == module.throttle.rate and taker.throttle.bucket_level == 0.0
     state.put_accounts(taker, 1.0, [{"key": "c/gone/00", "spread": 1}])  # a plan that is there no more
-    assert not len(taker.quotas.table)
+    assert not len(taker.quotas.accounts)
 
 
 @pytest.mark.parametrize(
@@ -219,7 +219,7 @@
     quotas, now = module.quotas, 0.0
     for n in range(30_000):
         now += 0.0001
-        quotas.take(quotas.account(now, f"{n:016x}", PLANS[0], 2), 1.0, True)
+        quotas.spend(quotas.account(now, f"{n:016x}", PLANS[0], 2), 1.0, True)
     taker, random = gateway(4, now, max_accounts=60_000), Random(1)
     copy, steps = state.Copy(module, now), 0
     while rows := copy.more(now, 40):
@@ -228,18 +228,18 @@
         for _ in range(10):  # it is used meanwhile, also by customers that are new
             now += 0.0005
             account = quotas.account(now, f"{random.randrange(30_500):016x}", PLANS[0], 2)
-            quotas.take(account, 1.0, True)
+            quotas.spend(account, 1.0, True)
     rest = copy.rest()
     assert len(rest) <= 60 and steps > 30_000 / 40
     state.put_accounts(taker, now, rest)
-    for queue in quotas.table.queues:
+    for queue in quotas.accounts.queues:
         for key, account in queue.items():
-            assert state.account_row(taker.quotas.table.get(key), True) == state.account_row(account, True), key
+            assert state.account_row(taker.quotas.accounts.get(key), True) == state.account_row(account, True), key
 
 
 def test_debts_go_over_with_what_comes_meanwhile():
     module, taker = gateway(), gateway(2)
-    debts = module.quotas.debts
+    debts = module.quotas.deficits
     for n in range(500):
         debts.add(0.0, f"c{n}", 10.0 + n)
     copy = state.Copy(module, 0.0)
@@ -249,5 +249,5 @@
     while (piece := copy.debts()) is not None:
         pieces.append(piece)
     for piece in (*pieces, debts.rest()):
-        taker.quotas.debts.restore(piece)
-    assert all(taker.quotas.debts.owed(2.0, f"c{n}") == debts.owed(2.0, f"c{n}") > 0 for n in range(600))
+        taker.quotas.deficits.restore(piece)
+    assert all(taker.quotas.deficits.deficit(2.0, f"c{n}") == debts.deficit(2.0, f"c{n}") > 0 for n in range(600))
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -42,9 +42,9 @@
             d.answer(name, worker, took=0.1)
     d.pass_time(10.0)
     gateway = d.gateway
-    assert not gateway._pending and not gateway.out and not gateway._timers
+    assert not gateway._pending and not gateway.in_flight and not gateway._timers
     assert not gateway.fleet._waiting
-    assert len(gateway.quotas.table) <= 70  # those of the last half minute
+    assert len(gateway.quotas.accounts) <= 70  # those of the last half minute
     assert len(gateway.throttle._admits) < 10
 
 
--- a/tests/recovery/test_persisted_state.py
+++ b/tests/recovery/test_persisted_state.py
@@ -29,9 +29,12 @@
     answered(d, 40)
     kept = Kept(rows(d), Case(Disk.OWN, End.KILLED, age=0.5))
     after = gateway(d.now)
-    assert after.fleet.brisk == float("inf")
+    assert after.fleet.shortest_usual_latency == float("inf")
     kept.learned(after, d.now)
-    assert after.fleet.brisk == d.gateway.fleet.brisk < 0.1 and after.fleet.usual(after.classes["read"]) < 0.1
+    assert (
+        after.fleet.shortest_usual_latency == d.gateway.fleet.shortest_usual_latency < 0.1
+        and after.fleet.usual_latency(after.classes["read"]) < 0.1
+    )
     assert after.budget == d.gateway.budget / 2 and kept.pace() > 0
 
 
@@ -41,38 +44,47 @@
     answered(d, 40)
     kept, after = Kept(rows(d), case), gateway(d.now)
     kept.learned(after, d.now)
-    assert after.fleet.brisk == float("inf") and kept.pace() == 0.0
+    assert after.fleet.shortest_usual_latency == float("inf") and kept.pace() == 0.0
 
 
 def test_a_store_comes_back_less_what_was_not_written_and_filled_since():
     d = Driver(4)
     account = d.gateway.quotas.account(0.0, "a", PLAN, 3)
-    account.store, account.forecast = 1.0, 0.5
+    account.balance, account.forecast = 1.0, 0.5
     d.now = 1.0
     made = {("account", account.key): account_row(account)}
     for end, expected in ((End.ASKED, 1.0 + 2.0), (End.KILLED, 0.5 + 2.0)):
         quotas = gateway(2.0).quotas
-        quotas.marks = Marks(2.0)
-        quotas.marks.recall = Kept(made, Case(Disk.OWN, end, age=1.0)).account
-        assert quotas.account(2.0, "a", PLAN, 3).store == pytest.approx(expected)
+        quotas.ceiling_marks = Marks(2.0)
+        quotas.ceiling_marks.recall = Kept(made, Case(Disk.OWN, end, age=1.0)).account
+        assert quotas.account(2.0, "a", PLAN, 3).balance == pytest.approx(expected)
     quotas = gateway(2.0).quotas
-    quotas.marks = Marks(2.0)
-    quotas.marks.recall = Kept(made, Case(Disk.OLD)).account
-    assert quotas.account(2.0, "a", PLAN, 3).store == 4.0  # as a new one
+    quotas.ceiling_marks = Marks(2.0)
+    quotas.ceiling_marks.recall = Kept(made, Case(Disk.OLD)).account
+    assert quotas.account(2.0, "a", PLAN, 3).balance == 4.0  # as a new one
 
 
 def test_a_worker_s_judgement_comes_back_unless_it_was_started_since():
     d = Driver(4)
     worker = d.gateway.fleet.workers["w0"]
-    worker.slow, worker.learned, worker.fails, worker.until = 5.0, d.now, 2, d.now + 3.0
+    worker.relative_latency, worker.latency_updated_at, worker.consecutive_failures, worker.backoff_until = (
+        5.0,
+        d.now,
+        2,
+        d.now + 3.0,
+    )
     made = rows(d)
     after = gateway(d.now)
     assert Kept(made, Case(Disk.OWN)).worker(after, d.now + 1.0, "w0")
-    assert after.fleet.workers["w0"].slow == pytest.approx(1 + 4 * 0.9)
-    assert after.fleet.workers["w0"].fails == 2 and after.fleet.workers["w0"].until == pytest.approx(d.now + 3.0)
+    assert after.fleet.workers["w0"].relative_latency == pytest.approx(1 + 4 * 0.9)
+    assert after.fleet.workers["w0"].consecutive_failures == 2 and after.fleet.workers[
+        "w0"
+    ].backoff_until == pytest.approx(d.now + 3.0)
     restarted = gateway(d.now, cold=d.now)
     assert not Kept(made, Case(Disk.OWN)).worker(restarted, d.now + 1.0, "w0")
-    assert restarted.fleet.workers["w0"].slow == 1.0 and not restarted.fleet.workers["w0"].fails
+    assert (
+        restarted.fleet.workers["w0"].relative_latency == 1.0 and not restarted.fleet.workers["w0"].consecutive_failures
+    )
 
 
 @pytest.mark.parametrize("row", [None, 7, [1, 2], ["a"] * 7, [float("nan")] * 7, {"x": 1}])
@@ -104,11 +116,11 @@
     after = gateway(100.0, cold=99.0)
     assert slow_start.begin(after, 100.0, 50.0, 1.0)
     warm = slow_start.warmth(after, 100.0)
-    assert after.throttle.on and after.throttle.rate == pytest.approx(50.0 * warm) and warm < 0.5
+    assert after.throttle.active and after.throttle.rate == pytest.approx(50.0 * warm) and warm < 0.5
     slow_start.follow(after, 104.0)
     assert after.throttle.rate == pytest.approx(50.0 * slow_start.warmth(after, 104.0))
     slow_start.follow(after, 110.0)
-    assert not after.throttle.on
+    assert not after.throttle.active
 
 
 def test_control_does_not_begin_before_warm_workers_nor_where_little_was_asked_nor_by_nothing():
@@ -121,9 +133,9 @@
     after = gateway(100.0, cold=99.0)
     slow_start.begin(after, 100.0, 50.0, 1.0)
     after.throttle.advance(108.0)  # its look is due: what is signalled after it is of the present rate
-    after.throttle.signal(108.9, "w0", "free", 108.8)
+    after.throttle.record_signal(108.9, "w0", "free", 108.8)
     slow_start.follow(after, 109.0)
-    assert after.throttle.on
+    assert after.throttle.active
 
 
 def play(seed, on):
