--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -30,7 +30,7 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy as times
 from oliveloft.discovery.watch import DiscoveryWatch
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 from rig.capacity import Capacity, Load
 from rig.fake_servers import BusyDiscovery
 from rig.fleet import Entrance, Fleet
@@ -249,7 +249,7 @@
     service, heard = BusyDiscovery(0.004, 0.04), set[int]()
     usual, times.EACH_SECONDS = times.EACH_SECONDS, 0.006
 
-    def told(number: int) -> Callable[[News], None]:
+    def told(number: int) -> Callable[[DiscoveryUpdate], None]:
         return lambda news: heard.add(number)
 
     async def scenario() -> None:
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,8 +26,8 @@
 import uvloop
 
 from micagate import Gateway, Plan, RequestClass, Settings, interface
-from oliveloft.takeover.predecessor import Giver
-from oliveloft.takeover.successor import Taker
+from oliveloft.takeover.predecessor import Predecessor
+from oliveloft.takeover.successor import Successor
 from rig.bulk import BulkClient, BulkWorker, at_once, check
 from rig.fake_servers import Client, Gatekeeper, Worker, config, run, scene, spawn, until
 from rig.memory import highest
@@ -172,9 +172,9 @@
             await asyncio.sleep(0.01)
 
     with tempfile.TemporaryDirectory() as folder:
-        giver = Giver(loop, "bench", folder, giving, Side(), loop.time)
+        giver = Predecessor(loop, "bench", folder, giving, Side(), loop.time)
         giver.listen()
-        taker = Taker(loop, "bench", taking, Side(), loop.time, lambda event: None)
+        taker = Successor(loop, "bench", taking, Side(), loop.time, lambda event: None)
         tasks = [asyncio.create_task(tick()), asyncio.create_task(use())]
         began = time.perf_counter()
         good = await taker.take(folder)
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -12,7 +12,7 @@
 
 from micagate.planning.holder import Demand, Holder
 from micagate.planning.ledger import Ledger
-from micagate.planning.messages import Again
+from micagate.planning.messages import RestartSession
 from micagate.planning.terms import Terms
 from micagate.resource_keys import customer_key, worker_key
 from oliveloft.planners import wire
@@ -34,7 +34,7 @@
     at = [random.randrange(SPREAD) for _ in range(customers)]  # the forwarder of its set that a customer uses
     now = 0.0
     for holder in holders:
-        holder.owns(now, "p", 0, 1)
+        holder.planner_elected(now, "p", 0, 1)
 
     def need(customer: int, place: int, amount: float) -> None:
         index = (firsts[customer] + place) % forwarders
@@ -51,14 +51,14 @@
                     began = time.perf_counter()
                     answer = ledger.report(now, names[index], index, report)
                     spent += time.perf_counter() - began
-                    if isinstance(answer, Again):
+                    if isinstance(answer, RestartSession):
                         raise RuntimeError("a session broke")
             began = time.perf_counter()
-            words = ledger.words(now)
+            words = ledger.pending_updates(now)
             spent += time.perf_counter() - began
             for name, word in words:
                 sizes["down"] += len(wire.encode(word))
-                holders[number[name]].word(now, "p", word)
+                holders[number[name]].receive_update(now, "p", word)
 
     for customer in range(customers):
         need(customer, at[customer], random.uniform(0.1, 0.9))
--- a/benchmarks/power_loss.py
+++ b/benchmarks/power_loss.py
@@ -276,7 +276,9 @@
     began, stall = fleet.clock.now, None
     while stall is None and fleet.clock.now - began < 6.0:
         fleet.run(0.05)
-        if all(node.life is None or other == name or not node.life.there(name) for other, node in fleet.nodes.items()):
+        if all(
+            node.life is None or other == name or not node.life.is_alive(name) for other, node in fleet.nodes.items()
+        ):
             stall = fleet.clock.now - began
     return {
         "members": count,
@@ -325,14 +327,14 @@
     fleet.run(1.0)
     node = fleet.nodes["g000"]
     assert node.life is not None
-    node.life.say(fleet.wall(node), "ban", "w", "out")
+    node.life.publish_fact(fleet.wall(node), "ban", "w", "out")
     fleet.run(0.5)
     old = list(node.life.facts)
     for name in fleet.names:
         fleet.nodes[name].wall = random.choice((0.0, 3600.0, -3600.0))  # clocks are stepped
     speaker = fleet.nodes["g001"]
     assert speaker.life is not None
-    speaker.life.say(fleet.wall(speaker), "ban", "w", "in")  # called back, later
+    speaker.life.publish_fact(fleet.wall(speaker), "ban", "w", "in")  # called back, later
     fleet.lost = 0.05
     fleet.run(0.3)
     restarted = []
@@ -355,7 +357,7 @@
     life = fleet.start("g000")
     if not last_word:
         for fact in old:
-            life.say(fleet.wall(node) + 7200, fact.kind, fact.key, fact.value)
+            life.publish_fact(fleet.wall(node) + 7200, fact.kind, fact.key, fact.value)
     fleet.lost = 0.0
     if fleet.settled(12.0) is None:
         return False
--- a/micagate/membership/members.py
+++ b/micagate/membership/members.py
@@ -23,7 +23,19 @@
 from micagate.membership.clock import HybridClock
 from micagate.membership.detector import Arrivals
 from micagate.membership.facts import Facts, digest
-from micagate.membership.messages import ALIVE, DEAD, GONE, MOST, SILENT, SUSPECT, Beat, Fact, Message, Record, Sums
+from micagate.membership.messages import (
+    ALIVE,
+    DEAD,
+    GONE,
+    MOST,
+    SILENT,
+    SUSPECT,
+    Fact,
+    Heartbeat,
+    Message,
+    Record,
+    StateSummary,
+)
 
 RINGS = 4
 LATE = 2.0  # intervals: a look that comes so late tells of a pause of this member's own
@@ -134,13 +146,15 @@
         self._spared: dict[str, tuple[float, float]] = {}  # neighbours that others hear: until when, and for how long
         self._next_try: dict[str, float] = {}
         self._looked, self._late = now, 1.0
-        self.news: list[News] = []  # for the owner, who takes them
-        self.twin = False  # another process has this name, and began later
-        self.rival = 0  # its life
-        self.earlier: dict[str, int] = {}  # the latest life of each before its present one, where that was heard of
+        self.updates: list[News] = []  # for the owner, who takes them
+        self.duplicate_name = False  # another process has this name, and began later
+        self.duplicate_incarnation = 0  # its life
+        self.earlier_incarnations: dict[
+            str, int
+        ] = {}  # the latest life of each before its present one, where that was heard of
         self.heard_of: dict[str, float] = {}  # when each was last heard of as there
         self.beats = 0
-        self.hurry = False  # clients wait for this member: those that refuse are tried again soon
+        self.urgent = False  # clients wait for this member: those that refuse are tried again soon
         self._set(Record(name, boot, 1, about=dict(about or {})))
         for fact in facts:
             self._take(fact)
@@ -153,22 +167,22 @@
         return self.records[self.name]
 
     @property
-    def boot(self) -> int:
+    def incarnation(self) -> int:
         """The number of this life."""
-        return self.me.boot
+        return self.me.incarnation
 
-    def tell(self, **about: Any) -> None:
+    def set_about(self, **about: Any) -> None:
         """Say something of itself; all hear of it with the next beats."""
         if any(self.me.about.get(key) != value for key, value in about.items()):
             self._own(about={**self.me.about, **about})
 
-    def reborn(self, boot: int) -> None:
+    def raise_incarnation(self, boot: int) -> None:
         """Go on under a higher number: an earlier life had this one, or a higher, and this side did not know."""
-        if boot > self.boot:
+        if boot > self.incarnation:
             self._set(Record(self.name, boot, 1, about=self.me.about))
-            self.twin = False
+            self.duplicate_name = False
 
-    def say(self, wall: float, kind: str, key: str, value: Any) -> Fact:
+    def publish_fact(self, wall: float, kind: str, key: str, value: Any) -> Fact:
         """Say something that holds for the fleet."""
         fact = Fact(kind, key, self.clock.stamp(wall), value)
         self._take(fact)
@@ -176,18 +190,20 @@
 
     # Links.
 
-    def wanted(self, now: float) -> list[str]:
+    def peers_to_connect(self, now: float) -> list[str]:
         """Neighbours that a link should be made to from here, and may be tried now."""
         near = self.near()
-        dead = [n for n in self.names if n != self.name and n not in self.links and not self.there(n) and n not in near]
+        dead = [
+            n for n in self.names if n != self.name and n not in self.links and not self.is_alive(n) and n not in near
+        ]
         if dead:  # both sides of a cut that has healed take each other for dead
             near = [*near, self._random.choice(dead)]
         made = []
         for name in near:
             if name in self.links or now < self._next_try.get(name, 0.0):
                 continue
-            wait = self.terms.interval if self.there(name) else self.terms.again
-            if self.hurry:
+            wait = self.terms.interval if self.is_alive(name) else self.terms.again
+            if self.urgent:
                 wait = self.terms.interval / 4
             self._next_try[name] = now + wait * (0.75 + 0.5 * self._random.random())
             made.append(name)
@@ -205,11 +221,11 @@
             for step in range(1, RINGS + 1):
                 other = ring[(at + step) % len(ring)]
                 made[other] = None
-                if self.there(other):
+                if self.is_alive(other):
                     break
         return [other for other in made if other != name]
 
-    def surplus(self, now: float) -> list[str]:
+    def links_to_close(self, now: float) -> list[str]:
         """Neighbours whose link neither side needs any more: made while much was dead, or across a cut."""
         if len(self.names) <= self.terms.full or now - self._pruned < PRUNE:
             return []
@@ -221,7 +237,7 @@
             if peer not in near and now - link.began > PRUNE and self.name not in self.near(peer)
         ]
 
-    def linked(self, now: float, peer: str) -> None:
+    def link_opened(self, now: float, peer: str) -> None:
         """A link stands; it replaces an earlier one to the same member."""
         link = self.links[peer] = Link(Arrivals(now, self.terms.interval, self.terms.least, self.terms.most))
         link.due = link.began = now
@@ -230,7 +246,7 @@
         link.records[self.name] = None
         self._next_try.pop(peer, None)
 
-    def unlinked(self, now: float, peer: str, refused: bool = False) -> None:
+    def link_closed(self, now: float, peer: str, refused: bool = False) -> None:
         """A link has ended, or none could be made; `refused`: its machine is there and says that nobody listens."""
         self.links.pop(peer, None)
         if refused:
@@ -240,7 +256,7 @@
 
     # Time.
 
-    def look(self, now: float, wall: float) -> list[tuple[str, Message]]:
+    def tick(self, now: float, wall: float) -> list[tuple[str, Message]]:
         """What is due: beats, suspicions. To be called twice in an interval at the least."""
         passed, self._looked = now - self._looked, now
         if passed > LATE * self.terms.interval:
@@ -259,8 +275,8 @@
             del self._ends[name]
             known = self.records.get(name)
             if known is not None and known.status == SUSPECT:
-                self._set(Record(name, known.boot, known.version, DEAD, known.by, known.cause, known.about))
-                self.news.append(News("down", name, known.cause))
+                self._set(Record(name, known.incarnation, known.version, DEAD, known.by, known.cause, known.about))
+                self.updates.append(News("down", name, known.cause))
         out: list[tuple[str, Message]] = []
         for peer, link in self.links.items():
             if now >= link.due or link.records or link.facts:
@@ -281,7 +297,7 @@
         if len(link.sent) > 64:
             del link.sent[next(iter(link.sent))]
         self.beats += 1
-        beat = Beat(
+        beat = Heartbeat(
             link.number,
             link.seen,
             wall,
@@ -294,8 +310,8 @@
             return [(peer, beat), (peer, self._sums(True))]
         return [(peer, beat)]
 
-    def _sums(self, answer: bool) -> Sums:
-        return Sums(tuple((r.name, *r.order()) for r in self.records.values()), self.facts.stamps(), answer)
+    def _sums(self, answer: bool) -> StateSummary:
+        return StateSummary(tuple((r.name, *r.order()) for r in self.records.values()), self.facts.stamps(), answer)
 
     def digest(self) -> int:
         """Of all that this member has heard: two that have the same have heard the same."""
@@ -303,7 +319,7 @@
 
     # What is heard.
 
-    def hear(self, now: float, wall: float, peer: str, message: Message) -> list[tuple[str, Message]]:
+    def receive(self, now: float, wall: float, peer: str, message: Message) -> list[tuple[str, Message]]:
         """A neighbour has said something; what is to be answered at once."""
         link = self.links.get(peer)
         if link is None:
@@ -311,7 +327,7 @@
         link.arrivals.came(now)
         self.heard_of[peer] = now
         match message:
-            case Beat():
+            case Heartbeat():
                 self._acknowledged(now, wall, link, message)
                 for record in message.records:
                     self._record(now, record, peer)
@@ -321,7 +337,7 @@
                     link.differs = 0
                 else:
                     link.differs += 1
-            case Sums():
+            case StateSummary():
                 theirs = {name: (boot, version, rank) for name, boot, version, rank in message.records}
                 for name, record in self.records.items():
                     if record.order() > theirs.get(name, (0, 0, 0)):
@@ -332,7 +348,7 @@
                     return [(peer, self._sums(False))]
         return []
 
-    def _acknowledged(self, now: float, wall: float, link: Link, beat: Beat) -> None:
+    def _acknowledged(self, now: float, wall: float, link: Link, beat: Heartbeat) -> None:
         link.seen = max(link.seen, beat.number)
         if beat.seen > link.acked:
             link.acked = beat.seen
@@ -356,13 +372,17 @@
         if known is not None and record.order() == known.order():
             if record.status == SUSPECT and not set(record.by) <= set(known.by):
                 by = tuple(sorted({*known.by, *record.by}))[:8]
-                self._set(Record(known.name, known.boot, known.version, SUSPECT, by, known.cause, known.about), source)
+                self._set(
+                    Record(known.name, known.incarnation, known.version, SUSPECT, by, known.cause, known.about), source
+                )
                 self._shorten(now, record.name, by, known.cause)
             return
         if known is not None and record.order() < known.order():
             return
-        if known is not None and record.boot > known.boot:
-            self.earlier[record.name] = max(known.boot, self.earlier.get(record.name, 0))
+        if known is not None and record.incarnation > known.incarnation:
+            self.earlier_incarnations[record.name] = max(
+                known.incarnation, self.earlier_incarnations.get(record.name, 0)
+            )
         self._set(record, source)
         was_there = known is not None and known.status != DEAD
         if record.status == ALIVE:
@@ -370,36 +390,38 @@
             if record.name in self._ends:
                 del self._ends[record.name]
                 self._spare(now, record.name)
-            if known is not None and record.boot > known.boot:
-                self.news.append(News("restarted", record.name))
+            if known is not None and record.incarnation > known.incarnation:
+                self.updates.append(News("restarted", record.name))
             elif not was_there:
-                self.news.append(News("up", record.name))
+                self.updates.append(News("up", record.name))
             elif known is not None and known.about != record.about:
-                self.news.append(News("told", record.name))
+                self.updates.append(News("told", record.name))
         elif record.status == SUSPECT:
             self._ends[record.name] = now + self._patience(len(record.by), record.cause)
             if known is None:
-                self.news.append(News("up", record.name))
+                self.updates.append(News("up", record.name))
         else:
             self._ends.pop(record.name, None)
             if was_there:
-                self.news.append(News("down", record.name, record.cause))
+                self.updates.append(News("down", record.name, record.cause))
 
     def _of_me(self, record: Record) -> None:
         """Others say something of this member."""
         me = self.me
-        if record.boot > me.boot:
-            self.rival = max(self.rival, record.boot)
-            if not self.twin:
-                self.twin = True
-                self.news.append(News("twin", self.name))
-        elif record.boot == me.boot and (record.status != ALIVE or record.version > me.version):
+        if record.incarnation > me.incarnation:
+            self.duplicate_incarnation = max(self.duplicate_incarnation, record.incarnation)
+            if not self.duplicate_name:
+                self.duplicate_name = True
+                self.updates.append(News("twin", self.name))
+        elif record.incarnation == me.incarnation and (record.status != ALIVE or record.version > me.version):
             # Suspected, or taken for dead, or what this life has said before a pause: it is here, and says so.
             self._own(version=max(me.version, record.version) + 1)
 
     def _own(self, version: int = 0, about: dict[str, Any] | None = None) -> None:
         me = self.me
-        self._set(Record(self.name, me.boot, version or me.version + 1, about=me.about if about is None else about))
+        self._set(
+            Record(self.name, me.incarnation, version or me.version + 1, about=me.about if about is None else about)
+        )
 
     def _set(self, record: Record, source: str = "") -> None:
         known = self.records.get(record.name)
@@ -414,7 +436,7 @@
     def _take(self, fact: Fact, source: str = "") -> None:
         self.clock.heard(fact.stamp)
         if self.facts.put(fact):
-            self.news.append(News("fact", fact.key, fact.kind))
+            self.updates.append(News("fact", fact.key, fact.kind))
             for peer, link in self.links.items():
                 if peer != source:
                     link.facts[fact.kind, fact.key] = None
@@ -427,7 +449,7 @@
             return
         by = tuple(sorted({*known.by, self.name}))[:8]
         cause = GONE if GONE in (cause, known.cause) else cause
-        self._set(Record(name, known.boot, known.version, SUSPECT, by, cause, known.about))
+        self._set(Record(name, known.incarnation, known.version, SUSPECT, by, cause, known.about))
         self._shorten(now, name, by, cause)
 
     def _shorten(self, now: float, name: str, by: tuple[str, ...], cause: str) -> None:
@@ -454,33 +476,33 @@
 
     # What is known.
 
-    def there(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Whether a member is taken to be there: alive, or not suspected for long enough."""
         known = self.records.get(name)
         return known is not None and known.status != DEAD
 
-    def gone(self, name: str) -> bool:
+    def is_gone(self, name: str) -> bool:
         """Whether a member is surely not serving: its own machine has refused connections to it."""
         known = self.records.get(name)
         return known is not None and known.status == DEAD and known.cause == GONE
 
-    def up(self) -> int:
+    def alive_count(self) -> int:
         """How many may be serving: all but those that are surely gone. Who is silent may be cut off and serve on."""
-        return sum(not self.gone(name) for name in self.names)
+        return sum(not self.is_gone(name) for name in self.names)
 
-    def cut(self, now: float) -> dict[str, str]:
+    def unreachable_peers(self, now: float) -> dict[str, str]:
         """Neighbours whose link passes one way: `mute` ones are not heard here though others hear them, `deaf` ones do
         not hear this member."""
         made = {}
         for peer, link in self.links.items():
             if link.arrivals.unusual(now, self._late):
-                if self.there(peer) and peer in self._spared:
+                if self.is_alive(peer) and peer in self._spared:
                     made[peer] = "mute"
             elif link.sent and now - next(iter(link.sent.values())) > self.terms.most * self.terms.interval:
                 made[peer] = "deaf"
         return made
 
-    def slow(self) -> list[str]:
+    def slow_peers(self) -> list[str]:
         """Neighbours that answer late."""
         return [peer for peer, link in self.links.items() if link.took > self.terms.slow]
 
--- a/micagate/membership/messages.py
+++ b/micagate/membership/messages.py
@@ -25,7 +25,7 @@
     """
 
     name: str
-    boot: int
+    incarnation: int
     version: int
     status: str = ALIVE
     by: tuple[str, ...] = ()
@@ -34,7 +34,7 @@
 
     def order(self) -> tuple[int, int, int]:
         """A later record has a greater one."""
-        return self.boot, self.version, RANK[self.status]
+        return self.incarnation, self.version, RANK[self.status]
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True):
@@ -46,7 +46,7 @@
     value: Any
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag=32):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=32):
     """A sign of life: `number` counts the sender's on this link, `seen` is the last of the other side's that it heard.
 
     `wall` is the sender's Unix time, `digest` what it has of all records and facts; the rest is news.
@@ -60,7 +60,7 @@
     facts: tuple[Fact, ...] = ()
 
 
-class Sums(msgspec.Struct, frozen=True, array_like=True, tag=33):
+class StateSummary(msgspec.Struct, frozen=True, array_like=True, tag=33):
     """All that the sender has, by number and stamp alone; `answer`: the other side is to say the same."""
 
     records: tuple[tuple[str, int, int, int], ...]
@@ -68,7 +68,7 @@
     answer: bool
 
 
-class Asks(msgspec.Struct, frozen=True, array_like=True, tag=34):
+class RecoveryQuery(msgspec.Struct, frozen=True, array_like=True, tag=34):
     """A member that comes back asks what is known of it: `boot` is its last life that it remembers, 0 if none, `life`
     the present one."""
 
@@ -76,7 +76,7 @@
     life: int
 
 
-class Knows(msgspec.Struct, frozen=True, array_like=True, tag=35):
+class RecoveryAnswer(msgspec.Struct, frozen=True, array_like=True, tag=35):
     """What a member knows of one that asks: its latest life that was heard of, when it was last heard, and the fleet's.
 
     `boot` is its latest life before the present one that was heard of, 0: none. `ago` is seconds since it was last
@@ -89,13 +89,13 @@
     ago: float
     wall: float
     up: float
-    back: bool
+    recovering: bool
     workers: tuple[tuple[str, float, bool], ...] = ()
     pace: float = 0.0  # served a second here, of late
-    void: bool = False
+    distrusted: bool = False
 
 
-Message = Beat | Sums | Asks | Knows
+Message = Heartbeat | StateSummary | RecoveryQuery | RecoveryAnswer
 
 
 def _name(text: str) -> None:
@@ -111,30 +111,30 @@
 def check(message: Message) -> None:
     """Malformed where a message says what no member would."""
     match message:
-        case Beat():
+        case Heartbeat():
             if len(message.records) > MOST or len(message.facts) > MOST:
                 raise Malformed("too many entries")
             if not math.isfinite(message.wall) or message.number < 0 or message.seen < 0:
                 raise Malformed("a beat's numbers")
             for record in message.records:
                 _name(record.name)
-                if record.status not in RANK or record.boot < 0 or record.version < 0 or len(record.by) > 64:
+                if record.status not in RANK or record.incarnation < 0 or record.version < 0 or len(record.by) > 64:
                     raise Malformed(f"a record of {record.name[:64]!r}")
             for fact in message.facts:
                 _name(fact.kind)
                 _name(fact.key)
                 _stamp(fact.stamp)
-        case Sums():
+        case StateSummary():
             for _, _, stamp in message.facts:
                 _stamp(stamp)
             if any(rank not in (0, 1, 2) for _, _, _, rank in message.records):
                 raise Malformed("a rank")
-        case Knows():
+        case RecoveryAnswer():
             for name, pace, _ in message.workers:
                 _name(name)
                 if not 0 <= pace <= 1:
                     raise Malformed(f"a pace of {pace!r}")
             if not all(map(math.isfinite, (message.ago, message.wall, message.up, message.pace))):
                 raise Malformed("a time")
-        case Asks():
+        case RecoveryQuery():
             pass
--- a/micagate/planning/holder.py
+++ b/micagate/planning/holder.py
@@ -15,7 +15,17 @@
 from micagate import interface
 from micagate.interface import ResourceShare, ShareUpdate
 from micagate.planning.allocate import TINY
-from micagate.planning.messages import AMOUNTS, MOST, Amount, Call, Fill, Need, Report, Word, Work
+from micagate.planning.messages import (
+    AMOUNTS,
+    MOST,
+    Amount,
+    BucketLevels,
+    LendRequest,
+    Need,
+    PlannerUpdate,
+    Report,
+    WorkerLoad,
+)
 from micagate.planning.terms import Terms
 
 CHANGE, LEAST = 0.15, 0.02  # a need is told anew once it has changed by this share of it, and so much
@@ -32,7 +42,7 @@
     need: float
 
 
-class Session:
+class LeaseSession:
     """What a session has lent and borrowed; the two times bound all of it."""
 
     __slots__ = (
@@ -80,9 +90,9 @@
         self.urgent = False
         self._asked: dict[int, float] = {}  # by report: when it was sent
         self.counts: dict[str, int] = {}  # how many share what is lent or borrowed
-        self.fills: list[Fill] = []  # what came with shares, for the module
-        self.lefts: list[Fill] = []  # what left the stores with shares, for the planner
-        self.works: dict[str, Work] = {}  # what was seen of workers, for the planner
+        self.fills: list[BucketLevels] = []  # what came with shares, for the module
+        self.lefts: list[BucketLevels] = []  # what left the stores with shares, for the planner
+        self.works: dict[str, WorkerLoad] = {}  # what was seen of workers, for the planner
         self.paces: dict[str, float] = {}  # of workers, as told and not yet handed to the module
         self.taken: tuple[float, float] | None = None  # both ends, as the module has them
         self.touched: dict[str, None] = {}  # things whose lent or borrowed amount has changed
@@ -125,9 +135,9 @@
         self._t, self.index, self._forwarders, self._born = terms, index, forwarders, born
         self._numbers = itertools.count(first_session)
         self._shard_of = shard_of or (lambda key: 0)
-        self._current: dict[int, Session] = {}  # by shard: the session with its owner
+        self._current: dict[int, LeaseSession] = {}  # by shard: the session with its owner
         self._epochs: dict[int, int] = {}  # by shard: the highest epoch heard of
-        self._sessions: list[Session] = []  # all that still matter
+        self._sessions: list[LeaseSession] = []  # all that still matter
         self._needs: dict[str, Demand] = {}
 
     def ready(self, now: float) -> bool:
@@ -136,7 +146,7 @@
 
     # What is heard of planners.
 
-    def owns(self, now: float, planner: str, shard: int, epoch: int) -> None:
+    def planner_elected(self, now: float, planner: str, shard: int, epoch: int) -> None:
         """A planner says that it owns a shard; one of an older epoch is not believed."""
         current = self._current.get(shard)
         if epoch < self._epochs.get(shard, 0):
@@ -148,18 +158,18 @@
         self._epochs[shard] = epoch
         self._begin(now, planner, shard, epoch)
 
-    def disowns(self, now: float, planner: str, shard: int) -> None:
+    def planner_deposed(self, now: float, planner: str, shard: int) -> None:
         """A planner says that it owns a shard no more."""
         current = self._current.get(shard)
         if current is not None and current.planner == planner:
             self._end(shard)
 
-    def lost(self, now: float, planner: str) -> None:
+    def planner_disconnected(self, now: float, planner: str) -> None:
         """The connection to a planner has ended."""
         for shard in [shard for shard, s in self._current.items() if s.planner == planner]:
             self._end(shard)
 
-    def again(self, now: float, planner: str, shard: int, number: int) -> None:
+    def restart_session(self, now: float, planner: str, shard: int, number: int) -> None:
         """A planner asks for a new session."""
         current = self._current.get(shard)
         if current is not None and current.planner == planner and current.number == number:
@@ -171,7 +181,7 @@
     def _begin(self, now: float, planner: str, shard: int, epoch: int) -> None:
         if shard in self._current:
             self._end(shard)
-        session = self._current[shard] = Session(planner, shard, epoch, next(self._numbers), now)
+        session = self._current[shard] = LeaseSession(planner, shard, epoch, next(self._numbers), now)
         session.due = {key: None for key in self._needs if self._shard_of(key) == shard}
         session.urgent = True
         self._sessions.append(session)
@@ -200,20 +210,20 @@
                 if moved or abs(need - before) >= max(LEAST, CHANGE * before):
                     session.due[demand.key] = None
 
-    def saw(self, works: Iterable[interface.WorkerLoad]) -> None:
+    def record_worker_loads(self, works: Iterable[interface.WorkerLoad]) -> None:
         """Take in what was seen of workers since the last time; what no planner asks for is forgotten."""
         for work in works:
             session = self._current.get(self._shard_of(work.key))
             if session is None or not session.live:
                 continue
             known = session.works.get(work.key)
-            session.works[work.key] = Work(
+            session.works[work.key] = WorkerLoad(
                 work.key, *(min(MOST, getattr(work, name) + getattr(known, name, 0)) for name in AMOUNTS)
             )
 
     # What planners say.
 
-    def word(self, now: float, planner: str, word: Word) -> bool:
+    def receive_update(self, now: float, planner: str, word: PlannerUpdate) -> bool:
         """Take in a checked word; False where it belongs to no session and was left.
 
         A word out of its order ends the session: what it would have said is unknown.
@@ -239,16 +249,16 @@
             else:
                 session.borrowed.pop(grant.key, None)
             session.touched[grant.key] = None
-        session.fills += word.fills
-        for pace in word.paces:
-            session.paces[pace.key] = pace.pace
-        for call in word.calls:
+        session.fills += word.bucket_levels
+        for pace in word.capacities:
+            session.paces[pace.key] = pace.capacity
+        for call in word.lend_requests:
             self._called(now, session, call)
-        if word.grants or word.calls:
+        if word.grants or word.lend_requests:
             session.urgent = True
         return True
 
-    def _called(self, now: float, session: Session, call: Call) -> None:
+    def _called(self, now: float, session: LeaseSession, call: LendRequest) -> None:
         """Lend as called for, as far as the part is there and not needed here; less frees it at once."""
         lent = session.lent.get(call.key, 0.0)
         known = self._needs.get(call.key)
@@ -266,7 +276,7 @@
         session.lends[call.key] = None
         session.touched[call.key] = None
 
-    def _lent(self, now: float, key: str, but: Session | None = None) -> float:
+    def _lent(self, now: float, key: str, but: LeaseSession | None = None) -> float:
         """What is lent of a thing, in all sessions or in all but one."""
         return sum(s.lent.get(key, 0.0) for s in self._sessions if s is not but and now < s.lent_until)
 
@@ -290,7 +300,7 @@
             for report in self._due(now, session)
         ]
 
-    def _due(self, now: float, session: Session) -> Iterable[Report]:
+    def _due(self, now: float, session: LeaseSession) -> Iterable[Report]:
         waited = now - session.sent_at
         busy = bool(session.lent or session.borrowed or session.works)
         news = bool(session.due or session.lends or session.lefts)
@@ -301,7 +311,7 @@
             if not (session.due or session.lends or session.lefts or session.works):
                 return
 
-    def _report(self, now: float, session: Session) -> Report:
+    def _report(self, now: float, session: LeaseSession) -> Report:
         needs: list[Need] = []
         lends: list[Amount] = []
         while session.lends and len(lends) < self._t.entries:
@@ -317,7 +327,7 @@
             if known.need < GONE:
                 del self._needs[key], session.told[key]
         lefts, session.lefts = session.lefts[: self._t.entries], session.lefts[self._t.entries :]
-        works: list[Work] = []
+        works: list[WorkerLoad] = []
         while session.works and len(works) < self._t.entries:
             works.append(session.works.popitem()[1])
         session.reported += 1
@@ -347,7 +357,7 @@
         borrowed = sum(s.borrowed.get(key, 0.0) for s in self._sessions if now < s.borrowed_until)
         return max(0.0, 1.0 / count - self._lent(now, key)) + borrowed
 
-    def moves(self, now: float) -> list[ShareUpdate]:
+    def share_updates(self, now: float) -> list[ShareUpdate]:
         """What has changed since the last call, as the module is to hear it before any report goes out.
 
         The end of what is lent is told a little late, so that reports within the next interval need no news.
@@ -367,7 +377,7 @@
                     )
                     for key in session.touched
                 )
-                fills = tuple(interface.BucketLevels(fill.key, fill.store, fill.ceiling) for fill in session.fills)
+                fills = tuple(interface.BucketLevels(fill.key, fill.quota, fill.ceiling) for fill in session.fills)
                 paces = tuple(interface.WorkerCapacity(key, pace) for key, pace in session.paces.items())
                 session.touched.clear()
                 session.fills.clear()
@@ -376,29 +386,29 @@
                 made.append(ShareUpdate(session.number, *state, changes, fills, capacities=paces))
         return made
 
-    def _count(self, session: Session, key: str) -> int:
+    def _count(self, session: LeaseSession, key: str) -> int:
         """How many share a thing, as far as is known here."""
         known = self._needs.get(key)
         return known.count if known is not None else session.counts.get(key, 1)
 
-    def freed(self, number: int, fills: Iterable[interface.BucketLevels]) -> None:
+    def record_released(self, number: int, fills: Iterable[interface.BucketLevels]) -> None:
         """What a session's moves have taken out of stores: the planner is told, with what is lent."""
         for session in self._sessions:
             if session.number == number and session.live:
                 session.lefts += [
-                    Fill(fill.key, min(1.0, fill.quota), min(1.0, fill.ceiling))
+                    BucketLevels(fill.key, min(1.0, fill.quota), min(1.0, fill.ceiling))
                     for fill in fills
                     if fill.quota > TINY or fill.ceiling > TINY
                 ]
 
-    def ended(self, now: float) -> list[ShareUpdate]:
+    def expired_sessions(self, now: float) -> list[ShareUpdate]:
         """Forget the sessions of which nothing matters any more, and say so to the module."""
         over = [s for s in self._sessions if s.over(now)]
         if over:
             self._sessions = [s for s in self._sessions if s not in over]
         return [ShareUpdate(s.number, s.lent_until, s.borrowed_until, expired=True) for s in over if s.taken]
 
-    def sessions(self) -> list[Session]:
+    def sessions(self) -> list[LeaseSession]:
         """All sessions that still matter."""
         return self._sessions
 
--- a/micagate/planning/ledger.py
+++ b/micagate/planning/ledger.py
@@ -12,7 +12,16 @@
 from collections.abc import Container
 
 from micagate.planning.allocate import TINY, targets
-from micagate.planning.messages import MOST, Again, Amount, Call, Fill, Pace, Report, Word
+from micagate.planning.messages import (
+    MOST,
+    Amount,
+    BucketLevels,
+    LendRequest,
+    PlannerUpdate,
+    Report,
+    RestartSession,
+    WorkerCapacity,
+)
 from micagate.planning.pace import Estimate
 from micagate.planning.terms import Terms
 
@@ -149,28 +158,28 @@
         self._unmet: dict[str, None] = {}  # things of which somebody wants more than is free
         self._looked = self._paced = now
         self._workers: dict[str, Estimate] = {}
-        self.left_out = 0  # needs beyond what one forwarder may have
+        self.rejected_needs = 0  # needs beyond what one forwarder may have
         self.mismatched = 0  # needs that name another set than before: left out
 
     # What comes in.
 
-    def report(self, now: float, name: str, index: int, report: Report) -> Again | None:
+    def report(self, now: float, name: str, index: int, report: Report) -> RestartSession | None:
         """Take in a checked report; what must be answered at once, if anything."""
         session = self._sessions.get(name)
         if report.epoch != self.epoch:
             return None  # meant for another book
         if session is None or session.session != report.session:
             if report.number != 1:
-                return Again(self.shard, report.session)
-            self.leave(now, name)
+                return RestartSession(self.shard, report.session)
+            self.forwarder_left(now, name)
             if (other := self._by_index.get(index)) is not None:
-                self.leave(now, other.name)  # two under one number: the later one has it
+                self.forwarder_left(now, other.name)  # two under one number: the later one has it
             session = self._sessions[name] = self._by_index[index] = _Session(name, index, report.session)
         if report.number <= session.reported:
             return None  # repeated
         if report.number != session.reported + 1 or report.ack > session.sent:
-            self.leave(now, name)
-            return Again(self.shard, report.session)
+            self.forwarder_left(now, name)
+            return RestartSession(self.shard, report.session)
         session.reported, session.heard = report.number, now
         if report.ack > session.acked:
             session.acked = report.ack
@@ -191,27 +200,27 @@
                 self.mismatched += 1
                 continue
             if len(session.needs) >= MOST_NEEDS and need.key not in session.needs:
-                self.left_out += 1
+                self.rejected_needs += 1
                 if not thing.sessions:
                     del self._things[need.key]
                 continue
             session.needs[need.key] = need.need
             thing.sessions[session] = None
             self._dirty[need.key] = None
-        for left in report.lefts:
+        for left in report.released_levels:
             if (held := self._things.get(left.key)) is not None:
-                held.store = min(1.0, held.store + left.store)
+                held.store = min(1.0, held.store + left.quota)
                 held.ceiling = min(1.0, held.ceiling + left.ceiling)
                 self._dirty[left.key] = None
-        for work in report.works:
+        for work in report.worker_loads:
             if work.key not in self._workers:
                 if len(self._workers) >= MOST_NEEDS:
-                    self.left_out += 1
+                    self.rejected_needs += 1
                     continue
                 self._workers[work.key] = Estimate(now)
             self._workers[work.key].report(now, work)
             session.works[work.key] = None
-        for lend in report.lends:
+        for lend in report.lent:
             if lend.key in session.calls:  # nobody lends uncalled
                 session.said[lend.key] = lend.amount
                 self._book(session, lend.key)
@@ -248,7 +257,7 @@
             session.loans[key] = loan
             self._dirty[key] = None
 
-    def leave(self, now: float, name: str) -> None:
+    def forwarder_left(self, now: float, name: str) -> None:
         """A forwarder's session has ended: its loans count no more, its grants until they are surely dead."""
         session = self._sessions.pop(name, None)
         if session is None:
@@ -265,7 +274,7 @@
 
     # What is decided.
 
-    def words(self, now: float, blocked: Container[str] = ()) -> list[tuple[str, Word]]:
+    def pending_updates(self, now: float, blocked: Container[str] = ()) -> list[tuple[str, PlannerUpdate]]:
         """What to tell which forwarder now. To be called often: at each report, and each interval.
 
         Nothing is made for the blocked, who don't read what they are sent: their news adds up here.
@@ -490,12 +499,12 @@
         )
         return busy and now - session.sent_at >= self._t.interval
 
-    def _word(self, now: float, session: _Session) -> Word:
+    def _word(self, now: float, session: _Session) -> PlannerUpdate:
         session.sent += 1
         session.sent_at = now
         room = self._t.entries
         grants: list[Amount] = []
-        calls: list[Call] = []
+        calls: list[LendRequest] = []
         while session.changed_grants and len(grants) < room:
             key, _ = session.changed_grants.popitem()
             if (grant := session.grants.get(key)) is not None:
@@ -505,16 +514,16 @@
             key, _ = session.changed_calls.popitem()
             if (call := session.calls.get(key)) is not None and (thing := self._things.get(key)) is not None:
                 session.calls[key] = (call[0], session.sent)
-                calls.append(Call(key, thing.count, call[0]))
-        fills: list[Fill] = []
+                calls.append(LendRequest(key, thing.count, call[0]))
+        fills: list[BucketLevels] = []
         while session.fills and len(fills) < room:
             key, (store, ceiling) = session.fills.popitem()
-            fills.append(Fill(key, min(1.0, store), min(1.0, ceiling)))
-        paces: list[Pace] = []
+            fills.append(BucketLevels(key, min(1.0, store), min(1.0, ceiling)))
+        paces: list[WorkerCapacity] = []
         while session.changed_paces and len(paces) < room:
             key, _ = session.changed_paces.popitem()
-            paces.append(Pace(key, min(MOST, session.paces.get(key, 0.0))))
-        return Word(
+            paces.append(WorkerCapacity(key, min(MOST, session.paces.get(key, 0.0))))
+        return PlannerUpdate(
             self.shard,
             self.epoch,
             session.session,
@@ -529,7 +538,7 @@
 
     # What can be seen.
 
-    def out(self, now: float) -> dict[str, tuple[int, float]]:
+    def granted(self, now: float) -> dict[str, tuple[int, float]]:
         """By forwarder: how many grants it may have in use, and their sum in wholes."""
         made: dict[str, tuple[int, float]] = {}
         for session in [*self._sessions.values(), *self._gone]:
@@ -549,6 +558,6 @@
         return {key: worker.shown(now) for key, worker in self._workers.items()}
 
     @property
-    def things(self) -> int:
+    def resource_count(self) -> int:
         """How many things the book has entries for."""
         return len(self._things)
--- a/micagate/planning/messages.py
+++ b/micagate/planning/messages.py
@@ -30,15 +30,15 @@
     amount: float
 
 
-class Fill(msgspec.Struct, frozen=True, array_like=True):
+class BucketLevels(msgspec.Struct, frozen=True, array_like=True):
     """What is in the stores of a thing, of quota and ceiling, that moves with a share; 1 is a whole burst."""
 
     key: str
-    store: float
+    quota: float
     ceiling: float
 
 
-class Call(msgspec.Struct, frozen=True, array_like=True):
+class LendRequest(msgspec.Struct, frozen=True, array_like=True):
     """How much of its part of a thing the planner would have a forwarder lend; less than before frees it."""
 
     key: str
@@ -46,7 +46,7 @@
     amount: float
 
 
-class Work(msgspec.Struct, frozen=True, array_like=True):
+class WorkerLoad(msgspec.Struct, frozen=True, array_like=True):
     """What became of a forwarder's attempts at a worker since its last report; `micagate.interface.WorkerLoad`."""
 
     key: str
@@ -58,14 +58,14 @@
     failed: int
 
 
-AMOUNTS = Work.__struct_fields__[1:]
+AMOUNTS = WorkerLoad.__struct_fields__[1:]
 
 
-class Pace(msgspec.Struct, frozen=True, array_like=True):
+class WorkerCapacity(msgspec.Struct, frozen=True, array_like=True):
     """What a worker can do for all forwarders together, answers a second; 0 where that is not known."""
 
     key: str
-    pace: float
+    capacity: float
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -78,12 +78,12 @@
     ack: int
     echo: float
     needs: tuple[Need, ...] = ()
-    lends: tuple[Amount, ...] = ()
-    lefts: tuple[Fill, ...] = ()  # what was in shares that were given away, or given back
-    works: tuple[Work, ...] = ()
+    lent: tuple[Amount, ...] = ()
+    released_levels: tuple[BucketLevels, ...] = ()  # what was in shares that were given away, or given back
+    worker_loads: tuple[WorkerLoad, ...] = ()
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class PlannerUpdate(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """A planner's message: `answers` is the number of the latest report it has, `stamp` its clock's
     reading."""
 
@@ -93,13 +93,13 @@
     number: int
     answers: int
     stamp: float
-    calls: tuple[Call, ...] = ()
+    lend_requests: tuple[LendRequest, ...] = ()
     grants: tuple[Amount, ...] = ()
-    fills: tuple[Fill, ...] = ()  # what comes with these shares
-    paces: tuple[Pace, ...] = ()
+    bucket_levels: tuple[BucketLevels, ...] = ()  # what comes with these shares
+    capacities: tuple[WorkerCapacity, ...] = ()
 
 
-class Again(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class RestartSession(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """A planner's message: this session has a gap or is unknown; begin a new one."""
 
     shard: int
@@ -125,7 +125,7 @@
         raise Malformed(f"{name}: must be from 0 to {MOST:g}, not {value!r}")
 
 
-def check(message: Report | Word, forwarders: int, entries: int) -> None:
+def check(message: Report | PlannerUpdate, forwarders: int, entries: int) -> None:
     """Raise `Malformed` where a message is absurd: a liar's or a broken peer's.
 
     A need beyond the whole is no lie but a flood: the sender cuts it to 1 itself.
@@ -133,23 +133,23 @@
     for name in ("shard", "epoch", "number"):
         if getattr(message, name) < 0:
             raise Malformed(f"{name}: must be at least 0, not {getattr(message, name)}")
-    fills = message.lefts if isinstance(message, Report) else message.fills
+    fills = message.released_levels if isinstance(message, Report) else message.bucket_levels
     count = (
-        len(message.needs) + len(message.lends)
+        len(message.needs) + len(message.lent)
         if isinstance(message, Report)
-        else (len(message.calls) + len(message.grants))
+        else (len(message.lend_requests) + len(message.grants))
     )
-    count = max(count, len(fills), len(message.works if isinstance(message, Report) else message.paces))
+    count = max(count, len(fills), len(message.worker_loads if isinstance(message, Report) else message.capacities))
     if count > entries:
         raise Malformed(f"entries: at most {entries}, not {count}")
     for fill in fills:
         _key("fills.key", fill.key)
-        _share("fills.store", fill.store)
+        _share("fills.store", fill.quota)
         _share("fills.ceiling", fill.ceiling)
     if not math.isfinite(message.echo if isinstance(message, Report) else message.stamp):
         raise Malformed("stamp: must be finite")
     if isinstance(message, Report):
-        for work in message.works:
+        for work in message.worker_loads:
             _key("works.key", work.key)
             for name in AMOUNTS:
                 _amount(f"works.{name}", getattr(work, name))
@@ -159,14 +159,14 @@
             if not (1 <= need.count <= forwarders and 0 <= need.first < forwarders):
                 raise Malformed(f"needs.count: no {need.count} from {need.first} of {forwarders} forwarders")
     else:
-        for pace in message.paces:
+        for pace in message.capacities:
             _key("paces.key", pace.key)
-            _amount("paces.pace", pace.pace)
-        for call in message.calls:
+            _amount("paces.pace", pace.capacity)
+        for call in message.lend_requests:
             _key("calls.key", call.key)
             _share("calls.amount", call.amount)
             if not 1 <= call.count <= forwarders:
                 raise Malformed(f"calls.count: no {call.count} among {forwarders} forwarders")
-    for amount in message.lends if isinstance(message, Report) else message.grants:
+    for amount in message.lent if isinstance(message, Report) else message.grants:
         _key("amount.key", amount.key)
         _share("amount.amount", amount.amount)
--- a/micagate/planning/pace.py
+++ b/micagate/planning/pace.py
@@ -10,7 +10,7 @@
 
 import math
 
-from micagate.planning.messages import AMOUNTS, Work
+from micagate.planning.messages import AMOUNTS, WorkerLoad
 
 SPAN = 1.0  # seconds over which reports are averaged
 ENOUGH = 8.0  # answers within the span under which nothing is said
@@ -40,7 +40,7 @@
         self.pace = 0.0  # 0: not known
         self._best = 0.0  # the most of late
 
-    def report(self, now: float, work: Work) -> None:
+    def report(self, now: float, work: WorkerLoad) -> None:
         """A forwarder has told what it saw."""
         self._fade(now)
         self._heard = now
--- a/micagate/recovery/answers.py
+++ b/micagate/recovery/answers.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from micagate.membership.messages import Knows
+from micagate.membership.messages import RecoveryAnswer
 
 TOGETHER = 5.0  # seconds within which two that start lost power together (ours)
 SOON = 0.5  # of the time for answers in which one who refuses may still come up
@@ -48,10 +48,10 @@
         self._began, self._until = now, now + patience
         self._soon = now + SOON * patience
         self._open = dict.fromkeys(peers)
-        self._answers: dict[str, Knows] = {}
+        self._answers: dict[str, RecoveryAnswer] = {}
         self._offsets: dict[str, float] = {}
 
-    def answered(self, now: float, wall: float, peer: str, knows: Knows) -> None:
+    def answered(self, now: float, wall: float, peer: str, knows: RecoveryAnswer) -> None:
         """An answer; a second one of a peer replaces the first, as it may know more by then."""
         self._open.pop(peer, None)
         self._answers[peer] = knows
@@ -71,7 +71,7 @@
         answers = self._answers
         passed = now - self._began
         since = passed + TOGETHER if lost is None else lost
-        stayed = tuple(name for name, each in answers.items() if not each.back and each.up > since)
+        stayed = tuple(name for name, each in answers.items() if not each.recovering and each.up > since)
         back = tuple(name for name in answers if name not in stayed)
         ago = [each.ago for each in answers.values() if each.ago >= 0]
         workers: dict[str, tuple[float, bool]] = {}
@@ -92,7 +92,7 @@
             _median(list(self._offsets.values())),
             workers,
             _median([each.pace for each in answers.values() if each.pace > 0]),
-            any(each.void for each in answers.values()),
+            any(each.distrusted for each in answers.values()),
         )
 
 
--- a/oliveloft/backend/attempt.py
+++ b/oliveloft/backend/attempt.py
@@ -12,13 +12,13 @@
 from micagate import interface
 from micagate.invariants import AttemptState
 from oliveloft.bodies.body import Body
-from oliveloft.shared_types import Sink
+from oliveloft.shared_types import ResponseSink
 
 if TYPE_CHECKING:
     from oliveloft.backend.connection import Connection
 
 
-class Answer:
+class Response:
     """A worker's whole answer."""
 
     __slots__ = ("status", "headers", "body", "used", "not_processed", "told")
@@ -62,8 +62,8 @@
         body: bytes | Body,
         deadline: float,
         began: float,
-        report: Callable[[Attempt, str, Answer | None], None],
-        begins: Callable[[Attempt, Answer, int | None, Connection], Sink | None] | None = None,
+        report: Callable[[Attempt, str, Response | None], None],
+        begins: Callable[[Attempt, Response, int | None, Connection], ResponseSink | None] | None = None,
         wrote: Callable[[Attempt], None] | None = None,
     ) -> None:
         self.request, self.number, self.worker = request, number, worker
@@ -80,7 +80,7 @@
         """Whether it has ended."""
         return self.state is AttemptState.OVER
 
-    def finish(self, status: str, answer: Answer | None = None) -> None:
+    def finish(self, status: str, answer: Response | None = None) -> None:
         """End the attempt and report; a second end is none."""
         if self.done:
             return
@@ -91,7 +91,7 @@
             self.timer = None
         self.report(self, status, answer)
 
-    def give_up(self, status: str) -> None:
+    def cancel(self, status: str) -> None:
         """Stop waiting: the worker learns of it by the close of its connection."""
         if self.done:
             return
@@ -101,7 +101,7 @@
             connection.close()
         self.finish(status)
 
-    def take_back(self) -> None:
+    def withdraw(self) -> None:
         """End it before anything of it is written; the connection that is coming up for it is of use to others."""
         if self.connection is not None:
             self.connection.attempt = None
--- a/oliveloft/backend/connection.py
+++ b/oliveloft/backend/connection.py
@@ -10,10 +10,10 @@
 
 from micagate import interface
 from micagate.invariants import AttemptState, EndpointState, write_refusal
-from oliveloft.backend.attempt import Answer, Attempt
+from oliveloft.backend.attempt import Attempt, Response
 from oliveloft.backend.limits import HOP_BY_HOP, MAX_HEAD, STANDS
 from oliveloft.bodies.body import Body
-from oliveloft.shared_types import Sink
+from oliveloft.shared_types import ResponseSink
 
 if TYPE_CHECKING:
     from oliveloft.backend.pool import ConnectionPool
@@ -97,11 +97,11 @@
         self._reset()
 
     def _reset(self) -> None:
-        self._answer = Answer()
+        self._answer = Response()
         self._body: list[bytes] = []
         self._source: Body | None = None  # a long request that is being written
         self._place = 0  # its next block
-        self._sink: Sink | None = None  # where a long answer goes
+        self._sink: ResponseSink | None = None  # where a long answer goes
         self._length: int | None = None  # of the answer's body, as announced
         self._held = False  # the sink takes no more for now
         self._moved = 0.0  # when a long body last moved
@@ -199,13 +199,13 @@
         """Whether all of the request is on its way."""
         return self._source is None
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """The client takes more of a long answer."""
         if self._held and self.transport is not None and not self._closed:
             self._held, self._moved = False, self._pool.loop.time()
             self.transport.resume_reading()
 
-    def stop(self) -> None:
+    def cancel(self) -> None:
         """Nobody is there for a long answer any more."""
         self._sink = None
         self._end(interface.CANCELLED)
@@ -340,9 +340,9 @@
         for data in body:
             self._more(sink, data)
 
-    def _more(self, sink: Sink, data: bytes) -> None:
+    def _more(self, sink: ResponseSink, data: bytes) -> None:
         """Pass a piece on, and read no further where the client takes no more."""
-        if not sink.more(data) and not self._held and self.transport is not None:
+        if not sink.write(data) and not self._held and self.transport is not None:
             self._held = True
             self.transport.pause_reading()
 
@@ -354,7 +354,7 @@
             self._interim += 1
             if self._interim > MOST_INTERIM:
                 raise Oversize
-            self._answer = Answer()
+            self._answer = Response()
             self._headed = self._framed = self._ends = False
             self._unread, self._length = 0, None
             return
@@ -396,7 +396,7 @@
         self.close()
         sink, self._sink = self._sink, None
         if sink is not None:
-            sink.cut()
+            sink.abort_response()
         if attempt is not None:
             attempt.finish(status)
 
--- a/oliveloft/backend/idle_timeout.py
+++ b/oliveloft/backend/idle_timeout.py
@@ -10,7 +10,7 @@
 DEAD, OVER_NEW = 0.2, 2.0  # a class is given up above this share, and so many times that of new connections
 
 
-class Rest:
+class IdleTimeout:
     """The longest rest after which a connection is likely enough to live.
 
     Uses are counted by the connection's age at rest, and of them those that broke with no byte of an answer;
--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -13,7 +13,7 @@
 from micagate.invariants import EndpointState, Reason
 from oliveloft.backend.attempt import Attempt
 from oliveloft.backend.connection import Connection, EndpointIncarnation
-from oliveloft.backend.idle_timeout import Rest
+from oliveloft.backend.idle_timeout import IdleTimeout
 from oliveloft.backend.limits import MAX_BODY
 from oliveloft.guard import Guard
 from oliveloft.shared_types import Endpoint
@@ -58,7 +58,7 @@
         self.guard = Guard() if guard is None else guard
         self.loop, self.max_body, self.longest = loop, max_body, max(longest, max_body)
         self._limit, self._connect_timeout = limit, connect_timeout
-        self.rest = Rest(IDLE_SHARE * idle_close, loop.time())
+        self.rest = IdleTimeout(IDLE_SHARE * idle_close, loop.time())
         self.settles, self._strays = SETTLES, loop.time()  # up to when second answers are reckoned with
         self._processes: dict[str, EndpointIncarnation] = {}
         self._open: set[Connection] = set()
--- a/oliveloft/discovery/watch.py
+++ b/oliveloft/discovery/watch.py
@@ -24,7 +24,7 @@
 from oliveloft.discovery import policy as times
 from oliveloft.discovery.call import DiscoveryCall
 from oliveloft.discovery.policy import watch_policy
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 
 log = logging.getLogger("oliveloft")
 
@@ -50,7 +50,7 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         start_times: StartTimes,
-        notify: Callable[[News], None],
+        notify: Callable[[DiscoveryUpdate], None],
         index: int | None = None,
         gatekeepers: int = 1,
         number: int = 0,
@@ -244,7 +244,7 @@
             self.ended(call, f"status {status}")  # turned away: what is held is as good as it was
             return
         try:
-            news = News(json.loads(body))
+            news = DiscoveryUpdate(json.loads(body))
         except (ValueError, RecursionError) as error:
             self.malformed(call, f"malformed answer: {error}")
             return
@@ -267,7 +267,7 @@
         if not self._calls:
             self._retry()
 
-    def _take(self, call: DiscoveryCall, news: News, closes: bool) -> None:
+    def _take(self, call: DiscoveryCall, news: DiscoveryUpdate, closes: bool) -> None:
         if self._state is WatchState.RECOVERING:
             log.info("discovery: back")
         pause_seconds = self._pause_seconds(call, news)
@@ -305,7 +305,7 @@
         else:
             self._ask(call)
 
-    def _pause_seconds(self, call: DiscoveryCall, news: News) -> float:
+    def _pause_seconds(self, call: DiscoveryCall, news: DiscoveryUpdate) -> float:
         """How long the next call waits: longer each time that a watch is answered at once with nothing new."""
         early = self._loop.time() - call.asked_at < call.wait_seconds / 2
         if not early or news.endpoints or news.index != self._index:
--- a/oliveloft/dispatch/dispatcher.py
+++ b/oliveloft/dispatch/dispatcher.py
@@ -20,11 +20,11 @@
     attempt_refusal,
     reply_refusal,
 )
-from oliveloft.backend.attempt import Answer, Attempt
+from oliveloft.backend.attempt import Attempt, Response
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.bodies.body import Body
 from oliveloft.counter.client import Counter
-from oliveloft.shared_types import News, Sink, Source
+from oliveloft.shared_types import BodySource, DiscoveryUpdate, ResponseSink
 
 log = logging.getLogger("oliveloft")
 
@@ -55,7 +55,7 @@
         body: bytes | Body,
         deadline: float,
         reply: Reply,
-        sink: Sink | None = None,
+        sink: ResponseSink | None = None,
     ) -> None:
         self.event, self.head, self.body, self.deadline = event, head, body, deadline
         self.reply: Reply | None = reply
@@ -110,7 +110,7 @@
         body: bytes | Body,
         deadline: float,
         reply: Reply,
-        sink: Sink | None = None,
+        sink: ResponseSink | None = None,
     ) -> Request:
         """Take in a request; `reply` is called once unless the client leaves before, or a long answer began."""
         request = self._requests[event.request] = Request(event, head, body, deadline, reply, sink)
@@ -119,7 +119,7 @@
         self._hand(event, event.request)
         return request
 
-    def whole(self, request: Request) -> None:
+    def request_complete(self, request: Request) -> None:
         """The last byte of a request has come: its time counts from now."""
         if request.ended:
             return
@@ -144,7 +144,9 @@
             attempt.began = self._loop.time()  # a worker begins with the last byte
             self._told(request)
 
-    def _begins(self, attempt: Attempt, answer: Answer, length: int | None, source: Source) -> Sink | None:
+    def _begins(
+        self, attempt: Attempt, answer: Response, length: int | None, source: BodySource
+    ) -> ResponseSink | None:
         """A long answer begins: where it goes, or None where nobody takes it."""
         request = self._requests[attempt.request]
         sink = request.sink
@@ -161,7 +163,7 @@
         sink.begin(b"".join(answer.headers), length, source)
         return sink
 
-    def abandon(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """The client has left: nothing of its request goes out any more.
 
         What a worker has whole runs to its end. What the client has not sent whole can't go on: the worker sees that,
@@ -172,7 +174,7 @@
             self._hand(interface.ClientDisconnected(request.event.request), request.event.request)
         if isinstance(request.body, Body) and not request.body.whole:
             for attempt in request.attempts:
-                attempt.give_up(interface.CANCELLED)
+                attempt.cancel(interface.CANCELLED)
 
     def leave(self) -> None:
         """The process ends before the time of what is held: whoever still waits hears so now, once.
@@ -185,13 +187,13 @@
             self._hand(interface.StopRetrying(name), name)
             for attempt in list(request.attempts):
                 if attempt.unsent():
-                    attempt.take_back()
+                    attempt.withdraw()
                 else:
-                    attempt.give_up(interface.TIMED_OUT)
+                    attempt.cancel(interface.TIMED_OUT)
             if not request.ended:
                 self._expired(request)  # guards against a request that the module forgot
 
-    def news(self, news: News) -> None:
+    def update_workers(self, news: DiscoveryUpdate) -> None:
         """Discovery has told of changes."""
         self._workers.update(news.endpoints, news.whole)
         self._hand(interface.WorkerList(tuple(e.entry for e in news.endpoints), whole=news.whole), "")
@@ -214,7 +216,7 @@
         """Let the module handle an event that is about no request here."""
         self._hand(event, "")
 
-    def shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
+    def apply_shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
         """Planners have moved shares: they hold from now on. What left the stores with what was given
         away."""
         return next(
@@ -226,7 +228,7 @@
             (),
         )
 
-    def survey(self, works: bool) -> interface.DemandReport:
+    def demand_report(self, works: bool) -> interface.DemandReport:
         """What was asked of each thing since the last survey, and what became of attempts at workers."""
         return next(
             (
@@ -284,7 +286,7 @@
             case interface.Cancel(name, number):
                 request = self._requests.get(name)
                 if request is not None and number < len(request.attempts):
-                    request.attempts[number].give_up(interface.CANCELLED)
+                    request.attempts[number].cancel(interface.CANCELLED)
             case interface.CounterAdd():
                 if self._counter is not None:
                     self._counter.call(action, self._counted)
@@ -332,7 +334,7 @@
             return
         if 0 < within < request.deadline - now:
             attempt.deadline = now + within
-            attempt.timer = self._loop.call_later(within, attempt.give_up, interface.TIMED_OUT)
+            attempt.timer = self._loop.call_later(within, attempt.cancel, interface.TIMED_OUT)
         if self.began is not None:
             self.began(name, attempt.number)
         self._workers.send(attempt)
@@ -343,7 +345,7 @@
         deadline = None if request.state is RequestState.ARRIVING else request.deadline
         return attempt_refusal(request.state, deadline, now, klass.effect, klass.window, earlier, self._limits)
 
-    def _reported(self, attempt: Attempt, status: str, answer: Answer | None) -> None:
+    def _reported(self, attempt: Attempt, status: str, answer: Response | None) -> None:
         """An attempt has ended: the first success answers the client, the module hears of each."""
         request = self._requests[attempt.request]
         request.out -= 1
@@ -375,7 +377,7 @@
         if not request.ended:
             self._hand(interface.StopRetrying(name), name)
         for attempt in list(request.attempts):
-            attempt.give_up(interface.TIMED_OUT)
+            attempt.cancel(interface.TIMED_OUT)
         if not request.ended:  # the module forgot it: it would be lost
             self._end(request, 504, b"", b"")
             self._hand(interface.ClientDisconnected(name), name)
@@ -405,7 +407,7 @@
         """
         for attempt in request.attempts:
             if attempt.unsent():
-                attempt.take_back()
+                attempt.withdraw()
 
     def _forget(self, request: Request) -> None:
         """Drop a request that is over."""
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -21,7 +21,7 @@
 from micagate.gateway import Gateway
 from micagate.membership.clock import HybridClock
 from micagate.membership.members import Members, News
-from micagate.membership.messages import DEAD, LONGEST, Asks, Beat, Fact, Knows, Message
+from micagate.membership.messages import DEAD, LONGEST, Fact, Heartbeat, Message, RecoveryAnswer, RecoveryQuery
 from micagate.operating.presence import Presence
 from micagate.recovery import slow_start, stages
 from micagate.recovery.answers import TOGETHER, Questions, Told
@@ -137,7 +137,7 @@
         for name in self.fleet.members:
             seen = rows.get((SEEN, name))
             if isinstance(seen, list) and len(seen) == 3 and isinstance(seen[0], int):
-                members.earlier[name] = seen[0]
+                members.earlier_incarnations[name] = seen[0]
         if self.memory is not None:
             carried = {
                 key: value
@@ -156,8 +156,8 @@
                 self._ban(fact)
         if judge(Kind.DRAIN, self._judged(Peers.OPEN)).way is Way.TAKEN and rows.get((DRAIN, "")):
             self._presence.leave(now)
-        members.news.clear()
-        members.hurry = True
+        members.updates.clear()
+        members.urgent = True
         others = [name for name in self.fleet.members if name != self.name]
         self._questions = Questions(now, others, self.fleet.limits.peers)
         await self._lines.start()
@@ -243,10 +243,12 @@
         self._told = told = self._questions.told(now, age if age < FORGOTTEN else None)
         answered = bool(told.stayed or told.back)
         self._case = case = self._judged(Peers.AGREE if answered else Peers.SILENT)
-        if self.members.twin:  # an earlier life had a higher number: the clock was stepped back, or the disk is old
-            self.members.reborn(self.members.rival + 1)
+        if (
+            self.members.duplicate_name
+        ):  # an earlier life had a higher number: the clock was stepped back, or the disk is old
+            self.members.raise_incarnation(self.members.duplicate_incarnation + 1)
             if self.memory is not None:
-                self.memory.put(BOOT, "", self.members.boot)
+                self.memory.put(BOOT, "", self.members.incarnation)
         rows = {key: self._moved(key, value) for key, value in self._found.records.items()}
         self._kept = Kept(rows if self._found.owner == self.name else {}, case)
         if told.stepped:
@@ -332,7 +334,7 @@
             self._pace(now, kept)
         self._walk = Walk(gateway, now)
         self._tell(stages.OPEN)
-        self.members.hurry = False
+        self.members.urgent = False
         took = ", ".join(
             f"{over.stage} {over.took:.2f}" + (f" (without {over.missing})" if over.missing else "")
             for over in self.recovery.over
@@ -349,7 +351,7 @@
         """Control begins where workers are cold together, by what was served before."""
         assert self.members is not None
         pace = kept.pace() or self._told.pace
-        pace *= len(self.fleet.members) / max(1, self.members.up())
+        pace *= len(self.fleet.members) / max(1, self.members.alive_count())
         if slow_start.begin(self._gateway, now, pace, kept.load()):
             log.info(
                 "fleet: control from %.1f a second, workers %.0f%% warm",
@@ -365,7 +367,7 @@
             LIFE,
             "",
             {
-                "boot": self.members.boot,
+                "boot": self.members.incarnation,
                 "machine": self._machine,
                 "offset": self._offset,
                 "born": now,
@@ -388,9 +390,9 @@
         members, now = self.members, self._loop.time()
         assert members is not None
         self._beats()
-        for peer in members.wanted(now):
+        for peer in members.peers_to_connect(now):
             self._lines.dial(peer)
-        for peer in members.surplus(now):
+        for peer in members.links_to_close(now):
             self._lines.close(peer)
         self._news(now)
         if not self.recovery.open:
@@ -408,13 +410,13 @@
                 self._marks.look()
                 for key in self._marks.idle(now, IDLE):
                     self.memory.put(MARK, key, None)
-        share = members.up() / len(self.fleet.members)
+        share = members.alive_count() / len(self.fleet.members)
         self._gateway.fleet.gateway_count = max(1, round(self._settings.gateways * share))
         self.longest_step = max(self.longest_step, time.perf_counter() - began)
 
     def _beats(self) -> None:
         assert self.members is not None
-        for peer, message in self.members.look(self._loop.time(), self.wall()):
+        for peer, message in self.members.tick(self._loop.time(), self.wall()):
             self._lines.send(peer, message)
 
     def _timed(self, kind: str, value: Any) -> Any:
@@ -442,7 +444,7 @@
         members = self.members
         assert members is not None and self._questions is not None
         for name in self._questions.waits(now):
-            if members.gone(name):
+            if members.is_gone(name):
                 self._questions.gone(now, name)
         waits = {stages.PEERS: ", ".join(self._questions.waits(now))}
         if not self._ready():
@@ -452,7 +454,7 @@
         unheard = [
             peer
             for peer, link in members.links.items()
-            if link.acked < 1 and not members.gone(peer) and now - link.began < self.fleet.limits.room
+            if link.acked < 1 and not members.is_gone(peer) and now - link.began < self.fleet.limits.room
         ]
         waits[stages.ROOM] = ", ".join(unheard)
         mine = self._begun
@@ -509,7 +511,7 @@
 
     def _tell(self, stage: str) -> None:
         assert self.members is not None
-        self.members.tell(stage=stage, left=self._presence.left is not None, memory=not self.why)
+        self.members.set_about(stage=stage, left=self._presence.left is not None, memory=not self.why)
 
     def _due(self) -> None:
         """Marks that are due go to the disk."""
@@ -529,7 +531,9 @@
             return
         assert self.members is not None
         for mark in marks:
-            self.memory.put(MARK, mark.key, [round(mark.level, 4), mark.at, mark.top, mark.rate, self.members.boot])
+            self.memory.put(
+                MARK, mark.key, [round(mark.level, 4), mark.at, mark.top, mark.rate, self.members.incarnation]
+            )
         self.memory.synced().add_done_callback(lambda done: self._written(marks, done.result()))
 
     def _written(self, marks: list[Mark], kept: bool) -> None:
@@ -554,18 +558,18 @@
             if self._open.is_set():
                 self.memory.put(LIFE, "", {**self._life_row(None), "end": ""})
         if self.members is not None:
-            self.members.tell(memory=False)
+            self.members.set_about(memory=False)
             self._beats()  # at once: after a crash only the others may know of it
 
     def _life_row(self, born: float | None) -> dict[str, Any]:
         assert self.members is not None
-        return {"boot": self.members.boot, "machine": self._machine, "offset": self._offset, "born": born}
+        return {"boot": self.members.incarnation, "machine": self._machine, "offset": self._offset, "born": born}
 
     def _again(self) -> None:
         """The disk is well again: marks from now on."""
         self.why = ""
         if self.members is not None:
-            self.members.tell(memory=True)
+            self.members.set_about(memory=True)
         if self._open.is_set() and self._marks_hold():
             self._task = self._loop.create_task(self._anew())
 
@@ -584,14 +588,14 @@
     def linked(self, peer: str) -> None:
         """A link stands."""
         assert self.members is not None
-        self.members.linked(self._loop.time(), peer)
+        self.members.link_opened(self._loop.time(), peer)
         if not self.recovery.open and self._kept is None:
-            self._lines.send(peer, Asks(self._last(), self.members.boot))
+            self._lines.send(peer, RecoveryQuery(self._last(), self.members.incarnation))
 
     def unlinked(self, peer: str, refused: bool) -> None:
         """A link has ended, or could not be made."""
         assert self.members is not None
-        self.members.unlinked(self._loop.time(), peer, refused)
+        self.members.link_closed(self._loop.time(), peer, refused)
         if refused and self._questions is not None:
             self._questions.gone(self._loop.time(), peer)
 
@@ -599,55 +603,59 @@
         """A member says something."""
         members, now = self.members, self._loop.time()
         assert members is not None
-        if isinstance(message, Asks):
+        if isinstance(message, RecoveryQuery):
             self._lines.send(peer, self._knows(now, peer, message))
-        elif isinstance(message, Knows):
+        elif isinstance(message, RecoveryAnswer):
             if self._questions is not None:
                 self._questions.answered(now, self.wall(), peer, message)
                 members.heard_of[peer] = now
                 if self._kept is not None:
                     self._later_word(now, message)
         else:
-            for other, answer in members.hear(now, self.wall(), peer, message):
+            for other, answer in members.receive(now, self.wall(), peer, message):
                 self._lines.send(other, answer)
             self._news(now)
 
-    def _later_word(self, now: float, knows: Knows) -> None:
+    def _later_word(self, now: float, knows: RecoveryAnswer) -> None:
         """An answer that came after all was settled: it may say that the disk is not this gateway's last word."""
-        if self._case.disk is not Disk.OWN or not (knows.void or knows.boot > self._last()):
+        if self._case.disk is not Disk.OWN or not (knows.distrusted or knows.boot > self._last()):
             return
         log.warning("fleet: a member knows of a later life of this one: its disk is old; ceilings begin empty")
-        self._case = replace(self._case, disk=Disk.VOID if knows.void else Disk.OLD)
+        self._case = replace(self._case, disk=Disk.VOID if knows.distrusted else Disk.OLD)
         if self._marks is not None:
             self._marks.distrust(now, (a for q in self._gateway.quotas.accounts.queues for a in q.values()))
 
     def life(self) -> int:
         """The number of this life."""
         assert self.members is not None
-        return self.members.boot
+        return self.members.incarnation
 
-    def later(self, peer: str) -> Beat:
+    def later(self, peer: str) -> Heartbeat:
         """What is known of a member, for one that calls in an earlier life of it."""
         assert self.members is not None
         known = self.members.records.get(peer)
-        return Beat(1, 0, self.wall(), self.members.digest(), (known,) if known is not None else ())
+        return Heartbeat(1, 0, self.wall(), self.members.digest(), (known,) if known is not None else ())
 
-    def _knows(self, now: float, peer: str, asks: Asks) -> Knows:
+    def _knows(self, now: float, peer: str, asks: RecoveryQuery) -> RecoveryAnswer:
         members, gateway = self.members, self._gateway
         assert members is not None
         known = members.records.get(peer)
-        boot = known.boot if known is not None and known.boot < asks.life else members.earlier.get(peer, 0)
+        boot = (
+            known.incarnation
+            if known is not None and known.incarnation < asks.life
+            else members.earlier_incarnations.get(peer, 0)
+        )
         void, ago = self._void_lives.get(peer) == boot, -1.0
         seen = self._found.records.get((SEEN, peer)) if self._found.owner == self.name else None
         if isinstance(seen, list) and len(seen) == 3 and seen[0] == boot:
             ago, void = self.wall() - float(seen[1]), void or bool(seen[2])
-        elif known is not None and known.boot == boot and peer in members.heard_of:
+        elif known is not None and known.incarnation == boot and peer in members.heard_of:
             ago = now - members.heard_of[peer]
         workers = tuple(
             (name[:LONGEST], round(min(1.0, 1 / max(1.0, worker.slowness(now))), 3), worker.is_suspect())
             for name, worker in list(gateway.fleet.workers.items())[:MOST_WORKERS]
         )
-        return Knows(
+        return RecoveryAnswer(
             boot,
             ago,
             self.wall(),
@@ -661,7 +669,7 @@
     def _news(self, now: float) -> None:
         members = self.members
         assert members is not None
-        news, members.news = members.news, []
+        news, members.updates = members.updates, []
         for each in news:
             self._one(now, each)
 
@@ -692,9 +700,9 @@
             if record is not None and news.name != self.name:
                 void = record.about.get("memory") is False
                 if void:
-                    self._void_lives[news.name] = record.boot
+                    self._void_lives[news.name] = record.incarnation
                 if self.memory is not None:
-                    self.memory.put(SEEN, news.name, [record.boot, self.wall(), void])
+                    self.memory.put(SEEN, news.name, [record.incarnation, self.wall(), void])
 
     # Bans and drains.
 
@@ -711,7 +719,7 @@
     def said(self, worker: str, out: bool) -> asyncio.Future[bool]:
         """An operator has taken a worker out here, or put it back: all hear of it; whether it is on disk."""
         assert self.members is not None
-        fact = self.members.say(self.wall(), BAN, worker, {"out": out, "since": self.wall()})
+        fact = self.members.publish_fact(self.wall(), BAN, worker, {"out": out, "since": self.wall()})
         self._news(self._loop.time())
         self._beats()  # the others hear of it before whoever asked hears that it is done
         return self._kept_soon(FACT, f"{BAN} {worker}", [*fact.stamp, fact.value])
@@ -784,7 +792,7 @@
             name: {
                 "status": record.status,
                 "cause": record.cause,
-                "boot": record.boot,
+                "boot": record.incarnation,
                 "by": list(record.by),
                 **{key: value for key, value in record.about.items()},
             }
@@ -801,14 +809,14 @@
         return json.dumps(
             {
                 "name": self.name,
-                "boot": members.boot,
+                "boot": members.incarnation,
                 "stage": self.recovery.stage,
                 "waits_for": self.recovery.waits_for,
                 "up_s": round(now - self._begun, 2),
                 "open": self._open.is_set(),
                 "ended": self._ended().value,
                 "disk": self._case.disk.value,
-                "twin": members.twin,
+                "twin": members.duplicate_name,
                 "wall": wall,
                 "digest": f"{members.digest():016x}",
                 "stages": [
@@ -816,8 +824,8 @@
                 ],
                 "members": seen,
                 "links": links,
-                "cut": members.cut(now),
-                "slow": members.slow(),
+                "cut": members.unreachable_peers(now),
+                "slow": members.slow_peers(),
                 "bans": bans,
                 "memory": {
                     "why": self.why,
@@ -827,7 +835,7 @@
                     "believed": bool(memory and memory.believed),
                 },
                 "longest_step_ms": round(1000 * self.longest_step, 2),
-                "up": members.up(),
+                "up": members.alive_count(),
             }
         )
 
@@ -850,7 +858,7 @@
                 for mark in self._marks.last(
                     now, (a for q in self._gateway.quotas.accounts.queues for a in q.values())
                 ):
-                    last.append((MARK, mark.key, [mark.level, mark.at, mark.top, mark.rate, self.members.boot]))
+                    last.append((MARK, mark.key, [mark.level, mark.at, mark.top, mark.rate, self.members.incarnation]))
             last.append(
                 (LIFE, "", {**self._life_row(self._born()), "end": End.ASKED.value, "stepped": self._told.stepped})
             )
--- a/oliveloft/fleet/peers.py
+++ b/oliveloft/fleet/peers.py
@@ -6,7 +6,7 @@
 import logging
 from typing import Protocol
 
-from micagate.membership.messages import Asks, Beat, Knows, Message, Sums, check
+from micagate.membership.messages import Heartbeat, Message, RecoveryAnswer, RecoveryQuery, StateSummary, check
 from oliveloft.fleet.config import FleetConfig
 from oliveloft.planners import wire
 from oliveloft.planners.peer import Peer
@@ -36,7 +36,7 @@
     def life(self) -> int:
         """The number of this member's life."""
 
-    def later(self, peer: str) -> Beat:
+    def later(self, peer: str) -> Heartbeat:
         """What is known of a member, for one that calls in an earlier life of it."""
 
 
@@ -82,7 +82,7 @@
     def take(self, message: wire.Message) -> None:
         """A message has come."""
         if self.peer:
-            if isinstance(message, Beat | Sums | Asks | Knows):
+            if isinstance(message, Heartbeat | StateSummary | RecoveryQuery | RecoveryAnswer):
                 check(message)
                 self._peers.owner.heard(self.peer, message)
             elif isinstance(message, wire.Refused):
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -21,7 +21,7 @@
 from oliveloft.backend.limits import HOP_BY_HOP, MAX_BODY, MAX_HEAD, STANDS
 from oliveloft.bodies.body import Body
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
-from oliveloft.shared_types import Source
+from oliveloft.shared_types import BodySource
 
 log = logging.getLogger("oliveloft")
 
@@ -162,7 +162,7 @@
         self._moved = 0.0  # when a body last moved
         self._held = False  # it is read no further, for want of room for what it sends
         self._deaf = False  # it is read no further, so that nothing tells of its leaving
-        self._source: Source | None = None  # of a long answer on its way
+        self._source: BodySource | None = None  # of a long answer on its way
         self._owed = 0  # bytes of the budget that answers which the client has not read hold
         self._left = 0  # bytes that waited for it at the last look
         self._chunked = self._old = False  # how that goes out; whether its request was HTTP/1.0
@@ -187,11 +187,11 @@
         if incoming is not None and incoming.long is not None:
             incoming.long.drop()
         if source is not None:
-            source.stop()
+            source.cancel()
         self._pay()
         self._server.left(self)
         if current is not None:
-            self._server.dispatcher.abandon(current)
+            self._server.dispatcher.client_disconnected(current)
 
     def pause_writing(self) -> None:
         """The client does not read: nothing more is begun for it."""
@@ -204,7 +204,7 @@
         self._moved = self._server.loop.time()
         self._pay()
         if self._source is not None:
-            self._source.go_on()
+            self._source.resume()
         self._next()
 
     def _pay(self) -> None:
@@ -407,7 +407,7 @@
     def _sent_whole(self) -> None:
         """The last byte of a request that was begun before has come."""
         if self._current is not None:
-            self._server.dispatcher.whole(self._current)
+            self._server.dispatcher.request_complete(self._current)
         elif not self._busy:  # it was answered before
             self.since = self._server.loop.time()
             if self._keep and not self._ended:
@@ -541,12 +541,12 @@
 
     # A long answer, as it comes.
 
-    def begin(self, headers: bytes, length: int | None, source: Source) -> None:
+    def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """The answer begins, of this many bytes if that is known."""
         self._current = None
         transport = self._transport
         if transport is None:
-            source.stop()
+            source.cancel()
             return
         self._source, self._moved = source, self._server.loop.time()
         # Else the system takes so much that a slow reader's progress shows only every ten seconds or more.
@@ -565,7 +565,7 @@
             b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (headers, framing, b"" if self._keep else b"Connection: close\r\n")
         )
 
-    def more(self, data: bytes) -> bool:
+    def write(self, data: bytes) -> bool:
         """A piece of the answer; whether the client takes more at once."""
         transport = self._transport
         if transport is None or not data:
@@ -603,7 +603,7 @@
         elif self._server.hand is not None:
             self._server.loop.call_soon(self.hand)
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """The answer never will be whole: the client sees its connection end before."""
         self._source = None
         if self._transport is not None:
--- a/oliveloft/gatekeeper/process.py
+++ b/oliveloft/gatekeeper/process.py
@@ -30,13 +30,13 @@
 from oliveloft.manage.operations import Operations
 from oliveloft.manage.server import MOST as CALLERS
 from oliveloft.manage.server import Management
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 
 if TYPE_CHECKING:  # the platform's gatekeeper has no planners, knows no others, and loads nothing of them
     from oliveloft.fleet.config import FleetConfig
     from oliveloft.fleet.member import Member
     from oliveloft.planners.config import PlannersConfig
-    from oliveloft.takeover.handoff import Place
+    from oliveloft.takeover.handoff import Handoff
 
 log = logging.getLogger("oliveloft")
 
@@ -80,12 +80,12 @@
     server = Server(
         loop, config.settings, config.units_top, clients, kept, dispatcher, presence, config.longest, config.held
     )
-    place: Place | None = None
+    place: Handoff | None = None
     shared = os.environ.get("TMPDIR") if config.accept_fd is not None else None
     if shared:  # another process may take this one's place, or this one another's; else nothing of it is loaded
-        from oliveloft.takeover.handoff import Place
+        from oliveloft.takeover.handoff import Handoff
 
-        place = Place(loop, gateway, dispatcher, server, workers, presence, offset, start_times)
+        place = Handoff(loop, gateway, dispatcher, server, workers, presence, offset, start_times)
     member: Member | None = None
     if fleet is not None:
         from oliveloft.fleet.member import Member
@@ -101,8 +101,8 @@
             raise ConfigError(f"management: {error.strerror or error}") from error
         log.info("management at %s:%d", *where)
 
-    def tell(news: News) -> None:
-        dispatcher.news(news)
+    def tell(news: DiscoveryUpdate) -> None:
+        dispatcher.update_workers(news)
         if len(workers):
             server.able()
         if member is not None:
@@ -121,7 +121,7 @@
             raise ConfigError(f"members.{config.name}: {error.strerror or error}") from error
     if config.known is not None and not followed:
         try:
-            known = News({"index": 0, **config.known})
+            known = DiscoveryUpdate({"index": 0, **config.known})
             known.whole = True
             known.date(start_times, loop.time())
             tell(known)
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -12,7 +12,7 @@
 from micagate import interface
 from micagate.planning.demand import Demands
 from micagate.planning.holder import Holder
-from micagate.planning.messages import Again, Word, check
+from micagate.planning.messages import PlannerUpdate, RestartSession, check
 from micagate.planning.ownership import shard_of
 from oliveloft.planners import wire
 from oliveloft.planners.config import PlannersConfig
@@ -30,10 +30,10 @@
 class Decisions(Protocol):
     """What the links need of the dispatcher."""
 
-    def shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
+    def apply_shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
         """Take shares; what left the stores with those that were given away."""
 
-    def survey(self, works: bool) -> interface.DemandReport:
+    def demand_report(self, works: bool) -> interface.DemandReport:
         """What was asked of each thing since the last survey, and, if told so, what became of attempts at
         workers."""
 
@@ -219,19 +219,19 @@
         """A planner has said something."""
         now = self.now()
         match message:
-            case Word():
+            case PlannerUpdate():
                 check(message, self.config.forwarders, self.config.terms.entries)
-                if self.holder.word(now, planner, message) and (message.calls or message.grants):
+                if self.holder.receive_update(now, planner, message) and (message.lend_requests or message.grants):
                     self._flush_soon()
             case wire.Owned(shards):
                 owned = {shard for shard, _ in shards}
                 for shard in self._owned.get(planner, set()) - owned:
-                    self.holder.disowns(now, planner, shard)
+                    self.holder.planner_deposed(now, planner, shard)
                 self._owned[planner] = owned
                 for shard, epoch in shards:
-                    self.holder.owns(now, planner, shard, epoch)
-            case Again(shard, session):
-                self.holder.again(now, planner, shard, session)
+                    self.holder.planner_elected(now, planner, shard, epoch)
+            case RestartSession(shard, session):
+                self.holder.restart_session(now, planner, shard, session)
             case wire.Refused(why):
                 raise wire.WireError(f"refused: {why[:200]}")
             case _:
@@ -240,7 +240,7 @@
     def lost(self, planner: str) -> None:
         """A planner's connection has ended."""
         self._owned.pop(planner, None)
-        self.holder.lost(self.now(), planner)
+        self.holder.planner_disconnected(self.now(), planner)
 
     def _flush_soon(self) -> None:
         """Answer what a planner said in this round of the loop, once."""
@@ -258,8 +258,8 @@
         blocked = {
             name for name, link in self._links.items() if link.line is None or not link.line.open or link.line.blocked
         }
-        for event in [*self.holder.moves(now), *self.holder.ended(now)]:
-            self.holder.freed(event.session, self._decisions.shares(event))
+        for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
+            self.holder.record_released(event.session, self._decisions.apply_shares(event))
         if not self.records(now + self.config.terms.term * (1 + 3 * self.config.terms.drift)):
             return  # what is reported renews loans: not beyond what a next life would know of
         for planner, report in self.holder.reports(now, blocked):
@@ -272,9 +272,9 @@
         now = self.now()
         if now - self._surveyed >= self.config.terms.interval / 2:
             self._surveyed = now
-            seen = self._decisions.survey(self.config.paces)
+            seen = self._decisions.demand_report(self.config.paces)
             self.holder.demand(now, self._demands.survey(now, seen.resources))
-            self.holder.saw(seen.workers)
+            self.holder.record_worker_loads(seen.workers)
         self._flush()
         for link in self._links.values():
             line = link.line
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -207,7 +207,7 @@
 
     def _leave(self, name: str) -> None:
         for ledger in self._ledgers.values():
-            ledger.leave(self.now(), name)
+            ledger.forwarder_left(self.now(), name)
 
     def _heard(self, epochs: tuple[tuple[int, int], ...]) -> None:
         for shard, epoch in epochs:
@@ -248,7 +248,7 @@
         blocked = {name for name, seat in self._forwarders.items() if seat.blocked}
         began = time.perf_counter()
         for ledger in self._ledgers.values():
-            for name, word in ledger.words(self.now(), blocked):
+            for name, word in ledger.pending_updates(self.now(), blocked):
                 seat = self._forwarders.get(name)
                 if seat is not None:
                     seat.send(word)
@@ -288,12 +288,12 @@
             shards[str(shard)] = {
                 "epoch": ledger.epoch,
                 "age_s": round(now - ledger.began, 1),
-                "things": ledger.things,
+                "things": ledger.resource_count,
                 "mismatched": ledger.mismatched,
-                "left_out": ledger.left_out,
+                "left_out": ledger.rejected_needs,
             }
             workers |= {key.partition("/")[2]: shown for key, shown in ledger.workers(now).items()}
-            for name, (count, total) in ledger.out(now).items():
+            for name, (count, total) in ledger.granted(now).items():
                 entry = forwarders.setdefault(
                     name,
                     {  # gone, but what it has out may be in use
--- a/oliveloft/planners/wire.py
+++ b/oliveloft/planners/wire.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from micagate.membership.messages import Asks, Beat, Knows, Sums
-from micagate.planning.messages import Again, Report, Word
+from micagate.membership.messages import Heartbeat, RecoveryAnswer, RecoveryQuery, StateSummary
+from micagate.planning.messages import PlannerUpdate, Report, RestartSession
 from micagate.planning.terms import Terms
 
 VERSION = 3
@@ -84,7 +84,20 @@
 
 
 Message = (
-    Challenge | Hello | Welcome | Owned | Pulse | Refused | Status | Report | Word | Again | Beat | Sums | Asks | Knows
+    Challenge
+    | Hello
+    | Welcome
+    | Owned
+    | Pulse
+    | Refused
+    | Status
+    | Report
+    | PlannerUpdate
+    | RestartSession
+    | Heartbeat
+    | StateSummary
+    | RecoveryQuery
+    | RecoveryAnswer
 )
 
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -23,30 +23,30 @@
     address: tuple[str, int]
 
 
-class Source(Protocol):
+class BodySource(Protocol):
     """Whoever gives a long answer."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """The client takes more of it."""
 
-    def stop(self) -> None:
+    def cancel(self) -> None:
         """Nobody takes it any more."""
 
 
-class Sink(Protocol):
+class ResponseSink(Protocol):
     """Where a long answer goes."""
 
-    def begin(self, headers: bytes, length: int | None, source: Source) -> None:
-        """The answer begins, of this many bytes if that is known; the source hears `go_on` when it takes more
-        again, and `stop` when nobody is there any more."""
+    def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
+        """The answer begins, of this many bytes if that is known; the source gets `resume` when it takes more
+        again, and `cancel` when nobody is there any more."""
 
-    def more(self, data: bytes) -> bool:
+    def write(self, data: bytes) -> bool:
         """A piece of it; whether it takes more at once."""
 
     def end(self) -> None:
         """It is whole."""
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """It never will be: the client is to see that."""
 
 
@@ -77,7 +77,7 @@
     return Endpoint(entry, where), since / 1000
 
 
-class News:
+class DiscoveryUpdate:
     """What an answer of discovery says. Starts are unknown until it is dated."""
 
     __slots__ = ("index", "whole", "endpoints", "skipped", "_starts")
--- a/oliveloft/takeover/handoff.py
+++ b/oliveloft/takeover/handoff.py
@@ -20,15 +20,15 @@
 from oliveloft.front.http import Server
 from oliveloft.front.listener import ClientListener
 from oliveloft.manage import protocol
-from oliveloft.shared_types import Endpoint, News
+from oliveloft.shared_types import DiscoveryUpdate, Endpoint
 from oliveloft.takeover import wire
-from oliveloft.takeover.predecessor import Giver
-from oliveloft.takeover.successor import Taker
+from oliveloft.takeover.predecessor import Predecessor
+from oliveloft.takeover.successor import Successor
 
 log = logging.getLogger("oliveloft")
 
 
-class Place:
+class Handoff:
     """What one process holds for its clients: both ends of a takeover are this."""
 
     def __init__(
@@ -49,19 +49,19 @@
         self.listener: ClientListener | None = None
         self.listen: Callable[[], ClientListener] | None = None
         self.discovery: DiscoveryWatch | None = None
-        self.giver: Giver | None = None
+        self.predecessor: Predecessor | None = None
         self.carry: Callable[[protocol.Call], tuple[bool, str]] | None = None
         self.index: int | None = None  # of the list taken over, and where it was told
         self.told_by: tuple[str, int] | None = None
-        self._taker: Taker | None = None
+        self._successor: Successor | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def take(self, name: str, folder: str) -> bool:
         """Take over what the process that serves has, if one does."""
-        taker = Taker(self._loop, name, self._gateway, self, self._loop.time, self._dispatcher.handle)
+        taker = Successor(self._loop, name, self._gateway, self, self._loop.time, self._dispatcher.handle)
         if await taker.take(folder):
-            self._taker = taker
-        return self._taker is not None
+            self._successor = taker
+        return self._successor is not None
 
     def serves(
         self,
@@ -73,10 +73,10 @@
     ) -> None:
         """Clients are accepted here from now on, until another process takes over."""
         self.listener, self.listen, self.discovery = listener, listen, discovery
-        if self._taker is not None:
-            self._taker.taken()
-        self.giver = Giver(self._loop, name, folder, self._gateway, self, self._loop.time)
-        self.giver.listen()
+        if self._successor is not None:
+            self._successor.taken()
+        self.predecessor = Predecessor(self._loop, name, folder, self._gateway, self, self._loop.time)
+        self.predecessor.listen()
 
     # The giver's side.
 
@@ -113,21 +113,23 @@
         """The taker serves: idle connections go to it, others once their reply is out."""
         self._server.hand = self._hand
         for worker, idle_since, fd in self._workers.release():
-            if self.giver is not None:
-                self.giver.tell(wire.Worker(worker, idle_since), fd)
+            if self.predecessor is not None:
+                self.predecessor.tell(wire.WorkerConnection(worker, idle_since), fd)
         self._server.hand_over()
 
     def _hand(self, fd: int, good: bool) -> bool:
-        return self.giver is not None and self.giver.tell(wire.Client(good), fd)
+        return self.predecessor is not None and self.predecessor.tell(wire.ClientConnection(good), fd)
 
     def _began(self, name: str, number: int) -> None:
-        if self.giver is not None and (attempt := self._gateway.in_flight.get((name, number))) is not None:
-            self.giver.tell(wire.Began(state.out_row(name, number, attempt)))
+        if self.predecessor is not None and (attempt := self._gateway.in_flight.get((name, number))) is not None:
+            self.predecessor.tell(wire.AttemptStarted(state.out_row(name, number, attempt)))
 
     def _ended(self, attempt: Attempt, outcome: interface.Outcome) -> None:
-        if self.giver is not None:
-            self.giver.tell(
-                wire.Ended(attempt.request, attempt.number, attempt.worker, outcome.status, outcome.took, outcome.used)
+        if self.predecessor is not None:
+            self.predecessor.tell(
+                wire.AttemptEnded(
+                    attempt.request, attempt.number, attempt.worker, outcome.status, outcome.took, outcome.used
+                )
             )
 
     def passed_on(self, call: protocol.Call) -> None:
@@ -136,15 +138,15 @@
         The old one's further attempts keep to a ban that only the new one was told of, and the new one to whatever
         operators still say to the old one.
         """
-        if self.giver is not None and self.giver.superseded:
-            self.giver.tell(wire.Call(call.word, call.worker))
-        elif self._taker is not None and call.word in (protocol.OFFLINE, protocol.ONLINE):
-            self._taker.tell(wire.Call(call.word, call.worker))
+        if self.predecessor is not None and self.predecessor.superseded:
+            self.predecessor.tell(wire.OperatorCall(call.word, call.worker))
+        elif self._successor is not None and call.word in (protocol.OFFLINE, protocol.ONLINE):
+            self._successor.tell(wire.OperatorCall(call.word, call.worker))
 
     @property
     def superseded(self) -> bool:
         """Whether another process serves in this one's place."""
-        return self.giver is not None and self.giver.superseded and self.giver.channel is not None
+        return self.predecessor is not None and self.predecessor.superseded and self.predecessor.channel is not None
 
     # The taker's side.
 
@@ -157,12 +159,12 @@
         left = parts.get("left")
         if left is not None:
             self._presence.leave(float(left))
-        news = News({"index": 0, "snapshot": True, "endpoints": []})
+        news = DiscoveryUpdate({"index": 0, "snapshot": True, "endpoints": []})
         for worker, zone, cell, status, size, started, host, port in parts["list"]:
             entry = interface.WorkerEntry(worker, zone, cell, status, size, started)
             news.endpoints.append(Endpoint(entry, (host, port)))
         if news.endpoints:
-            self._dispatcher.news(news)
+            self._dispatcher.update_workers(news)
             self._server.able()
         index, where = parts.get("index"), parts.get("told_by")
         if isinstance(index, int) and isinstance(where, list | tuple):
--- a/oliveloft/takeover/predecessor.py
+++ b/oliveloft/takeover/predecessor.py
@@ -51,7 +51,7 @@
         """Operators have called the taker."""
 
 
-class Giver:
+class Predecessor:
     """Waits for a taker, one at a time."""
 
     def __init__(
@@ -128,20 +128,20 @@
             case wire.Hello():
                 now = self._clock()
                 if message.version != wire.VERSION or message.name != self._name or abs(message.clock - now) > CLOCKS:
-                    channel.send(wire.No(f"version {wire.VERSION}, {self._name}, clock {now:.1f}"))
+                    channel.send(wire.Rejected(f"version {wire.VERSION}, {self._name}, clock {now:.1f}"))
                     return
                 self._copy = state.Copy(self._gateway, now)
                 self._more()
-            case wire.Take() if self._copy is not None:
+            case wire.StateRequest() if self._copy is not None:
                 self._give(channel, self._copy)
-            case wire.Taken() if self._paused:
+            case wire.Accepted() if self._paused:
                 self.superseded = True
                 self.stop()
                 log.info("takeover: the new process serves")
                 self._owner.gone()
-            case wire.Call(word, worker) if self.superseded:
+            case wire.OperatorCall(word, worker) if self.superseded:
                 self._owner.call(word, worker)
-            case wire.No(why):
+            case wire.Rejected(why):
                 channel.close(f"the new process says no: {why}")
 
     def _more(self) -> None:
@@ -151,13 +151,13 @@
             return
         if channel.waiting < ROOM:
             if (debts := copy.debts()) is not None:
-                channel.send(wire.Part("debts", debts))
+                channel.send(wire.StatePart("debts", debts))
             elif copy.lists():
                 pass
             elif rows := copy.more(self._clock(), ROWS):
                 channel.send(wire.Accounts(rows))
             else:
-                channel.send(wire.Copied())
+                channel.send(wire.AccountsCopied())
                 return
             self._loop.call_soon(self._more)
         else:
@@ -171,11 +171,11 @@
         for first in range(0, len(rows), ROWS):
             channel.send(wire.Accounts(rows[first : first + ROWS]))
         for name, value in {**self._owner.outside(), **state.core(self._gateway)}.items():
-            channel.send(wire.Part(name, value))
+            channel.send(wire.StatePart(name, value))
         outs = list(state.outs(self._gateway))
         for first in range(0, len(outs), ROWS):
-            channel.send(wire.Part("outs", outs[first : first + ROWS]))
-        channel.send(wire.Given(self._clock()))
+            channel.send(wire.StatePart("outs", outs[first : first + ROWS]))
+        channel.send(wire.StateComplete(self._clock()))
 
     def tell(self, message: wire.Message, fd: int | None = None) -> bool:
         """Tell the taker, once it was given all; whether there is one that listens."""
--- a/oliveloft/takeover/successor.py
+++ b/oliveloft/takeover/successor.py
@@ -38,7 +38,7 @@
         """Operators have called the process that gave."""
 
 
-class Taker:
+class Successor:
     """Takes from a giver, if there is one."""
 
     def __init__(
@@ -85,7 +85,7 @@
     def taken(self) -> None:
         """Clients are accepted here from now on."""
         if self._channel is not None:
-            self._channel.send(wire.Taken())
+            self._channel.send(wire.Accepted())
 
     def _fail(self, why: str) -> None:
         for queue in self._gateway.quotas.accounts.queues:
@@ -94,7 +94,7 @@
         if not self._given.done():
             self._given.set_result(False)
         if self._channel is not None:
-            self._channel.send(wire.No(why))
+            self._channel.send(wire.Rejected(why))
             self._channel.close(why)
 
     def _lost(self, why: str) -> None:
@@ -123,9 +123,9 @@
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
         match message:
-            case wire.Client(good):
+            case wire.ClientConnection(good):
                 self._receiver.client(sock, good)
-            case wire.Worker(worker, idle_since):
+            case wire.WorkerConnection(worker, idle_since):
                 self._receiver.worker(sock, worker, idle_since)
             case _:
                 sock.close()
@@ -133,25 +133,25 @@
     def _follow(self, message: wire.Message) -> None:
         now = self._clock()
         match message:
-            case wire.No(why):
+            case wire.Rejected(why):
                 self._fail(f"the process that serves says no: {why}")
             case wire.Accounts(rows):
                 self._rows += rows
                 self._spread()
-            case wire.Copied() if self._channel is not None:
-                self._channel.send(wire.Take())
-            case wire.Part("debts", value):
+            case wire.AccountsCopied() if self._channel is not None:
+                self._channel.send(wire.StateRequest())
+            case wire.StatePart("debts", value):
                 self._debts.append(value)
-            case wire.Part("outs", value):
+            case wire.StatePart("outs", value):
                 self._parts["outs"] += value
-            case wire.Part(name, value):
+            case wire.StatePart(name, value):
                 self._parts[name] = value
-            case wire.Given():
+            case wire.StateComplete():
                 self._restore(now)
-            case wire.Began(row):
+            case wire.AttemptStarted(row):
                 self._theirs.add((row["request"], row["number"]))
                 state.adopt(self._gateway, now, row, spends=True)
-            case wire.Ended():
+            case wire.AttemptEnded():
                 self._theirs.discard((message.request, message.number))
                 self._handle(
                     interface.Outcome(
@@ -164,7 +164,7 @@
                         used=message.used,
                     )
                 )
-            case wire.Call(word, worker):
+            case wire.OperatorCall(word, worker):
                 self._receiver.call(word, worker)
 
     def _spread(self) -> None:
--- a/oliveloft/takeover/wire.py
+++ b/oliveloft/takeover/wire.py
@@ -27,7 +27,7 @@
     clock: float
 
 
-class No(msgspec.Struct, tag="No"):
+class Rejected(msgspec.Struct, tag="No"):
     """Either side: nothing is given or taken, and why."""
 
     why: str
@@ -39,51 +39,51 @@
     rows: list[dict[str, Any]]
 
 
-class Copied(msgspec.Struct, tag="Copied"):
+class AccountsCopied(msgspec.Struct, tag="Copied"):
     """The giver: all accounts were told once."""
 
 
-class Take(msgspec.Struct, tag="Take"):
+class StateRequest(msgspec.Struct, tag="Take"):
     """The taker: it can serve, and the rest is to come now."""
 
 
-class Part(msgspec.Struct, tag="Part"):
+class StatePart(msgspec.Struct, tag="Part"):
     """The giver, which accepts no more from here on: a part of what it knows."""
 
     name: str
     value: Any
 
 
-class Given(msgspec.Struct, tag="Given"):
+class StateComplete(msgspec.Struct, tag="Given"):
     """The giver: that was all."""
 
     clock: float
 
 
-class Taken(msgspec.Struct, tag="Taken"):
+class Accepted(msgspec.Struct, tag="Taken"):
     """The taker: it accepts."""
 
 
-class Client(msgspec.Struct, tag="Client"):
+class ClientConnection(msgspec.Struct, tag="Client"):
     """The giver: a client's connection with nothing of a request on it goes along."""
 
     good: bool
 
 
-class Worker(msgspec.Struct, tag="Worker"):
+class WorkerConnection(msgspec.Struct, tag="Worker"):
     """The giver: an idle connection to a worker goes along."""
 
     worker: str
     idle_since: float
 
 
-class Began(msgspec.Struct, tag="Began"):
+class AttemptStarted(msgspec.Struct, tag="Began"):
     """The giver: it has begun an attempt."""
 
     row: dict[str, Any]
 
 
-class Ended(msgspec.Struct, tag="Ended"):
+class AttemptEnded(msgspec.Struct, tag="Ended"):
     """The giver: an attempt of its has ended."""
 
     request: str
@@ -94,14 +94,28 @@
     used: float | None = None
 
 
-class Call(msgspec.Struct, tag="Call"):
+class OperatorCall(msgspec.Struct, tag="Call"):
     """Either side: operators have called it, and the other one is to do the same."""
 
     word: str
     worker: str = ""
 
 
-Message = Hello | No | Accounts | Copied | Take | Part | Given | Taken | Client | Worker | Began | Ended | Call
+Message = (
+    Hello
+    | Rejected
+    | Accounts
+    | AccountsCopied
+    | StateRequest
+    | StatePart
+    | StateComplete
+    | Accepted
+    | ClientConnection
+    | WorkerConnection
+    | AttemptStarted
+    | AttemptEnded
+    | OperatorCall
+)
 _encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
 
--- a/rig/cluster.py
+++ b/rig/cluster.py
@@ -59,7 +59,7 @@
             self.entrances.append(Entrance(self.fleet, gate.handle, settings, f"f{n}"))
             holder = Holder(TERMS, n, count, -1e6, n * 1000 + 1)
             if planner:
-                holder.owns(0.0, "p", 0, 1)
+                holder.planner_elected(0.0, "p", 0, 1)
             self.holders.append(holder)
             self.demands.append(Demands(0.0))
             self.clock.after(self.random.expovariate(self.rates[n]), self._ask, n)
@@ -82,16 +82,16 @@
                 if isinstance(a, interface.DemandReport)
             )
             holder.demand(now, self.demands[n].survey(now, tallies.resources))
-            holder.saw(tallies.workers)
-            for event in [*holder.moves(now), *holder.ended(now)]:
+            holder.record_worker_loads(tallies.workers)
+            for event in [*holder.share_updates(now), *holder.expired_sessions(now)]:
                 self.gates[n].handle(now, event)
                 self.moved = max(self.moved, *(share.borrowed for share in event.changes), 0.0)
             for _, report in holder.reports(now):
                 if self.ledger is not None:
                     self.ledger.report(now, f"f{n}", n, report)
         if self.ledger is not None:
-            for name, word in self.ledger.words(now):
-                self.holders[int(name[1:])].word(now, "p", word)
+            for name, word in self.ledger.pending_updates(now):
+                self.holders[int(name[1:])].receive_update(now, "p", word)
         self.clock.after(EVERY, self._exchange)
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
--- a/rig/gossip.py
+++ b/rig/gossip.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from micagate.membership.members import Members, News, Terms
-from micagate.membership.messages import Beat, Fact, Sums
+from micagate.membership.messages import Fact, Heartbeat, StateSummary
 from rig.simulation import Clock
 
 LOOK = 0.05  # seconds between a member's looks
@@ -122,20 +122,20 @@
         if node.asleep:
             return
         now = self.clock.now
-        for peer in life.wanted(now):
+        for peer in life.peers_to_connect(now):
             self._dial(name, serial, peer)
-        for peer, message in life.look(now, self.wall(node)):
+        for peer, message in life.tick(now, self.wall(node)):
             self._send(name, peer, message)
-        for peer in life.surplus(now):
+        for peer in life.links_to_close(now):
             if self._links.pop(frozenset((name, peer)), None) is not None:
-                life.unlinked(now, peer)
+                life.link_closed(now, peer)
                 self.clock.after(self.way, self._broken, peer, self.nodes[peer].serial, name, False)
         self._told(node)
 
     def _told(self, node: Node) -> None:
         if node.life is not None:
-            node.news += [(self.clock.now, news) for news in node.life.news]
-            node.life.news.clear()
+            node.news += [(self.clock.now, news) for news in node.life.updates]
+            node.life.updates.clear()
 
     def _dial(self, name: str, serial: int, peer: str) -> None:
         other = self.nodes[peer]
@@ -155,23 +155,23 @@
         self._links[frozenset((name, peer))] = (serial, theirs) if name < peer else (theirs, serial)
         self._queues[name, peer] = []
         self._queues[peer, name] = []
-        one.life.linked(self.clock.now, peer)
-        other.life.linked(self.clock.now, name)
+        one.life.link_opened(self.clock.now, peer)
+        other.life.link_opened(self.clock.now, name)
 
     def _broken(self, name: str, serial: int, peer: str, refused: bool) -> None:
         node = self.nodes[name]
         if node.serial == serial and node.life is not None and not node.asleep:
             if refused and self.nodes[peer].life is not None and peer in node.life.links:
                 return  # it has come back meanwhile
-            node.life.unlinked(self.clock.now, peer, refused)
+            node.life.link_closed(self.clock.now, peer, refused)
             self._links.pop(frozenset((name, peer)), None)
 
     def _send(self, name: str, peer: str, message: Any) -> None:
         if not self.digests:
-            if isinstance(message, Sums):
+            if isinstance(message, StateSummary):
                 return
-            if isinstance(message, Beat):
-                message = Beat(message.number, message.seen, message.wall, 0, message.records, message.facts)
+            if isinstance(message, Heartbeat):
+                message = Heartbeat(message.number, message.seen, message.wall, 0, message.records, message.facts)
         self.sent[name] += 1
         self.bytes[name] += 40 + 60 * len(getattr(message, "records", ())) + 60 * len(getattr(message, "facts", ()))
         pair = frozenset((name, peer))
@@ -209,7 +209,7 @@
         node = self.nodes[name]
         if node.life is None or node.serial != serial:
             return
-        for peer, answer in node.life.hear(self.clock.now, self.wall(node), source, message):
+        for peer, answer in node.life.receive(self.clock.now, self.wall(node), source, message):
             self._send(name, peer, answer)
         self._told(node)
 
@@ -241,9 +241,9 @@
         lives = [life for node in self.nodes.values() if (life := node.life) is not None]
         for life in lives:
             for name in self.names:
-                if life.there(name) != (name in living):
+                if life.is_alive(name) != (name in living):
                     return False
-                if name in living and life.records[name].boot != self.nodes[name].boot:
+                if name in living and life.records[name].incarnation != self.nodes[name].boot:
                     return False
         return len({life.facts.sum for life in lives}) <= 1
 
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -14,7 +14,7 @@
 from micagate import interface
 from micagate.planning.holder import Demand, Holder
 from micagate.planning.ledger import Ledger
-from micagate.planning.messages import Again, Report, Word
+from micagate.planning.messages import PlannerUpdate, Report, RestartSession
 from micagate.planning.terms import Terms
 from micagate.quotas import Quotas
 from micagate.resource_keys import customer_key
@@ -126,18 +126,18 @@
         now = self.clock.now
         match message:
             case Owns(shard, epoch):
-                self.holder.owns(now, source, shard, epoch)
-            case Word():
-                self.holder.word(now, source, message)
-            case Again(shard, session):
-                self.holder.again(now, source, shard, session)
+                self.holder.planner_elected(now, source, shard, epoch)
+            case PlannerUpdate():
+                self.holder.receive_update(now, source, message)
+            case RestartSession(shard, session):
+                self.holder.restart_session(now, source, shard, session)
         self.tick()
 
     def tick(self) -> None:
         """Carry shares to the stores, send what is due, and spend what is asked."""
         now = self.clock.now
-        for event in [*self.holder.moves(now), *self.holder.ended(now)]:
-            self.holder.freed(event.session, move(self.quotas, now, event, PLANS))
+        for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
+            self.holder.record_released(event.session, move(self.quotas, now, event, PLANS))
         for planner, report in self.holder.reports(now):
             self.world.network.send(self.name, planner, report)
         if self.holder.ready(now):
@@ -189,7 +189,7 @@
         """Decide, and tell."""
         if self.ledger is None:
             return
-        for name, word in self.ledger.words(self.clock.now):
+        for name, word in self.ledger.pending_updates(self.clock.now):
             self.world.network.send(self.name, name, word)
         if self.world.random.random() < 0.05:
             self.announce()
--- a/tests/backend/test_connections.py
+++ b/tests/backend/test_connections.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from oliveloft.backend.idle_timeout import Rest
+from oliveloft.backend.idle_timeout import IdleTimeout
 from rig.fake_servers import Client, Worker, answer, reset, run, scene, until
 
 
@@ -186,7 +186,7 @@
 
 def test_a_rest_is_given_up_only_where_new_connections_do_better_and_is_tried_again_later():
     for new_break, given_up in ((0, True), (1, False)):
-        rest = Rest(8.0, 0.0)
+        rest = IdleTimeout(8.0, 0.0)
         for n in range(40):
             rest.tell(None, bool(new_break and n % 2))
             rest.tell(0.01, False)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -7,7 +7,7 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy
 from oliveloft.discovery.watch import DiscoveryWatch
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 from rig.agent import FakeAgent
 from rig.fake_servers import BusyDiscovery, Discovery, Worker, config, launch, run, scene, until
 
@@ -125,7 +125,7 @@
 def test_a_silent_agent_is_left_and_an_open_wait_is_not(monkeypatch):
     monkeypatch.setattr(policy, "WAIT_SECONDS", 0.05)
     monkeypatch.setattr(policy, "ANSWER_TIMEOUT_SECONDS", 0.2)
-    told: list[News] = []
+    told: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = await Discovery([{"name": "w", "address": "h:1", "status": "up", "since_ms": 5000}]).start()
@@ -152,7 +152,7 @@
     """A service that takes a call at a time, and turns away what would wait for longer than it lets callers wait."""
     many = 40  # all forty at once would be too many
     monkeypatch.setattr(policy, "EACH_SECONDS", 0.006)
-    told: dict[int, list[News]] = {n: [] for n in range(many)}
+    told: dict[int, list[DiscoveryUpdate]] = {n: [] for n in range(many)}
 
     async def scenario():
         service = BusyDiscovery(0.004, 0.04)
@@ -175,7 +175,7 @@
     monkeypatch.setattr(policy, "ANSWER_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(policy, "SHARED_BACKOFF_SECONDS", 0.01)
     monkeypatch.setattr(policy, "EACH_SECONDS", 0.001)
-    told: list[News] = []
+    told: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = await Discovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("gatekeepers", [1, 2])
 def test_an_answer_that_comes_long_after_its_time_out_is_taken(gatekeepers):
-    told: list[News] = []
+    told: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = FakeAgent([{"name": "w", "address": "h:1", "status": "up"}])
@@ -231,7 +231,7 @@
 
 
 def test_a_late_answer_that_a_later_one_has_overtaken_changes_nothing():
-    told: list[News] = []
+    told: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = FakeAgent([{"name": "w", "address": "h:1", "status": "up"}], index=3)
@@ -255,7 +255,7 @@
 
 def test_an_old_snapshot_is_taken_only_as_the_answer_to_a_call_for_the_whole_list():
     """Its agent may have begun anew; but a snapshot that was held up on its way brings no draining endpoint back."""
-    told: list[News] = []
+    told: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = FakeAgent([{"name": "w", "address": "h:1", "status": "draining"}], index=7)
@@ -281,7 +281,7 @@
 
 
 def test_versions_that_begin_anew_are_noticed_and_the_whole_list_is_asked_for():
-    told: list[News] = []
+    told: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = await Discovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
--- a/tests/endings/test_hedges.py
+++ b/tests/endings/test_hedges.py
@@ -7,7 +7,7 @@
 from micagate import interface
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import RequestDispatcher
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 from rig.fake_servers import Plugged, Worker, answer, run, until
 
 SETTINGS = interface.Settings(
@@ -38,7 +38,9 @@
         here, there = await Worker("here", answer(raw=raw)).start(), await Plugged("there").start()
         workers = ConnectionPool(loop, 10, 10.0, 15.0)
         dispatcher = RequestDispatcher(loop, SETTINGS, module, workers)
-        dispatcher.news(News({"index": 1, "snapshot": True, "endpoints": [here.entry(), there.entry()]}))
+        dispatcher.update_workers(
+            DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [here.entry(), there.entry()]})
+        )
 
         class Taker:
             def begin(self, headers, length, source):
--- a/tests/endings/test_late_responses.py
+++ b/tests/endings/test_late_responses.py
@@ -5,7 +5,7 @@
 from micagate import interface
 from oliveloft.backend.attempt import Attempt
 from oliveloft.backend.pool import ConnectionPool
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 from rig.fake_servers import Worker, run, until
 
 HEAD = b"POST / HTTP/1.1\r\nX-Request-ID: %b\r\nContent-Length: 0\r\n"
@@ -25,7 +25,7 @@
         worker = await Worker("w", script).start()
         workers = ConnectionPool(loop, 10, 0.25, 15.0)
         workers.settles = 60.0
-        workers.update(News({"index": 1, "snapshot": True, "endpoints": [worker.entry()]}).endpoints, True)
+        workers.update(DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [worker.entry()]}).endpoints, True)
 
         async def ask(name):
             workers.send(
--- a/tests/front/test_one_answer.py
+++ b/tests/front/test_one_answer.py
@@ -10,7 +10,7 @@
 import pytest
 
 from micagate import Gateway, interface
-from oliveloft.backend.attempt import Answer
+from oliveloft.backend.attempt import Response
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.front.http import Client, Server
 from oliveloft.guard import Guard
@@ -46,7 +46,7 @@
             + (interface.OVERLOADED, interface.UNREACHABLE, interface.FAILURE, interface.CONNECTION_RESET, "")
         )
         if how:
-            answer = Answer()
+            answer = Response()
             answer.status, answer.body = 200, b"ok"
             self.clock.after(
                 self.random.expovariate(8), attempt.finish, how, answer if how == interface.SUCCESS else None
--- a/tests/gatekeeper/test_dispatcher.py
+++ b/tests/gatekeeper/test_dispatcher.py
@@ -12,7 +12,7 @@
 from oliveloft.backend.connection import Connection
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
-from oliveloft.shared_types import News
+from oliveloft.shared_types import DiscoveryUpdate
 from rig.fake_servers import Worker, answer, hang, run, until
 
 CLASSES = (interface.RequestClass("write", 1.0, 4.0, interface.SIDE_EFFECT), interface.RequestClass("read", 1.0, 4.0))
@@ -50,7 +50,9 @@
 
     def know(self, *workers: Worker, **changes: object) -> None:
         """Tell of workers."""
-        self.dispatcher.news(News({"index": 1, "snapshot": True, "endpoints": [w.entry(**changes) for w in workers]}))
+        self.dispatcher.update_workers(
+            DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [w.entry(**changes) for w in workers]})
+        )
 
     def submit(self, name: str = "r", left: float = 3.0, klass: str = "write") -> Request:
         """Hand in a request."""
@@ -345,8 +347,8 @@
         case.know(worker)
         request = case.submit(left=0.3)
         await until(lambda: worker.seen)
-        case.dispatcher.abandon(request)
-        case.dispatcher.abandon(request)
+        case.dispatcher.client_disconnected(request)
+        case.dispatcher.client_disconnected(request)
         assert case.module.events.count(interface.ClientDisconnected("r")) == 1
         await until(lambda: case.module.outcomes())
         assert case.module.outcomes() == [(0, interface.TIMED_OUT, True)] and case.replies == []
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -9,7 +9,7 @@
 from micagate import interface
 from micagate.invariants import AttemptState
 from oliveloft.backend.connection import Connection, EndpointIncarnation
-from oliveloft.backend.idle_timeout import Rest
+from oliveloft.backend.idle_timeout import IdleTimeout
 from oliveloft.discovery.call import DiscoveryCall
 from oliveloft.front.http import SLOW, Client
 from rig.driver import Driver, sends
@@ -56,7 +56,7 @@
     """As much of a server as a connection asks for."""
     return types.SimpleNamespace(
         loop=types.SimpleNamespace(time=lambda: 0.0),
-        rest=Rest(1.0, 0.0),
+        rest=IdleTimeout(1.0, 0.0),
         joined=lambda client: None,
         left=lambda client: None,
         lost=lambda link: None,
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -72,11 +72,11 @@
         messages.append(wire.Accounts(rows))
     debts = []
     while (piece := copy.debts()) is not None:
-        debts.append(wire.decode(wire.encode(wire.Part("debts", piece))).value)
+        debts.append(wire.decode(wire.encode(wire.StatePart("debts", piece))).value)
     messages += [
         wire.Accounts(copy.rest()),
-        wire.Part("core", state.core(module)),
-        wire.Part("outs", list(state.outs(module))),
+        wire.StatePart("core", state.core(module)),
+        wire.StatePart("outs", list(state.outs(module))),
     ]
     accounts, (core, outs) = messages[:-2], [wire.decode(wire.encode(m)) for m in messages[-2:]]
     taker = gateway(seed, now)
@@ -204,8 +204,8 @@
 
 
 def test_a_datagram_that_was_changed_on_its_way_is_no_message():
-    data = bytearray(wire.encode(wire.Part("fleet", {"a": 1.5})))
-    assert wire.decode(bytes(data)) == wire.Part("fleet", {"a": 1.5})
+    data = bytearray(wire.encode(wire.StatePart("fleet", {"a": 1.5})))
+    assert wire.decode(bytes(data)) == wire.StatePart("fleet", {"a": 1.5})
     for n in range(len(data)):
         changed = bytes(data[:n]) + bytes([data[n] ^ 1]) + bytes(data[n + 1 :])
         with pytest.raises(wire.Damaged):
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -8,7 +8,7 @@
 from micagate.membership.detector import Arrivals
 from micagate.membership.facts import Facts
 from micagate.membership.members import Members, Terms, rings
-from micagate.membership.messages import MOST, Beat, Fact, Knows, Record, Sums, check
+from micagate.membership.messages import MOST, Fact, Heartbeat, Record, RecoveryAnswer, StateSummary, check
 from micagate.planning.messages import Malformed
 from rig.gossip import Gossip
 
@@ -33,7 +33,7 @@
     before = fleet.nodes["g001"].boot
     fleet.stop("g001")
     assert fleet.settled(1.0) is not None
-    assert fleet.nodes["g000"].life.gone("g001") and fleet.nodes["g000"].life.up() == count - 1
+    assert fleet.nodes["g000"].life.is_gone("g001") and fleet.nodes["g000"].life.alive_count() == count - 1
     fleet.start("g001")
     assert fleet.settled(1.0) is not None
     assert fleet.nodes["g001"].boot > before
@@ -45,7 +45,7 @@
     fleet.sleep("g003", 4.0)
     fleet.run(2.5)
     life = fleet.nodes["g000"].life
-    assert not life.there("g003") and not life.gone("g003") and life.up() == 7
+    assert not life.is_alive("g003") and not life.is_gone("g003") and life.alive_count() == 7
     fleet.run(1.6)
     assert fleet.settled(2.0) is not None
     # It was late itself: it has taken nobody for dead.
@@ -67,11 +67,11 @@
     fleet.cut([other] if there else [one], [one] if there else [other], both=False)
     fleet.run(10.0)
     assert not downs(fleet)
-    assert fleet.nodes[one].life.cut(fleet.clock.now) == {other: word}
-    assert fleet.nodes["g002"].life.cut(fleet.clock.now) == {}
+    assert fleet.nodes[one].life.unreachable_peers(fleet.clock.now) == {other: word}
+    assert fleet.nodes["g002"].life.unreachable_peers(fleet.clock.now) == {}
     fleet.heal()
     fleet.run(3.0)
-    assert fleet.nodes[one].life.cut(fleet.clock.now) == {} and fleet.agree()
+    assert fleet.nodes[one].life.unreachable_peers(fleet.clock.now) == {} and fleet.agree()
 
 
 def test_a_member_with_no_way_left_is_dead_to_the_rest_and_they_to_it_and_both_come_back():
@@ -79,9 +79,9 @@
     rest = [name for name in fleet.names if name != "g002"]
     fleet.cut(["g002"], rest)
     fleet.run(4.0)
-    assert all(not fleet.nodes[name].life.there("g002") for name in rest)
-    assert not any(fleet.nodes["g002"].life.there(name) for name in rest)
-    assert fleet.nodes["g002"].life.up() == 6  # they may be serving: none of their machines has refused
+    assert all(not fleet.nodes[name].life.is_alive("g002") for name in rest)
+    assert not any(fleet.nodes["g002"].life.is_alive(name) for name in rest)
+    assert fleet.nodes["g002"].life.alive_count() == 6  # they may be serving: none of their machines has refused
     fleet.heal()
     assert fleet.settled(6.0) is not None
 
@@ -92,9 +92,9 @@
     left, right = fleet.names[: count // 2], fleet.names[count // 2 :]
     fleet.cut(left, right)
     fleet.run(3.0)
-    fleet.nodes[left[0]].life.say(fleet.wall(fleet.nodes[left[0]]), "ban", "w1", {"out": True})
+    fleet.nodes[left[0]].life.publish_fact(fleet.wall(fleet.nodes[left[0]]), "ban", "w1", {"out": True})
     fleet.run(0.1)
-    fleet.nodes[right[0]].life.say(fleet.wall(fleet.nodes[right[0]]), "ban", "w1", {"out": False})
+    fleet.nodes[right[0]].life.publish_fact(fleet.wall(fleet.nodes[right[0]]), "ban", "w1", {"out": False})
     fleet.run(3.0)
     fleet.heal()
     assert fleet.settled(10.0) is not None
@@ -135,7 +135,7 @@
     fleet.nodes["g002"].slow = 0.4
     fleet.run(8.0)
     assert not downs(fleet)
-    assert "g002" in fleet.nodes["g000"].life.slow() and "g003" not in fleet.nodes["g000"].life.slow()
+    assert "g002" in fleet.nodes["g000"].life.slow_peers() and "g003" not in fleet.nodes["g000"].life.slow_peers()
 
 
 def test_without_the_digest_what_a_broken_link_lost_is_never_found():
@@ -150,7 +150,7 @@
             fleet.lost = 0.2
             for n in range(20):
                 life = fleet.nodes[f"g00{n % 5}"].life
-                life.say(fleet.wall(fleet.nodes[f"g00{n % 5}"]), "ban", f"w{n}", n)
+                life.publish_fact(fleet.wall(fleet.nodes[f"g00{n % 5}"]), "ban", f"w{n}", n)
                 fleet.run(0.1)
             fleet.lost = 0.0
             missed += fleet.settled(8.0) is None
@@ -175,17 +175,19 @@
 
 def test_two_processes_under_one_name_are_noticed_by_the_earlier_one():
     life = Members("g1", ["g1", "g2"], boot=5, now=0.0, random=Random(1))
-    life.linked(0.0, "g2")
-    life.hear(0.1, 0.1, "g2", Beat(1, 0, 0.1, 0, (Record("g1", 9, 1),)))
-    assert life.twin and life.rival == 9 and [news.what for news in life.news] == ["twin"]
-    life.hear(0.2, 0.2, "g2", Beat(2, 0, 0.1, 0, (Record("g1", 4, 7),)))  # an earlier life of this one: nothing new
-    assert life.me.boot == 5 and len(life.news) == 1
+    life.link_opened(0.0, "g2")
+    life.receive(0.1, 0.1, "g2", Heartbeat(1, 0, 0.1, 0, (Record("g1", 9, 1),)))
+    assert life.duplicate_name and life.duplicate_incarnation == 9 and [news.what for news in life.updates] == ["twin"]
+    life.receive(
+        0.2, 0.2, "g2", Heartbeat(2, 0, 0.1, 0, (Record("g1", 4, 7),))
+    )  # an earlier life of this one: nothing new
+    assert life.me.incarnation == 5 and len(life.updates) == 1
 
 
 def test_a_suspected_member_clears_itself():
     life = Members("g1", ["g1", "g2"], boot=5, now=0.0, random=Random(1))
-    life.linked(0.0, "g2")
-    life.hear(0.1, 0.1, "g2", Beat(1, 0, 0.1, 0, (Record("g1", 5, 1, "dead", ("g2",), "silent"),)))
+    life.link_opened(0.0, "g2")
+    life.receive(0.1, 0.1, "g2", Heartbeat(1, 0, 0.1, 0, (Record("g1", 5, 1, "dead", ("g2",), "silent"),)))
     assert life.me.order() == (5, 2, 0)
 
 
@@ -238,17 +240,17 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Beat(1, 0, float("inf"), 0),
-        Beat(-1, 0, 0.0, 0),
-        Beat(1, 0, 0.0, 0, (Record("", 1, 1),)),
-        Beat(1, 0, 0.0, 0, (Record("g", 1, 1, "well"),)),
-        Beat(1, 0, 0.0, 0, (Record("g", 1, 1),) * (MOST + 1)),
-        Beat(1, 0, 0.0, 0, (), (Fact("ban", "", (1, 0, "a"), 1),)),
-        Beat(1, 0, 0.0, 0, (), (Fact("b", "w", (-1, 0, "a"), 1),)),
-        Sums((), (("ban", "w", (1 << 60, 0, "a")),), True),
-        Sums((("g", 1, 1, 7),), (), True),
-        Knows(1, 0.0, 0.0, float("nan"), True),
-        Knows(1, 0.0, 0.0, 0.0, True, (("w", 2.0, False),)),
+        Heartbeat(1, 0, float("inf"), 0),
+        Heartbeat(-1, 0, 0.0, 0),
+        Heartbeat(1, 0, 0.0, 0, (Record("", 1, 1),)),
+        Heartbeat(1, 0, 0.0, 0, (Record("g", 1, 1, "well"),)),
+        Heartbeat(1, 0, 0.0, 0, (Record("g", 1, 1),) * (MOST + 1)),
+        Heartbeat(1, 0, 0.0, 0, (), (Fact("ban", "", (1, 0, "a"), 1),)),
+        Heartbeat(1, 0, 0.0, 0, (), (Fact("b", "w", (-1, 0, "a"), 1),)),
+        StateSummary((), (("ban", "w", (1 << 60, 0, "a")),), True),
+        StateSummary((("g", 1, 1, 7),), (), True),
+        RecoveryAnswer(1, 0.0, 0.0, float("nan"), True),
+        RecoveryAnswer(1, 0.0, 0.0, 0.0, True, (("w", 2.0, False),)),
     ],
 )
 def test_what_no_member_says_is_turned_down(message):
--- a/tests/planners/test_paces.py
+++ b/tests/planners/test_paces.py
@@ -89,8 +89,8 @@
         if step == 140:  # another begins, with no book and no estimate
             made.ledger = Ledger(TERMS, 0, 2, FORWARDERS, made.clock.now)
             for holder in made.holders:
-                holder.lost(made.clock.now, "p")
-                holder.owns(made.clock.now, "p", 0, 2)
+                holder.planner_disconnected(made.clock.now, "p")
+                holder.planner_elected(made.clock.now, "p", 0, 2)
         for n in range(8):
             shares = [holder.share(made.clock.now, worker_key(f"w{n}"), FORWARDERS) for holder in made.holders]
             parts = [
@@ -114,7 +114,7 @@
     made = cluster(1, True)
     made.clock.run(5.0)
     for _ in range(20):
-        made.holders[0].saw([interface.WorkerLoad(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
+        made.holders[0].record_worker_loads([interface.WorkerLoad(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
         made.clock.run(made.clock.now + 0.1)
     made.clock.run(made.clock.now + 6.0)  # it lies no more
     told = [made.ledger.workers(made.clock.now)[worker_key(f"w{n}")]["pace"] for n in (0, 7)]
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from micagate import interface
-from micagate.planning.messages import Amount, Fill, Malformed, Need, Report, Word, Work, check
+from micagate.planning.messages import Amount, BucketLevels, Malformed, Need, PlannerUpdate, Report, WorkerLoad, check
 from oliveloft.planners import wire
 from oliveloft.planners.config import load
 from oliveloft.planners.link import Links
@@ -54,11 +54,11 @@
     def __init__(self):
         self.seen = []
 
-    def shares(self, event):
+    def apply_shares(self, event):
         self.seen.append(event)
         return ()
 
-    def survey(self, works):
+    def demand_report(self, works):
         return interface.DemandReport(())
 
 
@@ -175,14 +175,14 @@
         lie(needs=tuple(Need(f"c/p/{n}", 0, 3, 0.5) for n in range(600))),
         lie(echo=math.inf),
         lie(lends=(Amount("c/p/x", 2.0),)),
-        lie(lefts=(Fill("c/p/x", math.nan, 0.0),)),
+        lie(lefts=(BucketLevels("c/p/x", math.nan, 0.0),)),
         lie(number=-1),
-        lie(works=(Work("w/x", -1, 0.0, 0.0, 0, 0, 0),)),
-        lie(works=(Work("w/x", 1, math.nan, 0.0, 0, 0, 0),)),
-        lie(works=(Work("w/x", 1, 1.0, 1e9, 0, 0, 0),)),
-        lie(works=(Work("", 1, 1.0, 1.0, 0, 0, 0),)),
-        lie(works=tuple(Work(f"w/{n}", 1, 1.0, 1.0, 0, 0, 0) for n in range(600))),
-        wire.encode(Word(0, 1, 1, 1, 0, 0.0)),
+        lie(works=(WorkerLoad("w/x", -1, 0.0, 0.0, 0, 0, 0),)),
+        lie(works=(WorkerLoad("w/x", 1, math.nan, 0.0, 0, 0, 0),)),
+        lie(works=(WorkerLoad("w/x", 1, 1.0, 1e9, 0, 0, 0),)),
+        lie(works=(WorkerLoad("", 1, 1.0, 1.0, 0, 0, 0),)),
+        lie(works=tuple(WorkerLoad(f"w/{n}", 1, 1.0, 1.0, 0, 0, 0) for n in range(600))),
+        wire.encode(PlannerUpdate(0, 1, 1, 1, 0, 0.0)),
         b"\0\x10\0\0" + b"x" * 100,
     ],
     ids=itertools.count(),
@@ -200,7 +200,7 @@
                 assert all(isinstance(m, wire.Welcome | wire.Owned | wire.Refused) for m in messages)
             assert "f0" not in made._forwarders and honest.open == 1
             assert len([line for line in complaints(caplog) if line.startswith("f0")]) == 1
-            assert sum(ledger.things for ledger in made._ledgers.values()) == 0
+            assert sum(ledger.resource_count for ledger in made._ledgers.values()) == 0
             honest.stop()
 
     run(scenario())
@@ -223,8 +223,8 @@
                     1,
                     Report(0, ledger.epoch, 2, number, 0, 1e18, (Need("k", 0, 3, 1.0),), (Amount("k", 1.0),)),
                 )
-                ledger.words(made.now())
-            assert sum(total for _, total in ledger.out(made.now()).values()) == 0.0
+                ledger.pending_updates(made.now())
+            assert sum(total for _, total in ledger.granted(made.now()).values()) == 0.0
 
     run(scenario())
 
@@ -369,7 +369,7 @@
 
 
 def test_a_checked_message_is_named_by_its_field():
-    good = Word(0, 1, 1, 1, 0, 0.0, (), (Amount("k", 0.5),))
+    good = PlannerUpdate(0, 1, 1, 1, 0, 0.0, (), (Amount("k", 0.5),))
     check(good, 3, 10)
     with pytest.raises(Malformed, match="amount.amount"):
         check(msgspec.structs.replace(good, grants=(Amount("k", -0.5),)), 3, 10)
--- a/tests/planning/test_ledger.py
+++ b/tests/planning/test_ledger.py
@@ -5,7 +5,7 @@
 from micagate.planning import ledger as module
 from micagate.planning.holder import Demand, Holder
 from micagate.planning.ledger import Ledger
-from micagate.planning.messages import Again, Need, Report
+from micagate.planning.messages import Need, Report, RestartSession
 from micagate.planning.terms import Terms
 
 TERMS = Terms(shards=1)
@@ -27,7 +27,7 @@
         self.ledger = Ledger(TERMS, 0, 1, 2, 0.0)
         self.holders = [Holder(TERMS, n, 2, -1e6, 1 + 100 * n) for n in range(2)]
         for holder in self.holders:
-            holder.owns(0.0, "p", 0, 1)
+            holder.planner_elected(0.0, "p", 0, 1)
 
     def want(self, *needs):
         for holder, amount in zip(self.holders, needs, strict=True):
@@ -37,13 +37,13 @@
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
             for n, holder in enumerate(self.holders):
-                holder.moves(self.now)
+                holder.share_updates(self.now)
                 for _, message in holder.reports(self.now):
                     again = self.ledger.report(self.now, f"f{n}", n, message)
                     if again is not None:
-                        holder.again(self.now, "p", 0, again.session)
-            for name, word in self.ledger.words(self.now):
-                self.holders[int(name[1:])].word(self.now, "p", word)
+                        holder.restart_session(self.now, "p", 0, again.session)
+            for name, word in self.ledger.pending_updates(self.now):
+                self.holders[int(name[1:])].receive_update(self.now, "p", word)
 
     def shares(self):
         return [round(holder.share(self.now, "k", 2), 3) for holder in self.holders]
@@ -51,11 +51,11 @@
 
 def test_a_gap_or_an_unknown_session_is_begun_anew_and_a_repeat_is_left():
     book = Ledger(TERMS, 0, 1, 2, 0.0)
-    assert book.report(0.0, "f0", 0, report(number=2)) == Again(0, 1)
+    assert book.report(0.0, "f0", 0, report(number=2)) == RestartSession(0, 1)
     assert book.report(0.0, "f0", 0, report(number=1)) is None
     assert book.report(0.0, "f0", 0, report(number=1)) is None
-    assert book.report(0.0, "f0", 0, report(number=3)) == Again(0, 1)
-    assert book.report(0.0, "f0", 0, report(number=1, ack=7)) == Again(0, 1)  # of a word that was never sent
+    assert book.report(0.0, "f0", 0, report(number=3)) == RestartSession(0, 1)
+    assert book.report(0.0, "f0", 0, report(number=1, ack=7)) == RestartSession(0, 1)  # of a word that was never sent
 
 
 def test_what_is_lent_comes_back_within_a_second_when_it_is_needed():
@@ -68,18 +68,18 @@
     assert pair.shares() == [0.5, 0.5]
     pair.want(0.0, 0.0)
     pair.step(2.0)
-    assert pair.shares() == [0.5, 0.5] and pair.ledger.things == 0  # and the book forgets it
+    assert pair.shares() == [0.5, 0.5] and pair.ledger.resource_count == 0  # and the book forgets it
 
 
 def test_a_forwarder_that_goes_is_charged_until_its_grants_are_dead():
     pair = Pair()
     pair.want(0.9, 0.0)
     pair.step()
-    pair.ledger.leave(pair.now, "f0")
-    assert pair.ledger.out(pair.now)["f0"][1] == pytest.approx(0.45)
+    pair.ledger.forwarder_left(pair.now, "f0")
+    assert pair.ledger.granted(pair.now)["f0"][1] == pytest.approx(0.45)
     assert "f0" not in pair.ledger.ages(pair.now)
-    pair.ledger.words(pair.now + TERMS.longest + 0.1)
-    assert "f0" not in pair.ledger.out(pair.now + TERMS.longest + 0.1)
+    pair.ledger.pending_updates(pair.now + TERMS.longest + 0.1)
+    assert "f0" not in pair.ledger.granted(pair.now + TERMS.longest + 0.1)
 
 
 def test_sets_that_disagree_are_left_out_and_counted():
@@ -94,9 +94,9 @@
     monkeypatch.setattr(module, "MOST_NEEDS", 10)
     book = Ledger(TERMS, 0, 1, 2, 0.0)
     book.report(0.0, "f0", 0, report(needs=[need(f"k{n}") for n in range(25)]))
-    assert book.things == 10 and book.left_out == 15
+    assert book.resource_count == 10 and book.rejected_needs == 15
     book.report(0.1, "f0", 0, report(2, needs=[need("k3", 0.4)]))  # a known one may change
-    assert book.left_out == 15
+    assert book.rejected_needs == 15
 
 
 def test_a_number_that_two_forwarders_claim_belongs_to_the_later():
--- a/tests/planning/test_no_double_grants.py
+++ b/tests/planning/test_no_double_grants.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from micagate.planning.holder import Holder, Session
+from micagate.planning.holder import Holder, LeaseSession
 from micagate.planning.ledger import Ledger, _Grant
 from micagate.planning.terms import Terms
 from micagate.resource_keys import customer_key
@@ -65,21 +65,21 @@
 class Forgetful(Ledger):
     """Counts what a session that has ended had granted as free at once."""
 
-    def leave(self, now, name):
+    def forwarder_left(self, now, name):
         session = self._sessions.get(name)
         if session is not None:
             session.sent_at = -math.inf
-        super().leave(now, name)
+        super().forwarder_left(now, name)
 
 
 class Hasty(Ledger):
     """Frees and grants anew what a forwarder has not yet let go of."""
 
-    def words(self, now):
+    def pending_updates(self, now):
         for session in self._sessions.values():
             for grant in session.grants.values():
                 grant.old.clear()
-        return super().words(now)
+        return super().pending_updates(now)
 
 
 class TakesBack(Holder):
@@ -112,9 +112,9 @@
 class FromArrival(Holder):
     """Counts a grant's life from when it came, not from when it was asked for."""
 
-    def word(self, now, planner, word):
+    def receive_update(self, now, planner, word):
         session = self._current.get(word.shard)
-        taken = super().word(now, planner, word)
+        taken = super().receive_update(now, planner, word)
         if taken and session is not None:
             session.borrowed_until = now + self._t.life
         return taken
@@ -172,6 +172,6 @@
 
 
 def test_an_answer_to_an_unknown_report_renews_nothing():
-    session = Session("p", 0, 1, 1, 0.0)
+    session = LeaseSession("p", 0, 1, 1, 0.0)
     session.asked(5.0, 1)
     assert session.answered(1) == 5.0 and session.answered(99) == -math.inf
--- a/tests/planning/test_pace.py
+++ b/tests/planning/test_pace.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from micagate.planning import pace
-from micagate.planning.messages import Work
+from micagate.planning.messages import WorkerLoad
 from micagate.planning.pace import Estimate
 
 EVERY = 0.1
@@ -28,7 +28,9 @@
             done = min(self.waiting, self.able * EVERY)
             self.waiting -= done
             slow = self.least * (1 + 10 * self.waiting / self.able) if self.able else 0.0
-            self.estimate.report(self.now, Work("w", round(done), round(done) * slow, self.waiting * EVERY, 0, 0, 0))
+            self.estimate.report(
+                self.now, WorkerLoad("w", round(done), round(done) * slow, self.waiting * EVERY, 0, 0, 0)
+            )
             self.estimate.decide(self.now)
         return self.estimate.pace
 
@@ -66,7 +68,7 @@
         estimate = Estimate(0.0)
         for n in range(60):
             seen = {"answered": 10, "load": 10.0, "busy": 1.0, "refused": 0, "missed": 0, "failed": 0}
-            estimate.report(n * EVERY, Work("w", **{**seen, what: 3 if n > 30 else 0}))
+            estimate.report(n * EVERY, WorkerLoad("w", **{**seen, what: 3 if n > 30 else 0}))
             estimate.decide(n * EVERY)
         assert estimate.pace < 1.1 * 100, what
 
@@ -74,14 +76,14 @@
 def test_one_that_holds_much_and_answers_nothing_is_tried_with_little_but_tried():
     estimate = Estimate(0.0)
     for n in range(50):
-        estimate.report(n * EVERY, Work("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
+        estimate.report(n * EVERY, WorkerLoad("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
         estimate.decide(n * EVERY)
     assert 0 < estimate.pace <= 1.0
     worker = Worker(able=200.0)
     before = worker.ask(150.0, 5.0)
     for _ in range(80):
         worker.now += EVERY
-        worker.estimate.report(worker.now, Work("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
+        worker.estimate.report(worker.now, WorkerLoad("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
         worker.estimate.decide(worker.now)
     assert 0.3 * pace.TRIED * before < worker.estimate.pace < 1.5 * pace.TRIED * before
 
@@ -92,7 +94,7 @@
     assert worker.estimate.decide(worker.now + pace.SILENT + 0.1) == 0.0
     estimate = Estimate(0.0)
     for n in range(20):
-        estimate.report(float(n), Work("w", 1, 1.0, 0.1, 0, 0, 0))
+        estimate.report(float(n), WorkerLoad("w", 1, 1.0, 0.1, 0, 0, 0))
         assert estimate.decide(float(n)) == 0.0
 
 
@@ -100,7 +102,7 @@
 AMOUNT = st.floats(0.0, 1e6)
 
 
-SEEN = st.builds(Work, st.just("w"), COUNT, AMOUNT, AMOUNT, COUNT, COUNT, COUNT)
+SEEN = st.builds(WorkerLoad, st.just("w"), COUNT, AMOUNT, AMOUNT, COUNT, COUNT, COUNT)
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 5.0), SEEN), max_size=30))
--- a/tests/recovery/test_recovery_policy.py
+++ b/tests/recovery/test_recovery_policy.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from micagate.membership.messages import Knows
+from micagate.membership.messages import RecoveryAnswer
 from micagate.recovery.answers import TOGETHER, Questions
 from micagate.recovery.recovery_policy import Case, Disk, End, Kind, Peers, Way, judge, loans_over
 
@@ -106,7 +106,7 @@
 
 
 def knows(boot=0, up=100.0, back=False, **more):
-    return Knows(boot, more.pop("ago", -1.0), more.pop("wall", 1000.0), up, back, **more)
+    return RecoveryAnswer(boot, more.pop("ago", -1.0), more.pop("wall", 1000.0), up, back, **more)
 
 
 def test_everybody_is_asked_once_and_nobody_waited_for_longer_than_stated():
@@ -138,7 +138,7 @@
     round_.answered(
         10.1, 1000.0, "b", knows(boot=9, ago=1.0, workers=(("w", 0.5, True), ("v", 0.4, True)), wall=1000.2)
     )
-    round_.answered(10.1, 1000.0, "c", knows(boot=3, ago=8.0, workers=(("w", 0.9, False),), wall=4600.0, void=True))
+    round_.answered(10.1, 1000.0, "c", knows(boot=3, ago=8.0, workers=(("w", 0.9, False),), wall=4600.0, distrusted=True))
     told = round_.told(10.2)
     assert (told.boot, told.ago, told.void) == (9, 1.0, True)  # the latest life that any knows of
     assert told.workers == {"w": (0.9, False), "v": (0.4, True)}  # a bad way is one's, a bad worker most see
