--- a/micagate/demand_reports.py
+++ b/micagate/demand_reports.py
@@ -1,4 +1,4 @@
-"""What planners are told of the workers here. Decides nothing."""
+"""Demand reports about workers for the planners."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def survey(now: float, fleet: Fleet, shares: Shares, gateways: int) -> list[interface.ResourceDemand]:
-    """What was and would be sent to each worker since the last survey, and what it can do."""
+    """Return the demand for each worker since the last query, sent and unsent, and its capacity."""
     passed, fleet.reported_at = now - fleet.reported_at, now
     if fleet.shortest_usual_latency == math.inf or passed <= 0:
         return []
--- a/micagate/interface.py
+++ b/micagate/interface.py
@@ -1,7 +1,7 @@
 """Settings, events and actions of `micagate.gateway`.
 
-All times are seconds as floats on the caller's clock, which only goes forward; its zero means nothing.
-Nothing here decides: the checks below only turn away settings that make no sense.
+All times are float seconds on the caller's monotonic clock, whose zero is arbitrary.
+This module holds data only; its checks reject invalid settings.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 HEALTHY, DRAINING, REMOVED = "healthy", "draining", "gone"
 SUCCESS, FAILURE, OVERLOADED, TIMED_OUT = "success", "failure", "full", "timed_out"
 UNREACHABLE, CONNECTION_RESET, CANCELLED, NOT_SENT = "unreachable", "broken", "cancelled", "void"
-LATE_RESPONSE = "late"  # the answer to a call that has timed out: what it says is so, but nobody waits for it
-MALFORMED_RESPONSE = "spoilt"  # an answer came that cannot be used: the worker lives, and the attempt may have run
+LATE_RESPONSE = "late"  # a response after its call timed out: its content holds, but nothing waits for it
+MALFORMED_RESPONSE = "spoilt"  # an unusable response: the worker is alive, and the attempt may have executed
 NOT_EXECUTED_STATUSES = frozenset({OVERLOADED, UNREACHABLE, NOT_SENT})
-NOT_DELIVERED_STATUSES = frozenset({UNREACHABLE, NOT_SENT})  # no worker had all of it: it took nothing of a quota
+NOT_DELIVERED_STATUSES = frozenset({UNREACHABLE, NOT_SENT})  # no worker received it whole: no quota was used
 
 
 def _check(owner: object, at_least: float, names: Iterable[str]) -> None:
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request: the aim earns its full worth, the deadline ends it."""
+    """A class of requests. `aim` is its latency objective, `deadline` the time after which a request has failed."""
 
     name: str
     aim: float
@@ -41,7 +41,7 @@
     window: float = 0.0
     streaming: bool = False
     late_value: float = field(default=0.0, metadata={WRITTEN: "late_worth"})
-    importance: float = 1.0  # worth of one request next to those of other classes
+    importance: float = 1.0  # value of one request relative to other classes
 
     def __post_init__(self) -> None:
         _check(self, 0.0, ("aim", "deadline", "window", "late_value"))
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quotas, each for one customer over all gateways; a rate or limit of 0 means none."""
+    """A plan's limits, each for one customer over all gateways; a rate or limit of 0 means unlimited."""
 
     name: str
     rate: float = 0.0
@@ -66,7 +66,7 @@
     ceiling_slack: float = 0.0
     excess_revenue: float = field(default=0.0, metadata={WRITTEN: "beyond_earns"})
     excess_cost: float = 0.0
-    price: float = 1.0  # worth of its requests next to other plans'
+    price: float = 1.0  # value of its requests relative to other plans
 
     def __post_init__(self) -> None:
         _check(
@@ -88,32 +88,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one gateway is told at its start."""
+    """The settings of one gateway, fixed at its start."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     gateways: int = 1
-    number: int | None = None  # this gateway's among them, from 0; None: not known
+    number: int | None = None  # this gateway's number, from 0; None if unknown
     zone: str = ""
     tick: float = 0.001
     max_attempts: int = 1
     can_cancel: bool = False
     hedging: bool = field(default=False, metadata={WRITTEN: "second_copies"})
-    max_retry_after: float = field(default=0.0, metadata={WRITTEN: "max_retry_advice"})  # 0: clients hear no advice
+    max_retry_after: float = field(default=0.0, metadata={WRITTEN: "max_retry_advice"})  # 0: no Retry-After is sent
     requires_subscription: bool = field(
         default=False, metadata={WRITTEN: "must_subscribe"}
-    )  # the list of workers comes only to those who ask
-    meter_period: float = 0.0  # 0: no meter
+    )  # the worker list is sent to subscribers only
+    meter_period: float = 0.0  # 0: there is no meter
     slow_start_min_factor: float = field(default=1.0, metadata={WRITTEN: "cold_from"})
     slow_start_duration: float = field(default=0.0, metadata={WRITTEN: "ramp_time"})
     overload_factor: float = 2.0
     fall_time: float = 1.0
     counter_timeout: float = field(
         default=0.0, metadata={WRITTEN: "counter_wait"}
-    )  # how long a call to the counter is waited for; 0: there is none
+    )  # timeout of a call to the shared counter; 0: there is no counter
     max_accounts: int = field(
         default=30_000, metadata={WRITTEN: "accounts"}
-    )  # customers that are kept in memory, but for those with something out
+    )  # accounts kept in memory, besides those with attempts in flight
 
     def __post_init__(self) -> None:
         _check(self, 1, ("gateways", "max_attempts", "overload_factor", "max_accounts"))
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A line of the list of workers. `started` is None where the start is long ago."""
+    """An entry of the worker list. `started` is None if the worker started long ago."""
 
     worker: str
     zone: str = ""
@@ -154,9 +154,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerList:
-    """News of the workers: `whole` lists replace what was known, others change it.
+    """An update of the worker list: `whole` marks a snapshot, which replaces the list; others are deltas.
 
-    `failed` says that a call or the subscription broke; it has no entries and the old list stands.
+    `failed` reports that a call or the subscription failed; it has no entries and the previous list stays in force.
     """
 
     entries: tuple[WorkerEntry, ...] = ()
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try. `spread` gateways in a row may see this customer's requests."""
+    """A request of a client. `gateway_count` consecutive gateways may receive this customer's requests."""
 
     request: str
     klass: str
@@ -178,10 +178,10 @@
     client_retry: bool = field(default=False, metadata={WRITTEN: "repeat"})
     first_gateway: int = field(
         default=0, metadata={WRITTEN: "first"}
-    )  # the number of the first gateway that may see them; the others follow it, counted round
+    )  # number of the first of these gateways; the others follow it, modulo the number of gateways
     complete: bool = field(
         default=True, metadata={WRITTEN: "whole"}
-    )  # its last byte has come; else a `RequestComplete` follows, and its time counts from there
+    )  # the whole body has arrived; else a `RequestComplete` follows, and the deadline counts from it
 
     def __post_init__(self) -> None:
         _check(self, 1, ("gateway_count",))
@@ -190,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The one outcome of an attempt. `used` is the metered use as a share of the quota, if told."""
+    """The outcome of an attempt, one for each. `used` is the metered use as a share of the quota, if reported."""
 
     request: str
     attempt: int
@@ -200,15 +200,15 @@
     took: float
     used: float | None = None
     final_units: float = 0.0
-    used_age: float = 0.0  # how long ago `used` was told: an answer may take seconds to come whole
+    used_age: float = 0.0  # age of `used` in seconds: a long response may take seconds to arrive
     retryable: bool = field(
         default=True, metadata={WRITTEN: "kept"}
-    )  # what a further attempt would need of the request is still there
+    )  # the request is still buffered for a further attempt
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer to an attempt has begun; the rest is between worker and client."""
+    """The response to an attempt has begun; the rest is streamed from the worker to the client."""
 
     request: str
     attempt: int
@@ -218,9 +218,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestComplete:
-    """The last byte of a request has come, and gone on to the attempt that is out, if one is.
+    """The last byte of a request has arrived and was passed on to the attempt in flight, if any.
 
-    `kept`: so has what a further attempt would need.
+    `retryable`: the request is still buffered for a further attempt.
     """
 
     request: str
@@ -229,28 +229,28 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by this gateway is due."""
+    """A timer set by this gateway has fired."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left; nothing more is owed."""
+    """The client has disconnected; no response is needed."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class StopRetrying:
-    """The gateway ends before the request's time: it is not sent on any more, and its outcomes are its end."""
+    """The gateway shuts down before the request's deadline: no further attempts; the outcomes in flight end it."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; it times out after `within` seconds, or with the client where that is 0."""
+    """Start an attempt. It times out after `timeout` seconds, or with the client if that is 0."""
 
     request: str
     worker: str
@@ -259,7 +259,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final: a retry is harmless."""
+    """Final: the request was refused and did not execute, so that a retry is safe."""
 
     request: str
     retry_after: float = 0.0
@@ -267,14 +267,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final: nothing is said about whether it ran."""
+    """Final: the request failed; it may or may not have executed."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call off an attempt; its outcome still comes."""
+    """Cancel an attempt; its outcome is still reported."""
 
     request: str
     attempt: int
@@ -284,8 +284,8 @@
 class SetTimer:
     """Ask for a `TimerFired` after `delay` seconds.
 
-    Nothing comes of one that was set for a request which has ended and has no attempt out any more: it may
-    be dropped. One set with no request at hand must come.
+    A timer of a request that has ended and has no attempt in flight has no effect and may be dropped. A timer
+    that belongs to no request must fire.
     """
 
     delay: float
@@ -294,14 +294,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for news of the workers."""
+    """Subscribe to updates of the worker list."""
 
 
 @dataclass(frozen=True, slots=True)
 class CounterAdd:
-    """Add `amount` to the number `name` that the counter keeps for all gateways; answered with a `CounterResult`.
+    """Add `amount` to the number `name` of the counter that all gateways share; answered with a `CounterResult`.
 
-    `life` is how long a new name is kept, seconds. Answers for one name come in the order of the calls.
+    `ttl` is how long a new name is stored, in seconds. Results for one name arrive in the order of the calls.
     """
 
     name: int
@@ -313,8 +313,8 @@
 class CounterResult:
     """The answer to a `CounterAdd`: the total after it with `success`; `full` and `unreachable`: nothing was added.
 
-    `timed_out`: it may have been added, or may yet be; where it is told after that, by a second answer with `late`.
-    `took` is how long it took.
+    `timed_out`: it may have been added, or may still be; a response after that is a second result with `late`.
+    `took` is the duration of the call.
     """
 
     name: int
@@ -325,9 +325,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceShare:
-    """Of the thing `key`, so much of this gateway's part is lent, and so much is borrowed; 1 is the whole.
+    """What this gateway lends and borrows of the resource `key`; 1 is the whole resource.
 
-    `count` gateways share it.
+    `gateway_count` gateways share it.
     """
 
     key: str
@@ -342,7 +342,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketLevels:
-    """What is in the stores of a thing, of quota and of ceiling, that moves with a share; 1 is a whole
+    """The balances of a resource's token buckets, of quota and ceiling, that move with a share; 1 is a whole
     burst."""
 
     key: str
@@ -355,7 +355,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerCapacity:
-    """What a worker can do for all gateways together, answers a second; 0: nothing is known of it any more."""
+    """The capacity of a worker for all gateways together, responses a second; 0: no longer known."""
 
     key: str
     capacity: float = field(metadata={WRITTEN: "pace"})
@@ -366,12 +366,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareUpdate:
-    """A session with a planner: the ends of all it lent and borrowed, and what of that has changed.
+    """The leases of a session with a planner: when all it lent and borrowed expires, and what has changed.
 
-    Paces hold as long as what is borrowed.
+    Capacities are valid as long as what is borrowed.
 
-    It is answered with a `ReleasedLevels` where that takes something out of stores. `over` says that both ends are
-    past: it may be forgotten.
+    It is answered with a `ReleasedLevels` if that takes units out of token buckets. `expired`: both leases have
+    ended, and the session may be forgotten.
     """
 
     session: int
@@ -380,31 +380,31 @@
     changes: tuple[ResourceShare, ...] = ()
     bucket_levels: tuple[BucketLevels, ...] = field(
         default=(), metadata={WRITTEN: "fills"}
-    )  # what came with shares: it goes into the stores, once
+    )  # units that came with shares: added to the token buckets, once
     expired: bool = field(default=False, metadata={WRITTEN: "over"})
     capacities: tuple[WorkerCapacity, ...] = field(default=(), metadata={WRITTEN: "paces"})
 
 
 @dataclass(frozen=True, slots=True)
 class ReleasedLevels:
-    """What was in the stores of the shares that were given away by a `ShareUpdate`, and is in them no more."""
+    """The units taken out of token buckets because a `ShareUpdate` gave their shares away."""
 
     bucket_levels: tuple[BucketLevels, ...] = field(metadata={WRITTEN: "fills"})
 
 
 @dataclass(frozen=True, slots=True)
 class DemandQuery:
-    """Asks for a `DemandReport`; the first one begins the counting, the first with `works` that of workers."""
+    """Ask for a `DemandReport`; the first starts the counting, the first with `include_workers` that of workers."""
 
     include_workers: bool = field(default=False, metadata={WRITTEN: "works"})
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceDemand:
-    """What was asked of a thing since the last survey: units, the most out at once, and by which set.
+    """The demand for a resource since the last query: units, peak attempts in flight, and the gateways that share it.
 
-    `whole` is what one second may take of the whole thing, `burst` what may come at once, `open` the limit on
-    what is out at once; 0 where there is none.
+    `total_rate` is the rate of the whole resource, units a second, `burst` its burst, `concurrency_limit` its limit of
+    attempts in flight; 0 where there is none.
     """
 
     key: str
@@ -419,11 +419,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLoad:
-    """What became of the attempts at a worker since the last survey.
+    """The outcomes of the attempts sent to a worker since the last query.
 
-    `answered` were served, and took `load` times the least that their classes usually take; `refused` were
-    turned away by a full worker, `missed` timed out, `failed` ended otherwise. `busy` adds up what was out
-    over the time, in attempts x seconds.
+    `answered` were served; `load` is the sum of their latencies, each over the least usual latency of its class.
+    `refused` were rejected as overloaded, `missed` timed out, `failed` ended otherwise. `busy` is the integral of the
+    attempts in flight, in attempts x seconds.
     """
 
     key: str
@@ -437,7 +437,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """The answer to a `DemandQuery`: the things that anything was asked of since the last one."""
+    """The answer to a `DemandQuery`: the resources with demand since the last one."""
 
     resources: tuple[ResourceDemand, ...] = field(metadata={WRITTEN: "tallies"})
     workers: tuple[WorkerLoad, ...] = field(default=(), metadata={WRITTEN: "works"})
@@ -445,9 +445,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SetMaintenance:
-    """An operator takes a worker out, or puts it back; answered with a `MaintenanceResult`.
+    """An operator takes a worker out of service, or puts it back; answered with a `MaintenanceResult`.
 
-    With `since` it was so said elsewhere, at that time, and holds for a worker that is not known here yet.
+    With `since` it was decided at another gateway, at that time, and applies also to a worker not yet known here.
     """
 
     worker: str
@@ -457,7 +457,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceResult:
-    """The answer to a `SetMaintenance`: whether the worker is known. It holds from now on, whatever lists say."""
+    """The answer to a `SetMaintenance`: whether the worker is known. Stays in force whatever the worker list says."""
 
     worker: str
     known: bool
--- a/micagate/membership/messages.py
+++ b/micagate/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other, and checks of what others say: shapes only, over any wire."""
+"""Messages between fleet members and their validation, independent of the transport."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 LONGEST = 256  # characters of a name, a kind or a key
 ALIVE, SUSPECT, DEAD = "alive", "suspect", "dead"
 RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
-GONE, SILENT = "gone", "silent"  # why: its machine refuses, or nothing is heard
+GONE, SILENT = "gone", "silent"  # cause: its machine refuses connections, or nothing is received
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a member: which life of it, the version of what it says of itself, and whether it is there.
+    """What is known of a member: its incarnation, the version of its own data, and its status.
 
-    Only the member raises `version`; `by` and `cause` are of those that suspect it. `about` is what it says: its stage,
-    health, versions and how its last life ended, plain values.
+    Only the member raises `version`; `by` and `cause` come from those that suspect it. `about` is its own data: stage,
+    health, versions and how its last incarnation ended, as plain values.
     """
 
     name: str
@@ -33,12 +33,12 @@
     about: dict[str, Any] = {}  # noqa: RUF012 - msgspec copies it
 
     def order(self) -> tuple[int, int, int]:
-        """A later record has a greater one."""
+        """Return the sort key of the record; a later record has a greater one."""
         return self.incarnation, self.version, RANK[self.status]
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True):
-    """Something that holds for the whole fleet until somebody says otherwise later."""
+    """A value that holds for the whole fleet until a later one of the same kind and key replaces it."""
 
     kind: str
     key: str
@@ -47,9 +47,9 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """A sign of life: `number` counts the sender's on this link, `seen` is the last of the other side's that it heard.
+    """A heartbeat: `number` counts the sender's on this link, `seen` is the last that it received from the other side.
 
-    `wall` is the sender's Unix time, `digest` what it has of all records and facts; the rest is news.
+    `wall` is the sender's Unix time, `digest` that of all its records and facts; the rest is what has changed.
     """
 
     number: int
@@ -61,7 +61,7 @@
 
 
 class StateSummary(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """All that the sender has, by number and stamp alone; `answer`: the other side is to say the same."""
+    """All that the sender has, by number and stamp alone; `answer`: the other side is to reply in kind."""
 
     records: tuple[tuple[str, int, int, int], ...]
     facts: tuple[tuple[str, str, Stamp], ...]
@@ -69,7 +69,7 @@
 
 
 class RecoveryQuery(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """A member that comes back asks what is known of it: `boot` is its last life that it remembers, 0 if none, `life`
+    """A restarted member asks what is known of it: `boot` is its last persisted incarnation, 0 if none, `life`
     the present one."""
 
     boot: int
@@ -77,11 +77,11 @@
 
 
 class RecoveryAnswer(msgspec.Struct, frozen=True, array_like=True, tag=35):
-    """What a member knows of one that asks: its latest life that was heard of, when it was last heard, and the fleet's.
+    """What a member knows of one that asks: its latest known incarnation, when it was last heard, and fleet values.
 
-    `boot` is its latest life before the present one that was heard of, 0: none. `ago` is seconds since it was last
-    heard in that, negative where that is not known; `void`: it has said there that its memory is not to be believed.
-    `up` is how long the sender is up; `back`: it is itself coming back. `workers` has what is known of workers'
+    `boot` is its latest known incarnation before the present one, 0: none. `ago` is seconds since it was last
+    heard in that, negative where that is not known; `distrusted`: it has declared its persisted state invalid.
+    `up` is how long the sender is up; `recovering`: it is itself recovering. `workers` has what is known of workers'
     warmth and health: name, share of a warm one's pace, whether it fails.
     """
 
--- a/micagate/planning/messages.py
+++ b/micagate/planning/messages.py
@@ -1,7 +1,7 @@
-"""What forwarders and planners tell each other of one shard; amounts are shares of the whole, from 0 to 1.
+"""Messages between forwarders and planners about one shard; amounts are shares of the whole, from 0 to 1.
 
 Both sides number their messages from 1 within a session, list only what changed, and renew all else by
-sending at all. A message out of its order ends the session, and a new one begins with the whole state.
+sending any message. A message out of order ends the session, and a new one begins with the whole state.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 import msgspec
 
 LONGEST_KEY = 256
-MOST = 1_000_000  # answers, attempts or attempts x seconds in one report: more is a lie or a broken counter
+MOST = 1_000_000  # responses, attempts or attempts x seconds in one report: more is a false or corrupt report
 
 
 class Need(msgspec.Struct, frozen=True, array_like=True):
-    """A forwarder's need of a thing that the forwarders `first`, `first` + 1, ... share, `count` of them."""
+    """A forwarder's need of a resource that the forwarders `first`, `first` + 1, ... share, `count` of them."""
 
     key: str
     first: int
@@ -24,14 +24,14 @@
 
 
 class Amount(msgspec.Struct, frozen=True, array_like=True):
-    """So much of a thing: lent, or granted."""
+    """An amount of a resource that is lent or granted."""
 
     key: str
     amount: float
 
 
 class BucketLevels(msgspec.Struct, frozen=True, array_like=True):
-    """What is in the stores of a thing, of quota and ceiling, that moves with a share; 1 is a whole burst."""
+    """The token bucket balances, of quota and ceiling, that move with a share; 1 is a whole burst."""
 
     key: str
     quota: float
@@ -39,7 +39,7 @@
 
 
 class LendRequest(msgspec.Struct, frozen=True, array_like=True):
-    """How much of its part of a thing the planner would have a forwarder lend; less than before frees it."""
+    """How much of its share of a resource a forwarder is to lend; less than before releases the rest."""
 
     key: str
     count: int
@@ -47,7 +47,7 @@
 
 
 class WorkerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a forwarder's attempts at a worker since its last report; `micagate.interface.WorkerLoad`."""
+    """The outcomes of a forwarder's attempts at a worker since its last report; `micagate.interface.WorkerLoad`."""
 
     key: str
     answered: int
@@ -62,14 +62,14 @@
 
 
 class WorkerCapacity(msgspec.Struct, frozen=True, array_like=True):
-    """What a worker can do for all forwarders together, answers a second; 0 where that is not known."""
+    """The capacity of a worker for all forwarders together, responses a second; 0 if unknown."""
 
     key: str
     capacity: float
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A forwarder's message: `ack` is the number of the latest word it has, `echo` that word's stamp."""
+    """A forwarder's message: `ack` is the number of the latest planner update it has, `echo` that update's stamp."""
 
     shard: int
     epoch: int
@@ -79,13 +79,13 @@
     echo: float
     needs: tuple[Need, ...] = ()
     lent: tuple[Amount, ...] = ()
-    released_levels: tuple[BucketLevels, ...] = ()  # what was in shares that were given away, or given back
+    released_levels: tuple[BucketLevels, ...] = ()  # levels of shares that were given away or returned
     worker_loads: tuple[WorkerLoad, ...] = ()
 
 
 class PlannerUpdate(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """A planner's message: `answers` is the number of the latest report it has, `stamp` its clock's
-    reading."""
+    reading when it was sent."""
 
     shard: int
     epoch: int
@@ -95,7 +95,7 @@
     stamp: float
     lend_requests: tuple[LendRequest, ...] = ()
     grants: tuple[Amount, ...] = ()
-    bucket_levels: tuple[BucketLevels, ...] = ()  # what comes with these shares
+    bucket_levels: tuple[BucketLevels, ...] = ()  # levels that come with these shares
     capacities: tuple[WorkerCapacity, ...] = ()
 
 
@@ -107,7 +107,7 @@
 
 
 class Malformed(ValueError):
-    """A message that makes no sense; the text names the field."""
+    """An invalid message; the text names the field."""
 
 
 def _share(name: str, value: float) -> None:
@@ -126,9 +126,9 @@
 
 
 def check(message: Report | PlannerUpdate, forwarders: int, entries: int) -> None:
-    """Raise `Malformed` where a message is absurd: a liar's or a broken peer's.
+    """Raise `Malformed` for values out of range, as of a faulty or hostile peer.
 
-    A need beyond the whole is no lie but a flood: the sender cuts it to 1 itself.
+    A need beyond the whole is not an error but heavy demand: the sender limits it to 1 itself.
     """
     for name in ("shard", "epoch", "number"):
         if getattr(message, name) < 0:
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -1,4 +1,4 @@
-"""What is given back where a request ends. No I/O."""
+"""Refunds of units and counted slots when a request ends. No I/O."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 def settle(counting: Counting, pending: Pending, owed: Mapping[str, Pending]) -> None:
-    """Settle a request once it is over, as it is not among those that are owed their end, and has nothing out.
+    """Settle a request once it has been answered (it is not in `owed`) and has no attempt in flight.
 
-    Its counted place is free. What no worker had whole took nothing of a quota, so that units go back as well.
+    Its slot on the shared counter is released. If no worker received it whole, it used no quota, and its units are
+    refunded as well.
     """
     if pending.request.request in owed or not all(attempt.status for attempt in pending.attempts):
         return
@@ -26,7 +27,7 @@
 
 
 def untake(a: Account, units: float, inside: bool, counted: bool, whole: bool) -> None:
-    """Put back what `Quotas.take` took."""
+    """Reverse `Quotas.spend`."""
     if whole:
         a.quota_estimate.unsent(a.updated_at, units)
     if a.plan.ceiling_rate and not counted:
--- a/micagate/resource_keys.py
+++ b/micagate/resource_keys.py
@@ -1,12 +1,12 @@
-"""What planners tell of things, kept by thing and session, and the names that things go by. Decides nothing."""
+"""Keys of the resources that planners divide, and a table of what planner sessions report of them."""
 
 from __future__ import annotations
 
-Told = dict[str, dict[int, tuple[float, ...]]]  # by thing and session; the latest told is the last
+Told = dict[str, dict[int, tuple[float, ...]]]  # by resource and session; the latest report is the last
 
 
 def put(table: Told, key: str, session: int, *values: float) -> None:
-    """Set what a session tells of a thing, as the latest of it; where all is 0, or nothing, forget it."""
+    """Set what a session reports of a resource, as its latest report; remove it if there are no values or all are 0."""
     held = table.setdefault(key, {})
     held.pop(session, None)
     if any(values):
@@ -16,17 +16,17 @@
 
 
 def customer_key(plan: str, customer: str) -> str:
-    """The thing that a customer's quota and ceiling are."""
+    """Return the resource key of a customer's quota and ceiling."""
     return f"c/{plan}/{customer}"
 
 
 def worker_key(worker: str) -> str:
-    """The thing that a cold worker's room is."""
+    """Return the resource key of a worker's capacity."""
     return f"w/{worker}"
 
 
 def customer_of(key: str) -> tuple[str, str] | None:
-    """The plan and the customer whose quota and ceiling a thing is; None where it is another thing."""
+    """Return the plan and customer of a resource key; None for a key of another kind."""
     kind, _, rest = key.partition("/")
     plan, _, customer = rest.partition("/")
     return (plan, customer) if kind == "c" else None
--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -1,4 +1,4 @@
-"""What planners move of customers' quotas and ceilings between gateways, carried out on the stores here."""
+"""Applies the share transfers of planners to the token buckets of this gateway's accounts."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 def move(
     quotas: Quotas, now: float, event: interface.ShareUpdate, plans: Mapping[str, interface.Plan]
 ) -> list[interface.BucketLevels]:
-    """Follow what planners moved; what leaves the stores with shares that are given away.
+    """Apply a share update and return the units that leave the buckets with the shares given away.
 
-    What is lent is spent here no more from now on. Fills that come are put in, as far as the share holds
-    them. Nothing is made anew by a move, so that all gateways together keep burst and rate.
+    What is lent can no longer be spent here. Bucket levels that arrive are added, up to the capacity of the share.
+    A transfer creates no units, so that all gateways together stay within burst and rate.
     """
     touched = {}
     counts = {share.key: share.gateway_count for share in event.changes}
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -1,6 +1,6 @@
-"""What the sides of the gatekeeper hand each other: lines of the list, news of it, and where a long answer goes.
+"""Types that the parts of the gatekeeper share: endpoints, discovery updates, and both ends of a streamed response.
 
-Front, back, discovery and the dispatcher between them import this, and none of them another for it.
+Front end, back end, discovery and dispatcher import this module instead of each other.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A line of discovery's list: the module's entry and where the worker listens."""
+    """An entry of the discovery list: the gateway's worker entry and the address of the worker."""
 
     entry: interface.WorkerEntry
     address: tuple[str, int]
 
 
 class BodySource(Protocol):
-    """Whoever gives a long answer."""
+    """The sender of a streamed response."""
 
     def resume(self) -> None:
-        """The client takes more of it."""
+        """Continue: the client accepts more data."""
 
     def cancel(self) -> None:
-        """Nobody takes it any more."""
+        """Stop: nobody reads the response any more."""
 
 
 class ResponseSink(Protocol):
-    """Where a long answer goes."""
+    """The receiver of a streamed response."""
 
     def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """The answer begins, of this many bytes if that is known; the source gets `resume` when it takes more
         again, and `cancel` when nobody is there any more."""
 
     def write(self, data: bytes) -> bool:
-        """A piece of it; whether it takes more at once."""
+        """Write a chunk; return whether more may follow at once."""
 
     def end(self) -> None:
-        """It is whole."""
+        """The response is complete."""
 
     def abort_response(self) -> None:
-        """It never will be: the client is to see that."""
+        """The response cannot be completed: make that visible to the client."""
 
 
 def endpoint(raw: Any) -> tuple[Endpoint, float]:
@@ -78,7 +78,7 @@
 
 
 class DiscoveryUpdate:
-    """What an answer of discovery says. Starts are unknown until it is dated."""
+    """An update from discovery. Start times are unknown until `date` is called."""
 
     __slots__ = ("index", "whole", "endpoints", "skipped", "_starts")
 
@@ -102,7 +102,7 @@
             self._starts.append(start)
 
     def date(self, times: StartTimes, now: float) -> None:
-        """Give the endpoints their starts; only for a list that is followed."""
+        """Set the start times of the endpoints; only for an update that is applied."""
         there = set()
         for place, (found, wall) in enumerate(zip(self.endpoints, self._starts, strict=True)):
             name = found.entry.worker
--- a/tests/recovery/test_recovery_policy.py
+++ b/tests/recovery/test_recovery_policy.py
@@ -138,7 +138,9 @@
     round_.answered(
         10.1, 1000.0, "b", knows(boot=9, ago=1.0, workers=(("w", 0.5, True), ("v", 0.4, True)), wall=1000.2)
     )
-    round_.answered(10.1, 1000.0, "c", knows(boot=3, ago=8.0, workers=(("w", 0.9, False),), wall=4600.0, distrusted=True))
+    round_.answered(
+        10.1, 1000.0, "c", knows(boot=3, ago=8.0, workers=(("w", 0.9, False),), wall=4600.0, distrusted=True)
+    )
     told = round_.told(10.2)
     assert (told.boot, told.ago, told.void) == (9, 1.0, True)  # the latest life that any knows of
     assert told.workers == {"w": (0.9, False), "v": (0.4, True)}  # a bad way is one's, a bad worker most see
