--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -104,7 +104,9 @@
         # Guards against starving: with a counter that bears little most of such customers are left to these parts.
         left = a.plan.ceiling_capacity + a.plan.ceiling_slack - 2 * a.plan.burst
         bears = not a.plan.ceiling_rate or left >= a.gateway_count
-        a.uses_counter = rank is not None and bears and a.quota_estimate.sliver() and a.rate_divisor == a.gateway_count
+        a.uses_counter = (
+            rank is not None and bears and a.quota_estimate.has_thin_share() and a.rate_divisor == a.gateway_count
+        )
         if rank is None or not a.uses_counter:
             return False
         asks = rank + fraction(a.key) < self.budget.level and self.budget.may(now)
--- a/micagate/estimates/metering.py
+++ b/micagate/estimates/metering.py
@@ -212,7 +212,7 @@
             return
         fade, old = math.exp(-passed / FRESH), math.exp(min(0.0, max(self.at, self._due) - now) / STEADY)
         self._use, self._span = self._use * old, self._span * old
-        if self.sliver():  # what was once heard of a customer that then is refused would hold for ever
+        if self.has_thin_share():  # what was once heard of a customer that then is refused would hold for ever
             past = math.exp(-passed / RUMOUR)
             self._long = UNSEEN * self.rate * FIRST * (1 - past) + self._long * past
             self._longer = FIRST * (1 - past) + self._longer * past
@@ -220,7 +220,7 @@
         self._own *= fade
         self.level, self.at = self._after(self.level, passed, others), now
 
-    def sent(self, now: float, units: float, grain: float, open_: float = 1.0) -> None:
+    def record_sent(self, now: float, units: float, grain: float, open_: float = 1.0) -> None:
         """This gateway sends a try on; `grain` is what sends are told apart by, seconds.
 
         `open_` is the chance that it found a place under its at-once cap. A try beyond the quota takes nothing
@@ -241,7 +241,7 @@
             if now - self._times[0] > 2 * (keep := 3 * BINS * grain + LONGEST):
                 self._drop(now - keep)
 
-    def unsent(self, now: float, units: float) -> None:
+    def record_unsent(self, now: float, units: float) -> None:
         """What was told as sent on came whole to no worker: the store has it still."""
         self.advance(now)
         self.level = min(self.burst, self.level + units * self._kept)
@@ -249,7 +249,7 @@
         if self._sums:
             self._sums[-1] -= units
 
-    def heard(self, now: float) -> bool:
+    def is_current(self, now: float) -> bool:
         """Whether the meter has told lately enough to say anything of now."""
         return self.told is not None and now - self.told < STALE
 
@@ -279,7 +279,7 @@
             self._weighed = out
             meter.weigh(now, used, self.rate, self._times, self._sums)
         end, period = meter.end(read), meter.period
-        if end is None and period and self.sliver():
+        if end is None and period and self.has_thin_share():
             out = read - period / 2 if out is None else out
             end = out - LATENESS
         if out is None or end is None or self.told is not None and end <= self.told + period / 2:
@@ -311,7 +311,7 @@
             return level
         low, flow = LITTLE * self.unit, self.rate - others * self._kept
         if flow < 0:
-            low *= TELLING / max(TELLING, self.spread) if self.sliver() else 1.0
+            low *= TELLING / max(TELLING, self.spread) if self.has_thin_share() else 1.0
             if level > low and (until := (level - low) / -flow) < passed:
                 level, passed = low, passed - until
             elif level > low:
@@ -320,7 +320,7 @@
             return max(level, min(low, level + flow * passed))
         return min(self.burst, level + flow * passed)
 
-    def sliver(self) -> bool:
+    def has_thin_share(self) -> bool:
         """Whether so many gateways share the customer that the part of each holds hardly a request."""
         return self.spread > FEW and self.burst < SLIVER * self.unit * self.spread
 
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -147,7 +147,7 @@
         """
         if (warm := self.warm_up_factor(now, worker)) is None:
             return True
-        over, _ = self._shares.over(now, worker_key(worker.entry.worker), self.gateway_count)
+        over, _ = self._shares.divisors(now, worker_key(worker.entry.worker), self.gateway_count)
         if self.subset.is_partial and over == self.gateway_count:  # only those send to it in whose arcs it is
             over = max(1.0, over * self.subset.overlap())
         cap = (self._s.overload_factor - 1) * warm * self.rate(now) * self._s.fall_time
@@ -230,7 +230,7 @@
             ring = list(dict.fromkeys(ring[(begin + n * step) % many] for n in range(LOOK)))
         return ring
 
-    def overdue(self, now: float, room: float, part: float = 1.0) -> bool:
+    def is_overloaded(self, now: float, room: float, part: float = 1.0) -> bool:
         """Whether one more would likely miss its aim: then the gateway says the `full` that workers can't.
 
         A class that has but a part of the bar is refused that much earlier.
@@ -244,7 +244,7 @@
         floods, retries. Harm: answers that are long by nature look like a backlog where aims are tight.
         """
         self._fade(now)
-        if self.few():
+        if self.has_few_samples():
             return self._slow_all_over(now) / (1 + room) > self._random.random()
         pool = self._pool(now)
         queued = [self._queued(now, w) for w in pool]
@@ -255,7 +255,7 @@
         age = now - sum(map(sum, queued)) / out
         return age > OLD_SHARE * self._aim and out > part * LATE_SHARE * self._aim * done / RECENT
 
-    def few(self) -> bool:
+    def has_few_samples(self) -> bool:
         """Whether too little is out and answered to measure a queue by."""
         return len(self._waiting) + self._done < (KEEPS_ENOUGH if self.subset.is_partial else ENOUGH)
 
@@ -320,7 +320,7 @@
         """
         once = klass.effect == interface.SIDE_EFFECT
         lost = max(STALL, klass.aim / max(self.usual_latency(klass), 1e-6)) if once else STALL
-        waits = self._paced(now, klass, fit) if self._shares.paces else None
+        waits = self._paced(now, klass, fit) if self._shares.worker_capacities else None
         waits = waits or [self._slow(now, w) * (1 + len(self._queued(now, w))) * self._far(w) for w in fit]
         return min(
             zip(waits, fit, strict=True),
@@ -344,9 +344,9 @@
         waits = []
         for worker in fit:
             key = worker_key(worker.entry.worker)
-            if not (pace := self._shares.pace(now, key)):
+            if not (pace := self._shares.worker_capacity(now, key)):
                 return None
-            over, _ = self._shares.over(now, key, self._s.gateways)
+            over, _ = self._shares.divisors(now, key, self._s.gateways)
             out = 1.0 / self._s.gateways + len(self._queued(now, worker))
             waits.append(self._far(worker) * out * over / pace / max(self.usual_latency(klass), 1e-6))
         return waits
@@ -370,13 +370,13 @@
         if worker.next_turn_at is not None:
             worker.next_turn_at = now + worker.turn_interval * (0.5 + self._random.random())
 
-    def given_up(self, now: float, key: tuple[str, int]) -> None:
+    def record_overdue(self, now: float, key: tuple[str, int]) -> None:
         """An attempt is past its aim: it has told of its lateness, and may be lost rather than waiting."""
         self._pooled = None
         if (waited := self._waiting.pop(key, None)) is not None:
             self.recent.missed(now, waited[1])
 
-    def answering(self, now: float, name: str, key: tuple[str, int]) -> None:
+    def record_response_start(self, now: float, name: str, key: tuple[str, int]) -> None:
         """An answer has begun: the worker lives, and what follows is no wait for it."""
         self._pooled = None
         waited = self._waiting.pop(key, None)
@@ -386,11 +386,11 @@
                 max(waited[2].latest_answered_sent_at, waited[0]),
             )
 
-    def overtaken(self, name: str, sent: float) -> bool:
+    def has_answered_later(self, name: str, sent: float) -> bool:
         """Whether the worker has answered something that was sent to it later."""
         return (worker := self.workers.get(name)) is not None and sent <= worker.latest_answered_sent_at
 
-    def loses(self, now: float, name: str, klass: interface.RequestClass) -> bool:
+    def loses_class(self, now: float, name: str, klass: interface.RequestClass) -> bool:
         """Whether a worker goes on losing much of a class where another loses little.
 
         Its silence then tells of lost answers, not of load. Guards against lossy ways and half-dead workers,
@@ -403,7 +403,7 @@
         least = min((w.loss_rate(now, klass.name) for w in self._look(self.usable_count)), default=0.0)
         return worker.loss_rate(now, klass.name) > max(LOSSY, LOSSIER * least)
 
-    def returned(
+    def record_outcome(
         self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass, status: str, took: float
     ) -> None:
         """An attempt's outcome, whatever became of its request."""
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -10,14 +10,14 @@
 
 from micagate import interface
 from micagate.counting.counting import Counting, Verdict
-from micagate.demand_reports import survey, works
+from micagate.demand_reports import worker_demand, worker_loads
 from micagate.estimates.waits import Waits
 from micagate.fleet import STALL, Fleet
 from micagate.operating.maintenance import Maintenance
 from micagate.pending import Attempt, Pending
 from micagate.quotas import Quotas
 from micagate.refunds import settle
-from micagate.share_transfers import move
+from micagate.share_transfers import apply_share_update
 from micagate.shares import Shares
 from micagate.throttle import Throttle
 
@@ -52,7 +52,7 @@
         self._timers: dict[int, tuple[str, str, int]] = {}
         self._refs = 0
         self.waits = Waits(settings.classes)
-        self.budget = RETRY_DEPTH
+        self.retry_budget = RETRY_DEPTH
         self._subscribed = not settings.requires_subscription
         self._actions: list[interface.Action] = []
 
@@ -83,13 +83,15 @@
                 if (verdict := self.counting.answered(now, event)) is not None:
                     self._counted(now, verdict)
             case interface.ShareUpdate():
-                if freed := move(self.quotas, now, event, self.plans):
+                if freed := apply_share_update(self.quotas, now, event, self.plans):
                     self._actions.append(interface.ReleasedLevels(tuple(freed)))
             case interface.DemandQuery():
-                seen = survey(now, self.fleet, self.quotas.shares, self._s.gateways)
+                seen = worker_demand(now, self.fleet, self.quotas.shares, self._s.gateways)
                 tallies = (*self.quotas.demand_report(), *seen)
                 self._actions.append(
-                    interface.DemandReport(tallies, tuple(works(now, self.fleet)) if event.include_workers else ())
+                    interface.DemandReport(
+                        tallies, tuple(worker_loads(now, self.fleet)) if event.include_workers else ()
+                    )
                 )
         if self.counting.actions:
             self._actions += self.counting.actions
@@ -129,7 +131,7 @@
         )
         if not event.client_retry:
             self.waits.first(klass, event.time_left)
-        self.budget = min(RETRY_DEPTH, self.budget + RETRY_SHARE)
+        self.retry_budget = min(RETRY_DEPTH, self.retry_budget + RETRY_SHARE)
         # Beyond the quota only where that pays, and never while the back end is pressed.
         welcome = pending.within_quota or (plan.excess_revenue > plan.excess_cost and not self.throttle.active)
         welcome = welcome and not (event.client_retry and self.waits.too_late(klass, event.time_left))
@@ -140,7 +142,7 @@
         part = self._part[klass.name] if self.throttle.active else 1.0
         if worker is not None and not self.throttle.admit(now, part):
             worker = None
-        if worker is not None and self.fleet.overdue(now, account.quota_headroom(), part):
+        if worker is not None and self.fleet.is_overloaded(now, account.quota_headroom(), part):
             self.throttle.record_signal(now, worker, plan.name, now)
             worker = None
         if worker is None:
@@ -251,19 +253,19 @@
             self._actions.append(interface.Subscribe())
         elif kind == "aim" and attempt is not None and not attempt.overload_signalled:
             attempt.overload_signalled = True
-            self.fleet.given_up(now, (name, number))
-            if overtaken := self.fleet.overtaken(attempt.worker, attempt.sent_at):
+            self.fleet.record_overdue(now, (name, number))
+            if overtaken := self.fleet.has_answered_later(attempt.worker, attempt.sent_at):
                 self.fleet.tails.missed(now)
                 attempt.release_slot()  # its answer was written and got lost: the customer's place is free
             if overtaken or attempt.klass.effect == interface.SIDE_EFFECT:
                 self.fleet.record_no_response(now, attempt.worker, attempt.klass)
-            lost = self.fleet.loses(now, attempt.worker, attempt.klass)
+            lost = self.fleet.loses_class(now, attempt.worker, attempt.klass)
             if not lost and not self.fleet.recent.lossy():
                 self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
         elif kind == "deadline" and pending is not None and not pending.streaming:
             self._end(pending)
         elif kind == "hedge" and attempt is not None and pending is not None and not pending.streaming:
-            if self.fleet.overtaken(attempt.worker, attempt.sent_at):  # else it may be a queue or a pause
+            if self.fleet.has_answered_later(attempt.worker, attempt.sent_at):  # else it may be a queue or a pause
                 self.fleet.record_no_response(now, attempt.worker, attempt.klass)
                 if self.fleet.tails.lost():
                     attempt.release_slot()
@@ -276,7 +278,7 @@
         twice, which a cancel need not stop: so only where what is silent for so long was mostly lost lately,
         not long; the retry budget bounds it, and control switches it off but where a worker loses answers.
         """
-        if self.throttle.active and not self.fleet.loses(now, pending.attempts[number].worker, pending.klass):
+        if self.throttle.active and not self.fleet.loses_class(now, pending.attempts[number].worker, pending.klass):
             return
         if pending.deadline - now < self.fleet.usual_latency(pending.klass):
             return
@@ -285,7 +287,7 @@
         elif (
             pending.klass.effect == interface.PURE
             and self._s.can_cancel
-            and self.budget >= 1
+            and self.retry_budget >= 1
             and self.fleet.tails.lost()
         ):
             self._actions.append(interface.Cancel(pending.request.request, number))  # its outcome sends it again
@@ -294,7 +296,7 @@
         pending, attempt = self._pending.get(name), self.in_flight.get((name, number))
         if attempt is not None:
             self._late(now, attempt, took)
-            self.fleet.answering(now, attempt.worker, (name, number))
+            self.fleet.record_response_start(now, attempt.worker, (name, number))
             attempt.overload_signalled = True  # what follows is the stream's length, no sign of load
         if pending is not None:
             pending.streaming = True
@@ -317,7 +319,7 @@
         )
         if event.used is not None:
             attempt.account.record_reading(now, event.used, self.quotas.meter, event.used_age)
-        self.fleet.returned(now, attempt.worker, key, attempt.klass, event.status, event.took)
+        self.fleet.record_outcome(now, attempt.worker, key, attempt.klass, event.status, event.took)
         if event.status == interface.SUCCESS and event.took > self._silence(attempt.klass):
             self.fleet.tails.came(now, event.took > attempt.klass.aim)
         if event.status in (interface.OVERLOADED, interface.TIMED_OUT):
@@ -363,15 +365,15 @@
                 cell = anchor.cell if klass.group == "cell" else None
         # What did not come up cost the workers nothing, and a lost zone takes a third of all tries.
         free = self.fleet.subset.is_partial and pending.attempts[-1].status == interface.UNREACHABLE
-        if len(pending.attempts) >= self._s.max_attempts or self.budget < 1 and not free:
+        if len(pending.attempts) >= self._s.max_attempts or self.retry_budget < 1 and not free:
             return False
         worker = self.fleet.pick(now, klass, {a.worker for a in pending.attempts}, zone, cell)
         part = self._part[klass.name] if self.throttle.active else 1.0
-        if worker is None or self.fleet.overdue(now, pending.account.quota_headroom(), part):
+        if worker is None or self.fleet.is_overloaded(now, pending.account.quota_headroom(), part):
             return False
         if not self.throttle.admit(now, part):
             return False
-        self.budget -= not free
+        self.retry_budget -= not free
         self._send(now, pending, worker)
         return True
 
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -16,7 +16,7 @@
 from micagate.gateway import Gateway
 from micagate.handover.fields import Damaged, put, take
 from micagate.pending import Attempt, Pending
-from micagate.resource_keys import customer_of
+from micagate.resource_keys import parse_customer_key
 
 # What is written of each object: the written key, which never changes, and the attribute that it stands for.
 ACCOUNT = {
@@ -223,7 +223,7 @@
         "tails": take(f.tails, TAILS),
         "workers": {name: take(worker, WORKER) for name, worker in f.workers.items()},
         "waits": take(g.waits, WAITS)["_waits"],
-        "budget": g.budget,
+        "budget": g.retry_budget,
         "counter": take(g.counting.budget, BUDGET),
         "banned": dict(g.maintenance.banned),
         "back": {n: list(t) for n, t in g.maintenance.back.items()},
@@ -256,7 +256,7 @@
 def put_accounts(gateway: Gateway, now: float, rows: Iterable[dict[str, Any]]) -> None:
     """Take accounts over; a later row of a customer replaces an earlier one."""
     for row in rows:
-        whose, spread = customer_of(str(row.get("key", ""))), row.get("spread")
+        whose, spread = parse_customer_key(str(row.get("key", ""))), row.get("spread")
         if whose is None or not isinstance(spread, int) or spread < 1:
             raise Damaged(f"an account {row.get('key')!r} of {spread!r}")
         if (plan := gateway.plans.get(whose[0])) is None:
@@ -293,7 +293,7 @@
     q.deficits.restore(_mapping(state, "debts"))
     g.waits.restore(_mapping(state, "waits"))
     if isinstance(budget := state.get("budget"), int | float):
-        g.budget = float(budget)
+        g.retry_budget = float(budget)
     for row in out:  # before the bans: a worker that is out is forgotten once nothing is out there
         adopt(gateway, now, row)
     banned = {str(name): float(since) for name, since in _mapping(state, "banned").items()}
@@ -314,7 +314,7 @@
     Its request is none of this gateway's, and its outcome is taken like that of any whose client has gone.
     """
     klass, worker = gateway.classes.get(row["klass"]), gateway.fleet.workers.get(row["worker"])
-    plan_name, customer = customer_of(str(row["key"])) or ("", "")
+    plan_name, customer = parse_customer_key(str(row["key"])) or ("", "")
     plan, name, number = gateway.plans.get(plan_name), str(row["request"]), int(row["number"])
     if klass is None or plan is None or (name, number) in gateway.in_flight:
         return
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -90,7 +90,7 @@
         """Bring an account up to now."""
         elapsed, a.updated_at = now - a.updated_at, now
         if self.shares or a.rate_divisor != a.gateway_count:
-            over, span = self.shares.over(now, a.key, a.gateway_count)
+            over, span = self.shares.divisors(now, a.key, a.gateway_count)
             if over != a.rate_divisor:
                 # What came in since then came at the smaller share: the other part of it may have been
                 # another's. A store that shrinks is cut; one that grows has to fill.
@@ -139,8 +139,8 @@
         whole, cost = a.quota_estimate, max(0.0, a.plan.excess_cost - a.plan.excess_revenue)
         sure = cost / (cost + 1 - RETURNS)
         a.largest_request = max(a.largest_request, units)
-        thin = whole.sliver()  # then the estimate of the whole decides alone: the part says little
-        known = (thin or whole.heard(a.updated_at) and not pressed) and a.rate_divisor == a.gateway_count
+        thin = whole.has_thin_share()  # then the estimate of the whole decides alone: the part says little
+        known = (thin or whole.is_current(a.updated_at) and not pressed) and a.rate_divisor == a.gateway_count
         if a.plan.concurrency_limit:
             if a.in_flight >= max(1, int(a.plan.concurrency_limit)):
                 return False
@@ -203,4 +203,4 @@
         self.refill(now, a)
         most = int(a.plan.concurrency_limit)
         place = a.quota_estimate.places(a.in_flight, a.mean_duration or self.mean_duration, most) if most else 1.0
-        a.quota_estimate.sent(a.updated_at, units, self.meter.period / BINS, place)
+        a.quota_estimate.record_sent(a.updated_at, units, self.meter.period / BINS, place)
--- a/micagate/recovery/persisted_state.py
+++ b/micagate/recovery/persisted_state.py
@@ -102,7 +102,7 @@
         "pace": pace,
         "load": load(gateway),
         "control": throttle.active,
-        "budget": gateway.budget,
+        "budget": gateway.retry_budget,
         "took": gateway.quotas.mean_duration,
         "waits": gateway.waits.kept(),
     }
@@ -179,7 +179,7 @@
                 gateway.quotas.mean_duration = took
         retries = judge(Kind.RETRIES, self.case)
         if self.case.disk is not Disk.NONE:
-            gateway.budget = min(RETRY_DEPTH, retries.share * _positive(core.get("budget")))
+            gateway.retry_budget = min(RETRY_DEPTH, retries.share * _positive(core.get("budget")))
         if judge(Kind.WAITS, self.case).way is Way.TAKEN and isinstance(core.get("waits"), dict):
             gateway.waits.restore(core["waits"])
 
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -20,16 +20,16 @@
         return
     reached = any(attempt.status not in interface.NOT_DELIVERED_STATUSES for attempt in pending.attempts)
     if not reached:
-        untake(pending.account, pending.request.units, pending.within_quota, pending.on_counter, pending.complete)
+        refund(pending.account, pending.request.units, pending.within_quota, pending.on_counter, pending.complete)
     if pending.counter_call is not None:
         (counting.leave if reached else counting.give_back)(pending.counter_call)
         pending.counter_call = None
 
 
-def untake(a: Account, units: float, inside: bool, counted: bool, whole: bool) -> None:
+def refund(a: Account, units: float, inside: bool, counted: bool, whole: bool) -> None:
     """Reverse `Quotas.spend`."""
     if whole:
-        a.quota_estimate.unsent(a.updated_at, units)
+        a.quota_estimate.record_unsent(a.updated_at, units)
     if a.plan.ceiling_rate and not counted:
         a.ceiling_balance = min(a.plan.ceiling_capacity / a.capacity_divisor, a.ceiling_balance + units)
     if inside and a.plan.rate:
--- a/micagate/resource_keys.py
+++ b/micagate/resource_keys.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-Told = dict[str, dict[int, tuple[float, ...]]]  # by resource and session; the latest report is the last
+SessionValues = dict[str, dict[int, tuple[float, ...]]]  # by resource and session; the latest report is the last
 
 
-def put(table: Told, key: str, session: int, *values: float) -> None:
+def set_values(table: SessionValues, key: str, session: int, *values: float) -> None:
     """Set what a session reports of a resource, as its latest report; remove it if there are no values or all are 0."""
     held = table.setdefault(key, {})
     held.pop(session, None)
@@ -25,7 +25,7 @@
     return f"w/{worker}"
 
 
-def customer_of(key: str) -> tuple[str, str] | None:
+def parse_customer_key(key: str) -> tuple[str, str] | None:
     """Return the plan and customer of a resource key; None for a key of another kind."""
     kind, _, rest = key.partition("/")
     plan, _, customer = rest.partition("/")
--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -6,10 +6,10 @@
 
 from micagate import interface
 from micagate.quotas import Quotas
-from micagate.resource_keys import customer_of
+from micagate.resource_keys import parse_customer_key
 
 
-def move(
+def apply_share_update(
     quotas: Quotas, now: float, event: interface.ShareUpdate, plans: Mapping[str, interface.Plan]
 ) -> list[interface.BucketLevels]:
     """Apply a share update and return the units that leave the buckets with the shares given away.
@@ -20,7 +20,7 @@
     touched = {}
     counts = {share.key: share.gateway_count for share in event.changes}
     for key in (*(share.key for share in event.changes), *(fill.key for fill in event.bucket_levels)):
-        whose = customer_of(key)
+        whose = parse_customer_key(key)
         if whose is not None and (plan := plans.get(whose[0])) is not None:
             known, count = quotas.accounts.get(key), counts.get(key, 1)
             if known is not None or count > 1:
@@ -28,7 +28,7 @@
     before = {
         key: (account.capacity_divisor, account.balance, account.ceiling_balance) for key, account in touched.items()
     }
-    quotas.shares.change(event)
+    quotas.shares.apply(event)
     freed = []
     for key, a in touched.items():
         span, store, ceiling = before[key]
--- a/micagate/shares.py
+++ b/micagate/shares.py
@@ -11,7 +11,7 @@
 import math
 
 from micagate import interface
-from micagate.resource_keys import Told, put
+from micagate.resource_keys import SessionValues, set_values
 
 MOVED = 0.7  # of the stores behind a share, which moves with it (ours)
 
@@ -21,26 +21,26 @@
 
     def __init__(self) -> None:
         self._ends: dict[int, tuple[float, float]] = {}  # by session: of what is lent, of what is borrowed
-        self._amounts: Told = {}  # by session: what is lent and what is borrowed
-        self.paces: Told = {}  # by session: what a worker can do
+        self._amounts: SessionValues = {}  # by session: what is lent and what is borrowed
+        self.worker_capacities: SessionValues = {}  # by session: what a worker can do
 
-    def change(self, event: interface.ShareUpdate) -> None:
+    def apply(self, event: interface.ShareUpdate) -> None:
         """Follow a session; one whose both ends are past is forgotten with its amounts."""
         if event.expired:
             self._ends.pop(event.session, None)
-            for table in (self._amounts, self.paces):
+            for table in (self._amounts, self.worker_capacities):
                 for key in list(table):
-                    put(table, key, event.session)
+                    set_values(table, key, event.session)
             return
         self._ends[event.session] = event.lent_until, event.borrowed_until
         for share in event.changes:
-            put(self._amounts, share.key, event.session, share.lent, share.borrowed)
+            set_values(self._amounts, share.key, event.session, share.lent, share.borrowed)
         for pace in event.capacities:
-            put(self.paces, pace.key, event.session, pace.capacity)
+            set_values(self.worker_capacities, pace.key, event.session, pace.capacity)
 
-    def pace(self, now: float, key: str) -> float:
+    def worker_capacity(self, now: float, key: str) -> float:
         """What a worker can do for all gateways together, answers a second; 0 where that is not known."""
-        for session, (pace,) in reversed(self.paces.get(key, {}).items()):
+        for session, (pace,) in reversed(self.worker_capacities.get(key, {}).items()):
             if now < self._ends[session][1]:
                 return pace
         return 0.0
@@ -48,7 +48,7 @@
     def __len__(self) -> int:
         return len(self._amounts)
 
-    def over(self, now: float, key: str, count: float) -> tuple[float, float]:
+    def divisors(self, now: float, key: str, count: float) -> tuple[float, float]:
         """What the rate and the stores of a whole thing are divided by to give this gateway's.
 
         Both are `count` where nothing moved. Of the stores less moves than of the rate: traffic that comes to
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -18,7 +18,7 @@
 from micagate.planning.terms import Terms
 from micagate.quotas import Quotas
 from micagate.resource_keys import customer_key
-from micagate.share_transfers import move
+from micagate.share_transfers import apply_share_update
 from rig.simulation import Clock, Link, LocalClock, Network
 
 TICK = 0.05  # seconds between looks at what is due, at forwarders and planners
@@ -137,7 +137,7 @@
         """Carry shares to the stores, send what is due, and spend what is asked."""
         now = self.clock.now
         for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
-            self.holder.record_released(event.session, move(self.quotas, now, event, PLANS))
+            self.holder.record_released(event.session, apply_share_update(self.quotas, now, event, PLANS))
         for planner, report in self.holder.reports(now):
             self.world.network.send(self.name, planner, report)
         if self.holder.ready(now):
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -7,7 +7,7 @@
 from micagate import interface
 from micagate.deficit_sketch import SLOTS, DeficitSketch
 from micagate.quotas import Quotas
-from micagate.share_transfers import move
+from micagate.share_transfers import apply_share_update
 from rig.driver import Driver, sends
 
 CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0)
@@ -84,7 +84,9 @@
     account.in_flight = 1
     key = "c/capped/lender"
     quotas.account(0.0, "lender", CAPPED, 2)
-    move(quotas, 0.0, interface.ShareUpdate(1, 100.0, 100.0, (interface.ResourceShare(key, 0.4, 0.0, 2),)), PLANS)
+    apply_share_update(
+        quotas, 0.0, interface.ShareUpdate(1, 100.0, 100.0, (interface.ResourceShare(key, 0.4, 0.0, 2),)), PLANS
+    )
     lender = quotas.accounts.get(key)
     for n in range(500):
         quotas.account(0.5, f"once-{n}", CAPPED, 2)
--- a/tests/decisions/test_large_fleets.py
+++ b/tests/decisions/test_large_fleets.py
@@ -74,7 +74,7 @@
         assert f.pick(0.0, READ, set()) == f"w{n}"
         for m in range(LOOK):
             if m != n:
-                f.returned(0.0, f"w{m}", (f"r{m}", n), READ, interface.CANCELLED, 0.0)
+                f.record_outcome(0.0, f"w{m}", (f"r{m}", n), READ, interface.CANCELLED, 0.0)
 
 
 def test_where_the_first_few_cannot_take_it_others_are_looked_at():
@@ -104,10 +104,10 @@
     for n in range(6000):  # 1000 a second, 40 ms each, so 40 are out
         now = n / 1000
         gone[n] = worker = f.pick(now, READ, set())
-        assert not f.overdue(now, 1.0)
+        assert not f.is_overloaded(now, 1.0)
         f.record_sent(now, worker, (f"r{n}", 0), READ)
         if n >= 40:
-            f.returned(now, gone[n - 40], (f"r{n - 40}", 0), READ, interface.SUCCESS, 0.04)
+            f.record_outcome(now, gone[n - 40], (f"r{n - 40}", 0), READ, interface.SUCCESS, 0.04)
 
 
 def test_a_jam_of_a_large_fleet_is_seen_by_the_few_that_are_looked_at():
@@ -115,11 +115,13 @@
     for n in range(8000):  # 2000 a second come, 400 a second are answered, from the oldest on
         now = n / 2000
         worker = f.pick(now, READ, set())
-        late += f.overdue(now, 1.0)
+        late += f.is_overloaded(now, 1.0)
         f.record_sent(now, worker, (f"r{n}", 0), READ)
         if n % 5 == 0:
             key = next(iter(f._waiting))
-            f.returned(now, f._waiting[key][2].entry.worker, key, READ, interface.SUCCESS, now - f._waiting[key][0])
+            f.record_outcome(
+                now, f._waiting[key][2].entry.worker, key, READ, interface.SUCCESS, now - f._waiting[key][0]
+            )
     assert late > 4000
 
 
@@ -151,7 +153,7 @@
                 out[f"r{step}", 0] = worker
             case _ if out:
                 key = random.choice(list(out))
-                f.returned(now, out.pop(key), key, READ, interface.SUCCESS, 0.02)
+                f.record_outcome(now, out.pop(key), key, READ, interface.SUCCESS, 0.02)
         assert {w.entry.worker for w in f.subset.ring} == told and len(f.subset.ring) == f.usable_count == len(told)
         assert all(f.workers[w.entry.worker] is w and w.usable for w in f.subset.ring)
         assert set(f.workers) - told <= set(out.values())  # what is gone is kept while something is out there
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -5,7 +5,7 @@
 from micagate import interface
 from micagate.estimates.metering import STALE, Meter
 from micagate.quotas import AIMED, IDLE, Quotas
-from micagate.share_transfers import move
+from micagate.share_transfers import apply_share_update
 from rig.customers import Day, play, total
 from rig.driver import Driver, sends
 
@@ -231,7 +231,7 @@
 def test_what_planners_moved_is_not_run_ahead_of():
     # Parts that follow the traffic add up to the whole: running ahead of one of those would not.
     quotas, a = calm()
-    move(
+    apply_share_update(
         quotas,
         19.0,
         interface.ShareUpdate(1, 99.0, 99.0, changes=(interface.ResourceShare(a.key, 0.2, 0.0, 3),)),
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -7,7 +7,7 @@
 from micagate import interface
 from micagate.quotas import Quotas
 from micagate.resource_keys import customer_key, worker_key
-from micagate.share_transfers import move
+from micagate.share_transfers import apply_share_update
 from micagate.shares import MOVED, Shares
 from rig.driver import Driver, sends
 
@@ -22,24 +22,24 @@
 
 def test_the_divisor_is_the_count_to_the_letter_where_nothing_moved():
     shares = Shares()
-    assert shares.over(0.0, KEY, 3) == (3, 3)
-    shares.change(moved(lent=0.2))
-    assert shares.over(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 - 0.2), 1 / (1 / 3 - 0.2 * MOVED)))
-    assert shares.over(10.0, KEY, 3) == (3, 3)  # the end is past
-    shares.change(moved(borrowed=0.5))
-    assert shares.over(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 + 0.5), 1 / (1 / 3 + 0.5 * MOVED)))
-    shares.change(moved(lent=1 / 3))
-    assert shares.over(0.0, KEY, 3)[0] == math.inf
-    shares.change(interface.ShareUpdate(1, 10.0, 10.0, expired=True))
-    assert not shares and shares.over(0.0, KEY, 3) == (3, 3)
+    assert shares.divisors(0.0, KEY, 3) == (3, 3)
+    shares.apply(moved(lent=0.2))
+    assert shares.divisors(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 - 0.2), 1 / (1 / 3 - 0.2 * MOVED)))
+    assert shares.divisors(10.0, KEY, 3) == (3, 3)  # the end is past
+    shares.apply(moved(borrowed=0.5))
+    assert shares.divisors(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 + 0.5), 1 / (1 / 3 + 0.5 * MOVED)))
+    shares.apply(moved(lent=1 / 3))
+    assert shares.divisors(0.0, KEY, 3)[0] == math.inf
+    shares.apply(interface.ShareUpdate(1, 10.0, 10.0, expired=True))
+    assert not shares and shares.divisors(0.0, KEY, 3) == (3, 3)
 
 
 def test_sessions_add_up_and_each_ends_by_itself():
     shares = Shares()
-    shares.change(moved(1, lent=0.1, until=5.0))
-    shares.change(moved(2, lent=0.1, until=9.0))
-    assert shares.over(0.0, KEY, 2)[0] == pytest.approx(1 / 0.3)
-    assert shares.over(6.0, KEY, 2)[0] == pytest.approx(1 / 0.4)
+    shares.apply(moved(1, lent=0.1, until=5.0))
+    shares.apply(moved(2, lent=0.1, until=9.0))
+    assert shares.divisors(0.0, KEY, 2)[0] == pytest.approx(1 / 0.3)
+    assert shares.divisors(6.0, KEY, 2)[0] == pytest.approx(1 / 0.4)
 
 
 def spend(quotas, start, end, step=0.05, customer="c"):
@@ -57,12 +57,12 @@
 def test_a_lent_ceiling_is_spent_no_more_and_a_borrowed_one_fills_at_its_rate_from_nothing():
     quotas = Quotas(-60.0)
     quotas.account(0.0, "c", CAPPED, 2)
-    move(quotas, 0.0, moved(lent=0.45, until=10.0), PLANS)
+    apply_share_update(quotas, 0.0, moved(lent=0.45, until=10.0), PLANS)
     assert spend(quotas, 0.0, 10.0) <= (0.5 - 0.45 * MOVED) * 40 + 0.05 * 20 * 10 + 1
     assert spend(quotas, 10.0, 15.0) <= 0.05 * 40 + 0.5 * 20 * 5 + 1  # it does not come back full
     borrower = Quotas(-60.0)
     spend(borrower, 0.0, 2.0, step=0.01)  # its own part is spent
-    move(borrower, 2.0, moved(borrowed=0.45, until=10.0), PLANS)
+    apply_share_update(borrower, 2.0, moved(borrowed=0.45, until=10.0), PLANS)
     assert 0.95 * 20 * 4 - 5 <= spend(borrower, 2.0, 6.0, step=0.01) <= 0.95 * 20 * 4 + 5
 
 
@@ -74,8 +74,8 @@
         if turn % 40 == 0:
             lender, borrower = pair if turn % 80 else pair[::-1]
             until = now + 1.5
-            freed = move(lender, now, moved(1, lent=0.4, until=until), PLANS)
-            move(
+            freed = apply_share_update(lender, now, moved(1, lent=0.4, until=until), PLANS)
+            apply_share_update(
                 borrower,
                 now,
                 interface.ShareUpdate(1, until, until, (interface.ResourceShare(KEY, 0.0, 0.4),), tuple(freed)),
@@ -97,7 +97,7 @@
 def test_a_gateway_that_slept_past_the_end_of_what_it_borrowed_spends_none_of_it():
     quotas = Quotas(-60.0)
     quotas.account(0.0, "c", CAPPED, 2)
-    move(quotas, 0.0, moved(borrowed=0.5, until=1.5), PLANS)
+    apply_share_update(quotas, 0.0, moved(borrowed=0.5, until=1.5), PLANS)
     account = quotas.account(100.0, "c", CAPPED, 2)
     assert account.ceiling_balance <= 20 and account.rate_divisor == 2
 
@@ -107,23 +107,23 @@
     spend(borrower, 0.0, 4.0, step=0.01)
     there = borrower.account(4.0, "c", CAPPED, 2)
     level = there.ceiling_balance
-    (freed,) = move(
+    (freed,) = apply_share_update(
         lender, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.4, 0.0, 2),)), PLANS
     )
     moved_on = 0.4 * MOVED  # of the stores less moves than of the rate
     assert freed.quota == pytest.approx(moved_on) and freed.ceiling == pytest.approx(moved_on)
     assert lender.account(4.0, "c", CAPPED, 2).ceiling_balance == pytest.approx((0.5 - moved_on) * 40)
-    assert not move(
+    assert not apply_share_update(
         borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.0, 0.4, 2),), (freed,)), PLANS
     )
     assert there.ceiling_balance == pytest.approx(level + moved_on * 40)
-    (back,) = move(
+    (back,) = apply_share_update(
         borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.0, 0.0, 2),)), PLANS
     )
     assert back.ceiling * 40 + there.ceiling_balance == pytest.approx(level + moved_on * 40)
     # A share that comes with more than it holds spills; a thing of an unknown plan is left.
     fills = interface.BucketLevels(KEY, 1.0, 1.0), interface.BucketLevels("c/none/c", 1.0, 1.0)
-    move(borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (), fills), PLANS)
+    apply_share_update(borrower, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (), fills), PLANS)
     assert there.ceiling_balance == pytest.approx(20) and there.balance == pytest.approx(10)
 
 
@@ -134,7 +134,7 @@
     for second in range(6):
         account = quotas.account(second, "c", plan, 3)
         account.demand += 12.0
-        move(
+        apply_share_update(
             quotas,
             second,
             interface.ShareUpdate(1, second + 1.5, second + 1.5, (interface.ResourceShare(key, 0.0, 0.6),)),
--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -31,7 +31,7 @@
 
 def serve(fleet, now, name, took=0.1, status=interface.SUCCESS):
     fleet.record_sent(now, name, (name, int(now * 1000)), READ)
-    fleet.returned(now + took, name, (name, int(now * 1000)), READ, status, took)
+    fleet.record_outcome(now + took, name, (name, int(now * 1000)), READ, status, took)
 
 
 def test_an_arc_holds_so_many_that_are_fit_and_tells_how_many_share_a_worker():
@@ -161,7 +161,10 @@
 
 def test_few_gateways_go_by_their_parts_as_before():
     quotas = Quotas(0.0, period=0.5)
-    assert sliver(quotas, 0.0, 30).quota_estimate.sliver() and not sliver(Quotas(0.0), 0.0, 3).quota_estimate.sliver()
+    assert (
+        sliver(quotas, 0.0, 30).quota_estimate.has_thin_share()
+        and not sliver(Quotas(0.0), 0.0, 3).quota_estimate.has_thin_share()
+    )
 
 
 def test_a_reading_counts_where_the_meters_times_are_not_known_and_the_part_is_a_sliver():
--- a/tests/decisions/test_throttle.py
+++ b/tests/decisions/test_throttle.py
@@ -149,7 +149,7 @@
     assert all(sends(d.ask("dear")[1]) for _ in range(4))
     d.now += 0.2
     fleet = d.gateway.fleet
-    assert fleet.overdue(d.now, 0.0, 0.5) and not fleet.overdue(d.now, 0.0)
+    assert fleet.is_overloaded(d.now, 0.0, 0.5) and not fleet.is_overloaded(d.now, 0.0)
     assert sends(d.ask("cheap")[1])  # no control: all alike
     d.gateway.throttle.active, d.gateway.throttle.base_rate, d.gateway.throttle.rate = True, 10.0, 10.0
     d.gateway.throttle.bucket_level = 0.0
--- a/tests/endings/test_hedges.py
+++ b/tests/endings/test_hedges.py
@@ -46,7 +46,7 @@
             def begin(self, headers, length, source):
                 replies.append(200)
 
-            def more(self, data):
+            def write(self, data):
                 return True
 
             def end(self):
--- a/tests/estimates/test_metering.py
+++ b/tests/estimates/test_metering.py
@@ -31,7 +31,7 @@
         self.true[name].take(self.now, units)
         self.sends[name].append((self.now, units))
         whole = self.wholes[name][gateway]
-        whole.sent(self.now, units, self.period / 32)
+        whole.record_sent(self.now, units, self.period / 32)
         whole.reading(self.now + 0.05, self.told(name, self.now + 0.05), self.meters[gateway])
 
     def told(self, name, now):
@@ -86,7 +86,7 @@
     whole, now = QuotaEstimate(6.0, 24.0, 2, 0.0, 12.0), 0.0
     for _ in range(800):
         now += random.expovariate(4.0)
-        whole.sent(now, 1.0, 0.06)
+        whole.record_sent(now, 1.0, 0.06)
         whole.reading(now, random.choice((0.0, 0.3, 9.0, 40.0)), meter)
     assert not meter.known() and whole.told is None
 
@@ -139,18 +139,18 @@
     whole.advance(world.now)
     before = whole.others()
     for _ in range(8):
-        whole.sent(world.now, 1.0, 0.06)
+        whole.record_sent(world.now, 1.0, 0.06)
     assert whole.others() > before + 1.0
     assert whole.spare(world.now, 0.85) < whole.spare(world.now, 0.5) == whole.level
 
 
 def test_units_beyond_an_at_once_cap_take_nothing():
     full, half = (QuotaEstimate(6.0, 24.0, 2, 0.0, 24.0) for _ in range(2))
-    full.sent(0.0, 4.0, 0.06)
-    half.sent(0.0, 4.0, 0.06, 0.5)
+    full.record_sent(0.0, 4.0, 0.06)
+    half.record_sent(0.0, 4.0, 0.06, 0.5)
     assert (full.level, half.level) == (20.0, 22.0)
     for _ in range(9):
-        full.sent(0.0, 4.0, 0.06)
+        full.record_sent(0.0, 4.0, 0.06)
     assert full.level == 0.0
 
 
@@ -172,7 +172,7 @@
 def test_units_that_come_back_late_make_no_negative_use():
     """They were counted as sent, faded since, and were taken off in full: the next request failed as a fault."""
     whole = QuotaEstimate(10.0, 20.0, 4, 0.0, 20.0)
-    whole.sent(0.0, 5.0, 0.1)
-    whole.unsent(30.0, 5.0)
+    whole.record_sent(0.0, 5.0, 0.1)
+    whole.record_unsent(30.0, 5.0)
     assert whole.others() >= 0.0
     assert whole.spare(31.0, 0.9) <= 20.0
--- a/tests/planners/test_paces.py
+++ b/tests/planners/test_paces.py
@@ -94,7 +94,8 @@
         for n in range(8):
             shares = [holder.share(made.clock.now, worker_key(f"w{n}"), FORWARDERS) for holder in made.holders]
             parts = [
-                1.0 / gate.fleet._shares.over(made.clock.now, worker_key(f"w{n}"), FORWARDERS)[0] for gate in made.gates
+                1.0 / gate.fleet._shares.divisors(made.clock.now, worker_key(f"w{n}"), FORWARDERS)[0]
+                for gate in made.gates
             ]
             borrowed = max(borrowed, max(parts) - 1 / FORWARDERS)
             assert sum(shares) <= 1 + 1e-6 and sum(parts) <= 1 + 1e-6, (step, n)
--- a/tests/recovery/test_persisted_state.py
+++ b/tests/recovery/test_persisted_state.py
@@ -35,7 +35,7 @@
         after.fleet.shortest_usual_latency == d.gateway.fleet.shortest_usual_latency < 0.1
         and after.fleet.usual_latency(after.classes["read"]) < 0.1
     )
-    assert after.budget == d.gateway.budget / 2 and kept.pace() > 0
+    assert after.retry_budget == d.gateway.retry_budget / 2 and kept.pace() > 0
 
 
 @pytest.mark.parametrize("case", [Case(Disk.OLD), Case(Disk.OTHER), Case(Disk.OWN, age=7200.0), Case(Disk.NONE)])
