--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -25,14 +25,13 @@
 
 import uvloop
 
-from micagate import Gateway, Plan, RequestClass, Settings
-from micagate import interface as i
-from oliveloft.takeover.giver import Giver
-from oliveloft.takeover.taker import Taker
+from micagate import Gateway, Plan, RequestClass, Settings, interface
+from oliveloft.takeover.predecessor import Predecessor
+from oliveloft.takeover.successor import Successor
 from rig.bulk import BulkClient, BulkWorker, at_once, check
-from rig.house import House, Load
+from rig.fake_servers import Client, Gatekeeper, Worker, config, run, scene, spawn, until
 from rig.memory import highest
-from rig.scripted import Client, Gatekeeper, Worker, config, run, scene, spawn, until
+from rig.process_host import House, Load
 
 BEFORE = "ac3768b"  # the version before long bodies
 MB = 1 << 20
@@ -151,11 +150,11 @@
     """So many customers handed over, both sides in one loop: how long it takes, and its longest step."""
     loop = asyncio.get_running_loop()
     plan = Plan("basic", rate=1.0, burst=4.0)
-    settings = Settings((RequestClass("read", aim=1.0, deadline=2.0),), (plan,), accounts=2 * customers)
+    settings = Settings((RequestClass("read", aim=1.0, deadline=2.0),), (plan,), max_accounts=2 * customers)
     giving, taking = Gateway(settings, 1, loop.time()), Gateway(settings, 2, loop.time())
     for n in range(customers):
         account = giving.quotas.account(loop.time(), f"{n:016x}", plan, 2)
-        giving.quotas.take(account, 1.0, True)
+        giving.quotas.spend(account, 1.0, True)
     longest, ended, random = 0.0, False, Random(3)
 
     async def tick() -> None:
@@ -173,9 +172,9 @@
             await asyncio.sleep(0.01)
 
     with tempfile.TemporaryDirectory() as folder:
-        giver = Giver(loop, "bench", folder, giving, Side(), loop.time)
+        giver = Predecessor(loop, "bench", folder, giving, Side(), loop.time)
         giver.listen()
-        taker = Taker(loop, "bench", taking, Side(), loop.time, lambda event: None)
+        taker = Successor(loop, "bench", taking, Side(), loop.time, lambda event: None)
         tasks = [asyncio.create_task(tick()), asyncio.create_task(use())]
         began = time.perf_counter()
         good = await taker.take(folder)
@@ -183,7 +182,7 @@
         ended = True
         await asyncio.gather(*tasks)
         giver.stop()
-    assert good and len(taking.quotas.table) == customers, (good, len(taking.quotas.table))
+    assert good and len(taking.quotas.accounts) == customers, (good, len(taking.quotas.accounts))
     return {"handover_ms": round(1000 * took), "longest_pause_ms": round(1000 * longest, 1), "customers": customers}
 
 
@@ -253,32 +252,32 @@
             (Plan("basic"),),
             gateways=4,
             number=seed % 4,
-            cold_from=0.2,
-            ramp_time=8.0,
+            slow_start_min_factor=0.2,
+            slow_start_duration=8.0,
         )
         gateway = Gateway(settings, seed, 0.0)
         names = [f"w{n}" for n in range(60)]
-        gateway.handle(0.0, i.WorkerList(tuple(i.WorkerEntry(name) for name in names), whole=True))
+        gateway.handle(0.0, interface.WorkerList(tuple(interface.WorkerEntry(name) for name in names), whole=True))
         now, back, victim = 0.0, 0.0, random.choice(names)
         open_: list[tuple[float, str, str]] = []
         for n in range(3000):
             now += random.expovariate(300.0)
             if n == 1000:
-                gateway.handle(now, i.Maintain(victim, True))
+                gateway.handle(now, interface.SetMaintenance(victim, True))
             if n == 1500:
-                gateway.handle(now, i.Maintain(victim, False))
+                gateway.handle(now, interface.SetMaintenance(victim, False))
                 back = now
             while open_ and open_[0][0] <= now:
                 due, name, worker = open_.pop(0)
-                gateway.handle(due, i.Outcome(name, 0, worker, i.SUCCESS, terminal=True, took=0.05))
-            for action in gateway.handle(now, i.Request(f"r{n}", "read", "basic", f"{n:016x}", 4.0)):
-                if isinstance(action, i.Send):
+                gateway.handle(due, interface.Outcome(name, 0, worker, interface.SUCCESS, terminal=True, took=0.05))
+            for action in gateway.handle(now, interface.Request(f"r{n}", "read", "basic", f"{n:016x}", 4.0)):
+                if isinstance(action, interface.Send):
                     open_.append((now + 0.05, f"r{n}", action.worker))
             known = gateway.fleet.workers.get(victim)
             if n > 1500 and known is not None:
                 # A warm one serves this gateway 300 / 60 a second; of that so much, and twice that over its span.
                 warm = min(1.0, 0.2 + 0.8 * (now - back) / 8.0)
-                falls += len(known.out) > max(1.0, 2 * warm * 300 / 60)
+                falls += len(known.in_flight) > max(1.0, 2 * warm * 300 / 60)
     return {"cold_falls": falls}
 
 
--- a/benchmarks/power_loss.py
+++ b/benchmarks/power_loss.py
@@ -23,18 +23,18 @@
 
 from benchmarks.operations import handover
 from micagate import Gateway, Plan, RequestClass, Settings
-from micagate.recovery.kept import Walk
+from micagate.recovery.persisted_state import Walk
 from micagate.recovery.stages import Limits, Recovery
 from oliveloft.memory.files import PlainDisk
 from oliveloft.memory.log import Log
 from rig.capacity import Capacity
+from rig.crash_recovery import SURE, Variant, play
 from rig.engines import compare
+from rig.fleet_restart import Return
 from rig.gossip import Gossip
+from rig.limited_worker import overspent
 from rig.members import MemberSite
-from rig.modelled import overspent
 from rig.power import Loss, all_knowing, asked, back, everywhere, served
-from rig.remembering import SURE, Variant, play
-from rig.returns import Return
 from rig.traffic import Traffic
 
 Figures = dict[str, Any]
@@ -238,8 +238,8 @@
 
 def walk(customers: int) -> Figures:
     """The longest step of the walk over so many customers, each of whom asks once in three seconds."""
-    plan = Plan("basic", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_depth=8.0)
-    gateway = Gateway(Settings((RequestClass("read", 1.0, 2.0),), (plan,), accounts=2 * customers), 1, 0.0)
+    plan = Plan("basic", rate=1.0, burst=4.0, ceiling_rate=2.0, ceiling_capacity=8.0)
+    gateway = Gateway(Settings((RequestClass("read", 1.0, 2.0),), (plan,), max_accounts=2 * customers), 1, 0.0)
     for n in range(customers):
         gateway.quotas.account(0.0, f"{n:016x}", plan, 2)
     going, random, longest, now, rows = Walk(gateway, 0.0), Random(1), 0.0, 0.0, 0
@@ -276,7 +276,9 @@
     began, stall = fleet.clock.now, None
     while stall is None and fleet.clock.now - began < 6.0:
         fleet.run(0.05)
-        if all(node.life is None or other == name or not node.life.there(name) for other, node in fleet.nodes.items()):
+        if all(
+            node.life is None or other == name or not node.life.is_alive(name) for other, node in fleet.nodes.items()
+        ):
             stall = fleet.clock.now - began
     return {
         "members": count,
@@ -325,14 +327,14 @@
     fleet.run(1.0)
     node = fleet.nodes["g000"]
     assert node.life is not None
-    node.life.say(fleet.wall(node), "ban", "w", "out")
+    node.life.publish_fact(fleet.wall(node), "ban", "w", "out")
     fleet.run(0.5)
     old = list(node.life.facts)
     for name in fleet.names:
         fleet.nodes[name].wall = random.choice((0.0, 3600.0, -3600.0))  # clocks are stepped
     speaker = fleet.nodes["g001"]
     assert speaker.life is not None
-    speaker.life.say(fleet.wall(speaker), "ban", "w", "in")  # called back, later
+    speaker.life.publish_fact(fleet.wall(speaker), "ban", "w", "in")  # called back, later
     fleet.lost = 0.05
     fleet.run(0.3)
     restarted = []
@@ -355,7 +357,7 @@
     life = fleet.start("g000")
     if not last_word:
         for fact in old:
-            life.say(fleet.wall(node) + 7200, fact.kind, fact.key, fact.value)
+            life.publish_fact(fleet.wall(node) + 7200, fact.kind, fact.key, fact.value)
     fleet.lost = 0.0
     if fleet.settled(12.0) is None:
         return False
@@ -383,7 +385,7 @@
     case.lose()
     case.front = [0, 1]
     for gate in case.gates:
-        gate.fleet.among = 2 if by_who_is_up else case.count
+        gate.fleet.gateway_count = 2 if by_who_is_up else case.count
     return sum(case.served(3.0))
 
 
--- a/micagate/membership/messages.py
+++ b/micagate/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other, and checks of what others say: shapes only, over any wire."""
+"""Messages between fleet members and their validation, independent of the transport."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 LONGEST = 256  # characters of a name, a kind or a key
 ALIVE, SUSPECT, DEAD = "alive", "suspect", "dead"
 RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
-GONE, SILENT = "gone", "silent"  # why: its machine refuses, or nothing is heard
+GONE, SILENT = "gone", "silent"  # cause: its machine refuses connections, or nothing is received
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a member: which life of it, the version of what it says of itself, and whether it is there.
+    """What is known of a member: its incarnation, the version of its own data, and its status.
 
-    Only the member raises `version`; `by` and `cause` are of those that suspect it. `about` is what it says: its stage,
-    health, versions and how its last life ended, plain values.
+    Only the member raises `version`; `by` and `cause` come from those that suspect it. `about` is its own data: stage,
+    health, versions and how its last incarnation ended, as plain values.
     """
 
     name: str
-    boot: int
+    incarnation: int
     version: int
     status: str = ALIVE
     by: tuple[str, ...] = ()
@@ -33,12 +33,12 @@
     about: dict[str, Any] = {}  # noqa: RUF012 - msgspec copies it
 
     def order(self) -> tuple[int, int, int]:
-        """A later record has a greater one."""
-        return self.boot, self.version, RANK[self.status]
+        """Return the sort key of the record; a later record has a greater one."""
+        return self.incarnation, self.version, RANK[self.status]
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True):
-    """Something that holds for the whole fleet until somebody says otherwise later."""
+    """A value that holds for the whole fleet until a later one of the same kind and key replaces it."""
 
     kind: str
     key: str
@@ -46,10 +46,10 @@
     value: Any
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """A sign of life: `number` counts the sender's on this link, `seen` is the last of the other side's that it heard.
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=32):
+    """A heartbeat: `number` counts the sender's on this link, `seen` is the last that it received from the other side.
 
-    `wall` is the sender's Unix time, `digest` what it has of all records and facts; the rest is news.
+    `wall` is the sender's Unix time, `digest` that of all its records and facts; the rest is what has changed.
     """
 
     number: int
@@ -60,28 +60,28 @@
     facts: tuple[Fact, ...] = ()
 
 
-class Sums(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """All that the sender has, by number and stamp alone; `answer`: the other side is to say the same."""
+class StateSummary(msgspec.Struct, frozen=True, array_like=True, tag=33):
+    """All that the sender has, by number and stamp alone; `answer`: the other side is to reply in kind."""
 
     records: tuple[tuple[str, int, int, int], ...]
     facts: tuple[tuple[str, str, Stamp], ...]
     answer: bool
 
 
-class Asks(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """A member that comes back asks what is known of it: `boot` is its last life that it remembers, 0 if none, `life`
+class RecoveryQuery(msgspec.Struct, frozen=True, array_like=True, tag=34):
+    """A restarted member asks what is known of it: `boot` is its last persisted incarnation, 0 if none, `life`
     the present one."""
 
     boot: int
     life: int
 
 
-class Knows(msgspec.Struct, frozen=True, array_like=True, tag=35):
-    """What a member knows of one that asks: its latest life that was heard of, when it was last heard, and the fleet's.
+class RecoveryAnswer(msgspec.Struct, frozen=True, array_like=True, tag=35):
+    """What a member knows of one that asks: its latest known incarnation, when it was last heard, and fleet values.
 
-    `boot` is its latest life before the present one that was heard of, 0: none. `ago` is seconds since it was last
-    heard in that, negative where that is not known; `void`: it has said there that its memory is not to be believed.
-    `up` is how long the sender is up; `back`: it is itself coming back. `workers` has what is known of workers'
+    `boot` is its latest known incarnation before the present one, 0: none. `ago` is seconds since it was last
+    heard in that, negative where that is not known; `distrusted`: it has declared its persisted state invalid.
+    `up` is how long the sender is up; `recovering`: it is itself recovering. `workers` has what is known of workers'
     warmth and health: name, share of a warm one's pace, whether it fails.
     """
 
@@ -89,13 +89,13 @@
     ago: float
     wall: float
     up: float
-    back: bool
+    recovering: bool
     workers: tuple[tuple[str, float, bool], ...] = ()
     pace: float = 0.0  # served a second here, of late
-    void: bool = False
+    distrusted: bool = False
 
 
-Message = Beat | Sums | Asks | Knows
+Message = Heartbeat | StateSummary | RecoveryQuery | RecoveryAnswer
 
 
 def _name(text: str) -> None:
@@ -111,30 +111,30 @@
 def check(message: Message) -> None:
     """Malformed where a message says what no member would."""
     match message:
-        case Beat():
+        case Heartbeat():
             if len(message.records) > MOST or len(message.facts) > MOST:
                 raise Malformed("too many entries")
             if not math.isfinite(message.wall) or message.number < 0 or message.seen < 0:
                 raise Malformed("a beat's numbers")
             for record in message.records:
                 _name(record.name)
-                if record.status not in RANK or record.boot < 0 or record.version < 0 or len(record.by) > 64:
+                if record.status not in RANK or record.incarnation < 0 or record.version < 0 or len(record.by) > 64:
                     raise Malformed(f"a record of {record.name[:64]!r}")
             for fact in message.facts:
                 _name(fact.kind)
                 _name(fact.key)
                 _stamp(fact.stamp)
-        case Sums():
+        case StateSummary():
             for _, _, stamp in message.facts:
                 _stamp(stamp)
             if any(rank not in (0, 1, 2) for _, _, _, rank in message.records):
                 raise Malformed("a rank")
-        case Knows():
+        case RecoveryAnswer():
             for name, pace, _ in message.workers:
                 _name(name)
                 if not 0 <= pace <= 1:
                     raise Malformed(f"a pace of {pace!r}")
             if not all(map(math.isfinite, (message.ago, message.wall, message.up, message.pace))):
                 raise Malformed("a time")
-        case Asks():
+        case RecoveryQuery():
             pass
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -11,37 +11,48 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from micagate import interface as i
+from micagate import interface
 
+# The written name of each class, which never changes. A field is written under its own name, or under that of its
+# metadata `WRITTEN`.
 _KINDS: dict[str, type[Any]] = {
-    kind.__name__: kind
-    for kind in (
-        i.WorkerEntry,
-        i.WorkerList,
-        i.Request,
-        i.Outcome,
-        i.StreamStarted,
-        i.TimerFired,
-        i.Abandoned,
-        i.Send,
-        i.Refuse,
-        i.Fail,
-        i.Cancel,
-        i.SetTimer,
-        i.Subscribe,
-        i.RequestClass,
-        i.Plan,
-        i.Settings,
-        i.Share,
-        i.Shares,
-        i.Fill,
-        i.Freed,
-        i.Survey,
-        i.Tally,
-        i.Tallies,
-        i.Pace,
-        i.Work,
-    )
+    "WorkerEntry": interface.WorkerEntry,
+    "WorkerList": interface.WorkerList,
+    "Request": interface.Request,
+    "Outcome": interface.Outcome,
+    "StreamStarted": interface.StreamStarted,
+    "TimerFired": interface.TimerFired,
+    "Abandoned": interface.ClientDisconnected,
+    "Send": interface.Send,
+    "Refuse": interface.Refuse,
+    "Fail": interface.Fail,
+    "Cancel": interface.Cancel,
+    "SetTimer": interface.SetTimer,
+    "Subscribe": interface.Subscribe,
+    "RequestClass": interface.RequestClass,
+    "Plan": interface.Plan,
+    "Settings": interface.Settings,
+    "Share": interface.ResourceShare,
+    "Shares": interface.ShareUpdate,
+    "Fill": interface.BucketLevels,
+    "Freed": interface.ReleasedLevels,
+    "Survey": interface.DemandQuery,
+    "Tally": interface.ResourceDemand,
+    "Tallies": interface.DemandReport,
+    "Pace": interface.WorkerCapacity,
+    "Work": interface.WorkerLoad,
+}
+_NAMES = {kind: name for name, kind in _KINDS.items()} | {  # the last six are written, but not read back
+    interface.RequestComplete: "Whole",
+    interface.StopRetrying: "Ending",
+    interface.CounterAdd: "Count",
+    interface.CounterResult: "Counted",
+    interface.SetMaintenance: "Maintain",
+    interface.MaintenanceResult: "Maintained",
+}
+_ATTRIBUTES = {
+    kind: {field.metadata.get(interface.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
+    for kind in _KINDS.values()
 }
 
 
@@ -56,11 +67,11 @@
     if not dataclasses.is_dataclass(value):
         return value
     fields = {
-        field.name: pack(getattr(value, field.name))
+        field.metadata.get(interface.WRITTEN, field.name): pack(getattr(value, field.name))
         for field in dataclasses.fields(value)
         if getattr(value, field.name) != field.default
     }
-    return {"": type(value).__name__, **fields}
+    return {"": _NAMES.get(type(value), type(value).__name__), **fields}
 
 
 def unpack(raw: Any) -> Any:
@@ -72,7 +83,8 @@
     kind = _KINDS.get(raw.get("", ""))
     if kind is None:
         raise ValueError(f"unknown kind {raw.get('')!r}")
-    return kind(**{name: unpack(value) for name, value in raw.items() if name})
+    attributes = _ATTRIBUTES[kind]
+    return kind(**{attributes.get(name, name): unpack(value) for name, value in raw.items() if name})
 
 
 class Recorder:
@@ -80,8 +92,8 @@
 
     def __init__(
         self,
-        handle: Callable[[float, i.Event], list[i.Action]],
-        settings: i.Settings,
+        handle: Callable[[float, interface.Event], list[interface.Action]],
+        settings: interface.Settings,
         seed: int,
         now: float,
         write: Callable[[str], object],
@@ -89,7 +101,7 @@
         self._handle, self._write = handle, write
         write(json.dumps({"settings": pack(settings), "seed": seed, "now": now}))
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Handle an event and record it with what it called for."""
         actions = self._handle(now, event)
         self._write(json.dumps([now, pack(event), [pack(action) for action in actions]], separators=(",", ":")))
@@ -102,15 +114,15 @@
 
     line: int
     now: float
-    event: i.Event
-    actions: list[i.Action]
+    event: interface.Event
+    actions: list[interface.Action]
 
 
-def read(lines: Iterable[str]) -> tuple[i.Settings, int, float, Iterator[Step]]:
+def read(lines: Iterable[str]) -> tuple[interface.Settings, int, float, Iterator[Step]]:
     """Settings, seed and start of a trace, and its steps; TraceError names the line that is wrong."""
     numbered = enumerate(lines, 1)
 
-    def head() -> tuple[i.Settings, int, float]:
+    def head() -> tuple[interface.Settings, int, float]:
         for number, line in numbered:
             try:
                 raw = json.loads(line)
--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -8,15 +8,15 @@
 import socket
 from collections.abc import Iterable, Iterator
 
-from micagate import interface as i
-from micagate.bodies import keeping
+from micagate import interface
+from micagate.bodies import buffering
 from micagate.invariants import EndpointState, Reason
 from oliveloft.backend.attempt import Attempt
 from oliveloft.backend.connection import Connection, EndpointIncarnation
+from oliveloft.backend.idle_timeout import IdleTimeout
 from oliveloft.backend.limits import MAX_BODY
-from oliveloft.backend.rest import Rest
 from oliveloft.guard import Guard
-from oliveloft.shapes import Endpoint
+from oliveloft.shared_types import Endpoint
 
 # Once a second answer has come some time behind a first: for so many seconds no connection is used again before it has
 # rested for so many. Harm: more connections where many requests follow each other closely.
@@ -52,13 +52,13 @@
         connect_timeout: float,
         idle_close: float,
         max_body: int = MAX_BODY,
-        longest: int = keeping.LONGEST,
+        longest: int = buffering.LONGEST,
         guard: Guard | None = None,
     ) -> None:
         self.guard = Guard() if guard is None else guard
         self.loop, self.max_body, self.longest = loop, max_body, max(longest, max_body)
         self._limit, self._connect_timeout = limit, connect_timeout
-        self.rest = Rest(IDLE_SHARE * idle_close, loop.time())
+        self.rest = IdleTimeout(IDLE_SHARE * idle_close, loop.time())
         self.settles, self._strays = SETTLES, loop.time()  # up to when second answers are reckoned with
         self._processes: dict[str, EndpointIncarnation] = {}
         self._open: set[Connection] = set()
@@ -71,7 +71,7 @@
             entry = endpoint.entry
             named.add(entry.worker)
             process = self._processes.get(entry.worker)
-            if entry.state == i.GONE:
+            if entry.state == interface.REMOVED:
                 if process is not None:
                     process.retire(EndpointState.REMOVED)
                     del self._processes[entry.worker]
@@ -82,11 +82,11 @@
                 process = self._processes[entry.worker] = EndpointIncarnation(
                     entry.worker, endpoint.address, entry.started
                 )
-            if entry.state == i.HEALTHY and entry.worker not in self._banned:
+            if entry.state == interface.HEALTHY and entry.worker not in self._banned:
                 process.state = EndpointState.READY
             else:
                 process.retire(EndpointState.DRAINING)
-            process.listed = entry.state == i.HEALTHY
+            process.listed = entry.state == interface.HEALTHY
         if whole:
             for name in [name for name in self._processes if name not in named]:
                 self._processes.pop(name).retire(EndpointState.REMOVED)
@@ -157,14 +157,14 @@
                 endpoint=attempt.worker,
                 state=state.value,
             )
-            attempt.finish(i.VOID)
+            attempt.finish(interface.NOT_SENT)
             return
         if (idle := self._rested(process, now)) is not None:
             idle.send(attempt, now - idle.idle_since)
             return
         if len(self._open) >= self._limit and not self._make_room():
             # Guards against running out of descriptors: it was never sent, and no worker is to blame.
-            attempt.finish(i.VOID)
+            attempt.finish(interface.NOT_SENT)
             return
         connection = Connection(self, process, attempt)
         attempt.connection = connection
--- a/oliveloft/dispatch/dispatcher.py
+++ b/oliveloft/dispatch/dispatcher.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 from micagate.invariants import (
     AttemptLimits,
@@ -20,11 +20,11 @@
     attempt_refusal,
     reply_refusal,
 )
-from oliveloft.backend.attempt import Answer, Attempt
+from oliveloft.backend.attempt import Attempt, Response
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.bodies.body import Body
 from oliveloft.counter.client import Counter
-from oliveloft.shapes import News, Sink, Source
+from oliveloft.shared_types import BodySource, DiscoveryUpdate, ResponseSink
 
 log = logging.getLogger("oliveloft")
 
@@ -49,14 +49,20 @@
     )
 
     def __init__(
-        self, event: i.Request, head: bytes, body: bytes | Body, deadline: float, reply: Reply, sink: Sink | None = None
+        self,
+        event: interface.Request,
+        head: bytes,
+        body: bytes | Body,
+        deadline: float,
+        reply: Reply,
+        sink: ResponseSink | None = None,
     ) -> None:
         self.event, self.head, self.body, self.deadline = event, head, body, deadline
         self.reply: Reply | None = reply
         self.sink = sink  # where a long answer may go
         self.attempts: list[Attempt] = []
         self.out = 0
-        self.state = RequestState.PENDING if event.whole else RequestState.ARRIVING
+        self.state = RequestState.PENDING if event.complete else RequestState.ARRIVING
         self.timer: asyncio.TimerHandle | None = None
         self.timers: list[asyncio.TimerHandle] = []  # the module's
 
@@ -76,7 +82,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: i.Settings,
+        settings: interface.Settings,
         module: Gateway,
         workers: ConnectionPool,
         counter: Counter | None = None,
@@ -84,30 +90,36 @@
         self._loop, self._settings, self._module, self._workers = loop, settings, module, workers
         self.guard = workers.guard
         self._classes = {klass.name: klass for klass in settings.classes}
-        self._limits = AttemptLimits(settings.max_attempts, settings.second_copies)
+        self._limits = AttemptLimits(settings.max_attempts, settings.hedging)
         self._requests: dict[str, Request] = {}
         self._counter = counter
-        self._inbox: deque[tuple[i.Event, str]] = deque()  # events, and the request that each is about
+        self._inbox: deque[tuple[interface.Event, str]] = deque()  # events, and the request that each is about
         self._busy = False
         # Told of each attempt once another process takes this one's place.
         self.began: Callable[[str, int], None] | None = None
-        self.ended: Callable[[Attempt, i.Outcome], None] | None = None
+        self.ended: Callable[[Attempt, interface.Outcome], None] | None = None
 
     def holds(self, name: str) -> bool:
         """Whether a request of this id is still held, or an attempt of it still out."""
         return name in self._requests
 
     def submit(
-        self, event: i.Request, head: bytes, body: bytes | Body, deadline: float, reply: Reply, sink: Sink | None = None
+        self,
+        event: interface.Request,
+        head: bytes,
+        body: bytes | Body,
+        deadline: float,
+        reply: Reply,
+        sink: ResponseSink | None = None,
     ) -> Request:
         """Take in a request; `reply` is called once unless the client leaves before, or a long answer began."""
         request = self._requests[event.request] = Request(event, head, body, deadline, reply, sink)
-        if event.whole:
+        if event.complete:
             request.timer = self._loop.call_at(deadline, self._expired, request)
         self._hand(event, event.request)
         return request
 
-    def whole(self, request: Request) -> None:
+    def request_complete(self, request: Request) -> None:
         """The last byte of a request has come: its time counts from now."""
         if request.ended:
             return
@@ -123,7 +135,7 @@
     def _told(self, request: Request) -> None:
         if request.state is RequestState.ARRIVING:
             request.state = RequestState.PENDING
-            self._hand(i.Whole(request.event.request, request.kept()), request.event.request)
+            self._hand(interface.RequestComplete(request.event.request, request.kept()), request.event.request)
 
     def _written(self, attempt: Attempt) -> None:
         """A worker has all of a request."""
@@ -132,7 +144,9 @@
             attempt.began = self._loop.time()  # a worker begins with the last byte
             self._told(request)
 
-    def _begins(self, attempt: Attempt, answer: Answer, length: int | None, source: Source) -> Sink | None:
+    def _begins(
+        self, attempt: Attempt, answer: Response, length: int | None, source: BodySource
+    ) -> ResponseSink | None:
         """A long answer begins: where it goes, or None where nobody takes it."""
         request = self._requests[attempt.request]
         sink = request.sink
@@ -145,11 +159,11 @@
         self._take_back(request)
         name = attempt.request
         attempt.first = self._loop.time()
-        self._hand(i.StreamStarted(name, attempt.number, attempt.worker, attempt.first - attempt.began), name)
+        self._hand(interface.StreamStarted(name, attempt.number, attempt.worker, attempt.first - attempt.began), name)
         sink.begin(b"".join(answer.headers), length, source)
         return sink
 
-    def abandon(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """The client has left: nothing of its request goes out any more.
 
         What a worker has whole runs to its end. What the client has not sent whole can't go on: the worker sees that,
@@ -157,10 +171,10 @@
         """
         if not request.ended:
             self._close(request, RequestState.CLIENT_GONE)
-            self._hand(i.Abandoned(request.event.request), request.event.request)
+            self._hand(interface.ClientDisconnected(request.event.request), request.event.request)
         if isinstance(request.body, Body) and not request.body.whole:
             for attempt in request.attempts:
-                attempt.give_up(i.CANCELLED)
+                attempt.cancel(interface.CANCELLED)
 
     def leave(self) -> None:
         """The process ends before the time of what is held: whoever still waits hears so now, once.
@@ -170,19 +184,19 @@
         for name, request in list(self._requests.items()):
             if request.ended:
                 continue
-            self._hand(i.Ending(name), name)
+            self._hand(interface.StopRetrying(name), name)
             for attempt in list(request.attempts):
                 if attempt.unsent():
-                    attempt.take_back()
+                    attempt.withdraw()
                 else:
-                    attempt.give_up(i.TIMED_OUT)
+                    attempt.cancel(interface.TIMED_OUT)
             if not request.ended:
                 self._expired(request)  # guards against a request that the module forgot
 
-    def news(self, news: News) -> None:
+    def update_workers(self, news: DiscoveryUpdate) -> None:
         """Discovery has told of changes."""
         self._workers.update(news.endpoints, news.whole)
-        self._hand(i.WorkerList(tuple(e.entry for e in news.endpoints), whole=news.whole), "")
+        self._hand(interface.WorkerList(tuple(e.entry for e in news.endpoints), whole=news.whole), "")
 
     def maintain(self, worker: str, out: bool, since: float | None = None) -> bool:
         """An operator takes a worker out or puts it back; whether anything is known of it.
@@ -190,38 +204,42 @@
         With `since` it was so said elsewhere, then, and holds whether or not it is known here.
         """
         known = False
-        for action in self._module.handle(self._loop.time(), i.Maintain(worker, out, since)):
-            known = known or isinstance(action, i.Maintained) and action.known
+        for action in self._module.handle(self._loop.time(), interface.SetMaintenance(worker, out, since)):
+            known = known or isinstance(action, interface.MaintenanceResult) and action.known
         if known and out:
             self._workers.ban(worker)
         elif known:
             self._workers.unban(worker)
         return known
 
-    def handle(self, event: i.Event) -> None:
+    def handle(self, event: interface.Event) -> None:
         """Let the module handle an event that is about no request here."""
         self._hand(event, "")
 
-    def shares(self, event: i.Shares) -> tuple[i.Fill, ...]:
+    def apply_shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
         """Planners have moved shares: they hold from now on. What left the stores with what was given
         away."""
         return next(
-            (action.fills for action in self._module.handle(self._loop.time(), event) if isinstance(action, i.Freed)),
+            (
+                action.bucket_levels
+                for action in self._module.handle(self._loop.time(), event)
+                if isinstance(action, interface.ReleasedLevels)
+            ),
             (),
         )
 
-    def survey(self, works: bool) -> i.Tallies:
+    def demand_report(self, works: bool) -> interface.DemandReport:
         """What was asked of each thing since the last survey, and what became of attempts at workers."""
         return next(
             (
                 action
-                for action in self._module.handle(self._loop.time(), i.Survey(works))
-                if isinstance(action, i.Tallies)
+                for action in self._module.handle(self._loop.time(), interface.DemandQuery(works))
+                if isinstance(action, interface.DemandReport)
             ),
-            i.Tallies(()),
+            interface.DemandReport(()),
         )
 
-    def _hand(self, event: i.Event, about: str) -> None:
+    def _hand(self, event: interface.Event, about: str) -> None:
         """Let the module handle an event, and after it all that came of its actions."""
         self._inbox.append((event, about))
         if self._busy:
@@ -245,41 +263,48 @@
         request = self._requests.get(about)
         if request is not None and not request.ended:
             self._end(request, 500, b"", b"")
-            self._inbox.append((i.Abandoned(about), about))
+            self._inbox.append((interface.ClientDisconnected(about), about))
             for attempt in request.attempts:
                 if attempt.connection is None:
-                    attempt.finish(i.VOID)  # it never got as far as a connection: else it would be held for ever
+                    attempt.finish(
+                        interface.NOT_SENT
+                    )  # it never got as far as a connection: else it would be held for ever
 
-    def _act(self, action: i.Action, about: str) -> None:
+    def _act(self, action: interface.Action, about: str) -> None:
         match action:
-            case i.SetTimer(delay, ref):
+            case interface.SetTimer(delay, ref):
                 timer = self._loop.call_later(max(0.0, delay), self._fired, ref, about)
                 if (request := self._requests.get(about)) is not None:
                     request.timers.append(timer)
-            case i.Send(name, worker, within):
+            case interface.Send(name, worker, within):
                 self._send(name, worker, within)
-            case i.Refuse(name, retry_after):
+            case interface.Refuse(name, retry_after):
                 advice = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0 else b""
                 self._end(self._requests.get(name), 503, advice, b"")
-            case i.Fail(name):
+            case interface.Fail(name):
                 self._end(self._requests.get(name), 502, b"", b"")
-            case i.Cancel(name, number):
+            case interface.Cancel(name, number):
                 request = self._requests.get(name)
                 if request is not None and number < len(request.attempts):
-                    request.attempts[number].give_up(i.CANCELLED)
-            case i.Count():
+                    request.attempts[number].cancel(interface.CANCELLED)
+            case interface.CounterAdd():
                 if self._counter is not None:
                     self._counter.call(action, self._counted)
                 else:
-                    self._counted(i.Counted(action.name, i.UNREACHABLE))
-            case i.Subscribe() | i.Tallies() | i.Freed() | i.Maintained():
+                    self._counted(interface.CounterResult(action.name, interface.UNREACHABLE))
+            case (
+                interface.Subscribe()
+                | interface.DemandReport()
+                | interface.ReleasedLevels()
+                | interface.MaintenanceResult()
+            ):
                 pass  # discovery is watched from the start; who asks takes the others itself
 
-    def _counted(self, answer: i.Counted) -> None:
+    def _counted(self, answer: interface.CounterResult) -> None:
         self._hand(answer, "")
 
     def _fired(self, ref: int, about: str) -> None:
-        self._hand(i.TimerFired(ref), about)
+        self._hand(interface.TimerFired(ref), about)
 
     def _send(self, name: str, worker: str, within: float) -> None:
         request, now = self._requests.get(name), self._loop.time()
@@ -305,11 +330,11 @@
         request.out += 1
         if refusal is not None:
             self.guard.refuse(refusal, "send", id=name, attempt=attempt.number, state=request.state.value)
-            attempt.finish(i.VOID)
+            attempt.finish(interface.NOT_SENT)
             return
         if 0 < within < request.deadline - now:
             attempt.deadline = now + within
-            attempt.timer = self._loop.call_later(within, attempt.give_up, i.TIMED_OUT)
+            attempt.timer = self._loop.call_later(within, attempt.cancel, interface.TIMED_OUT)
         if self.began is not None:
             self.began(name, attempt.number)
         self._workers.send(attempt)
@@ -320,19 +345,19 @@
         deadline = None if request.state is RequestState.ARRIVING else request.deadline
         return attempt_refusal(request.state, deadline, now, klass.effect, klass.window, earlier, self._limits)
 
-    def _reported(self, attempt: Attempt, status: str, answer: Answer | None) -> None:
+    def _reported(self, attempt: Attempt, status: str, answer: Response | None) -> None:
         """An attempt has ended: the first success answers the client, the module hears of each."""
         request = self._requests[attempt.request]
         request.out -= 1
-        if status == i.SUCCESS and answer is not None and not request.ended:
+        if status == interface.SUCCESS and answer is not None and not request.ended:
             self._end(request, 200, b"".join(answer.headers), answer.body)
-        outcome = i.Outcome(
+        outcome = interface.Outcome(
             request=attempt.request,
             attempt=attempt.number,
             worker=attempt.worker,
             status=status,
             terminal=request.ended,
-            kept=request.kept(),
+            retryable=request.kept(),
             took=(attempt.first or self._loop.time()) - attempt.began,  # of a long one, until it began
             used=answer.used if answer is not None else None,
             used_age=self._loop.time() - answer.told if answer is not None else 0.0,
@@ -350,12 +375,12 @@
         """
         name = request.event.request
         if not request.ended:
-            self._hand(i.Ending(name), name)
+            self._hand(interface.StopRetrying(name), name)
         for attempt in list(request.attempts):
-            attempt.give_up(i.TIMED_OUT)
+            attempt.cancel(interface.TIMED_OUT)
         if not request.ended:  # the module forgot it: it would be lost
             self._end(request, 504, b"", b"")
-            self._hand(i.Abandoned(name), name)
+            self._hand(interface.ClientDisconnected(name), name)
 
     def _end(self, request: Request | None, status: int, headers: bytes, body: bytes) -> None:
         """The final reply; a second one is none."""
@@ -382,7 +407,7 @@
         """
         for attempt in request.attempts:
             if attempt.unsent():
-                attempt.take_back()
+                attempt.withdraw()
 
     def _forget(self, request: Request) -> None:
         """Drop a request that is over."""
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -14,14 +14,14 @@
 
 import httptools
 
-from micagate import interface as i
-from micagate.bodies import keeping
+from micagate import interface
+from micagate.bodies import buffering
 from micagate.invariants import Reason, RequestState, close_refusal
 from micagate.operating.presence import Presence
 from oliveloft.backend.limits import HOP_BY_HOP, MAX_BODY, MAX_HEAD, STANDS
 from oliveloft.bodies.body import Body
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
-from oliveloft.shapes import Source
+from oliveloft.shared_types import BodySource
 
 log = logging.getLogger("oliveloft")
 
@@ -162,7 +162,7 @@
         self._moved = 0.0  # when a body last moved
         self._held = False  # it is read no further, for want of room for what it sends
         self._deaf = False  # it is read no further, so that nothing tells of its leaving
-        self._source: Source | None = None  # of a long answer on its way
+        self._source: BodySource | None = None  # of a long answer on its way
         self._owed = 0  # bytes of the budget that answers which the client has not read hold
         self._left = 0  # bytes that waited for it at the last look
         self._chunked = self._old = False  # how that goes out; whether its request was HTTP/1.0
@@ -187,11 +187,11 @@
         if incoming is not None and incoming.long is not None:
             incoming.long.drop()
         if source is not None:
-            source.stop()
+            source.cancel()
         self._pay()
         self._server.left(self)
         if current is not None:
-            self._server.dispatcher.abandon(current)
+            self._server.dispatcher.client_disconnected(current)
 
     def pause_writing(self) -> None:
         """The client does not read: nothing more is begun for it."""
@@ -204,7 +204,7 @@
         self._moved = self._server.loop.time()
         self._pay()
         if self._source is not None:
-            self._source.go_on()
+            self._source.resume()
         self._next()
 
     def _pay(self) -> None:
@@ -340,7 +340,12 @@
         body = incoming.long
         if body is None:
             return
-        if not incoming.begun and not self._busy and not self._queue and keeping.begins(body.size, False, body.scarce):
+        if (
+            not incoming.begun
+            and not self._busy
+            and not self._queue
+            and buffering.begins(body.size, False, body.scarce)
+        ):
             incoming.seen = self._server.loop.time()
             incoming.begun, incoming.keep = True, cast(httptools.HttpRequestParser, self._parser).should_keep_alive()
             self._busy, self._keep = True, incoming.keep and not self.overflow
@@ -402,7 +407,7 @@
     def _sent_whole(self) -> None:
         """The last byte of a request that was begun before has come."""
         if self._current is not None:
-            self._server.dispatcher.whole(self._current)
+            self._server.dispatcher.request_complete(self._current)
         elif not self._busy:  # it was answered before
             self.since = self._server.loop.time()
             if self._keep and not self._ended:
@@ -536,12 +541,12 @@
 
     # A long answer, as it comes.
 
-    def begin(self, headers: bytes, length: int | None, source: Source) -> None:
+    def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
         """The answer begins, of this many bytes if that is known."""
         self._current = None
         transport = self._transport
         if transport is None:
-            source.stop()
+            source.cancel()
             return
         self._source, self._moved = source, self._server.loop.time()
         # Else the system takes so much that a slow reader's progress shows only every ten seconds or more.
@@ -560,7 +565,7 @@
             b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (headers, framing, b"" if self._keep else b"Connection: close\r\n")
         )
 
-    def more(self, data: bytes) -> bool:
+    def write(self, data: bytes) -> bool:
         """A piece of the answer; whether the client takes more at once."""
         transport = self._transport
         if transport is None or not data:
@@ -598,7 +603,7 @@
         elif self._server.hand is not None:
             self._server.loop.call_soon(self.hand)
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """The answer never will be whole: the client sees its connection end before."""
         self._source = None
         if self._transport is not None:
@@ -674,19 +679,19 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        settings: i.Settings,
+        settings: interface.Settings,
         units_top: float,
         limit: int,
         kept: int,
         dispatcher: RequestDispatcher,
         presence: Presence | None = None,
-        longest: int = keeping.LONGEST,
-        held: int = keeping.HELD,
+        longest: int = buffering.LONGEST,
+        held: int = buffering.HELD,
     ) -> None:
         self.loop, self.dispatcher = loop, dispatcher
         self.guard = dispatcher.guard
         self.presence = Presence() if presence is None else presence
-        self.longest, self.budget = max(longest, MAX_BODY), keeping.Budget(held)
+        self.longest, self.budget = max(longest, MAX_BODY), buffering.Budget(held)
         self.closing = False  # every further reply closes its connection
         self.ended = False  # nothing further is begun
         self._met = 0  # connections that have come
@@ -844,7 +849,7 @@
                 return False
         return True
 
-    def read(self, incoming: Incoming, path: bytes, query: bytes, now: float) -> tuple[i.Request, bytes, float]:
+    def read(self, incoming: Incoming, path: bytes, query: bytes, now: float) -> tuple[interface.Request, bytes, float]:
         """The module's event, the head for a worker and the deadline, or what is wrong with a request."""
         first = path[1:].partition(b"/")[0]
         fields = incoming.fields
@@ -854,9 +859,9 @@
             raise BadRequest(404, "path")  # one that begins with no class is none of this service's
         if named != first:
             raise BadRequest(400, "X-Priority-Class")  # the class stands in both places
-        if incoming.method != (b"GET" if klass.effect == i.PURE else b"POST"):
+        if incoming.method != (b"GET" if klass.effect == interface.PURE else b"POST"):
             raise BadRequest(405, "method")
-        if (incoming.body or incoming.long is not None) and klass.effect == i.PURE:
+        if (incoming.body or incoming.long is not None) and klass.effect == interface.PURE:
             raise BadRequest(400, "body")
         if incoming.twice:
             raise BadRequest(400, incoming.twice.decode("latin-1"))
@@ -882,17 +887,17 @@
         request = name.decode()
         if self.dispatcher.holds(request):
             raise BadRequest(400, "X-Request-ID is in use")
-        event = i.Request(
+        event = interface.Request(
             request=request,
             klass=named.decode(),
             plan=plan.decode(),
             customer=customers[0].decode().lower(),
             time_left=max(0.0, deadline - now),
             units=units,
-            spread=spread,
-            repeat=fields.get(b"x-retried") == b"1",
-            first=set_first,
-            whole=incoming.long is None or incoming.long.whole,
+            gateway_count=spread,
+            client_retry=fields.get(b"x-retried") == b"1",
+            first_gateway=set_first,
+            complete=incoming.long is None or incoming.long.whole,
         )
         target = path + b"?" + query
         size = sum(map(len, incoming.body))
--- a/oliveloft/shapes.py
+++ b/oliveloft/shared_types.py
@@ -1,6 +1,6 @@
-"""What the sides of the gatekeeper hand each other: lines of the list, news of it, and where a long answer goes.
+"""Types that the parts of the gatekeeper share: endpoints, discovery updates, and both ends of a streamed response.
 
-Front, back, discovery and the dispatcher between them import this, and none of them another for it.
+Front end, back end, discovery and dispatcher import this module instead of each other.
 """
 
 from __future__ import annotations
@@ -8,46 +8,46 @@
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
 
-from micagate import interface as i
+from micagate import interface
 from micagate.estimates.start_times import StartTimes
 from oliveloft.config.loading import address
 
-STATES = {"up": i.HEALTHY, "draining": i.DRAINING, "removed": i.GONE}
+STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A line of discovery's list: the module's entry and where the worker listens."""
+    """An entry of the discovery list: the gateway's worker entry and the address of the worker."""
 
-    entry: i.WorkerEntry
+    entry: interface.WorkerEntry
     address: tuple[str, int]
 
 
-class Source(Protocol):
-    """Whoever gives a long answer."""
+class BodySource(Protocol):
+    """The sender of a streamed response."""
 
-    def go_on(self) -> None:
-        """The client takes more of it."""
+    def resume(self) -> None:
+        """Continue: the client accepts more data."""
 
-    def stop(self) -> None:
-        """Nobody takes it any more."""
+    def cancel(self) -> None:
+        """Stop: nobody reads the response any more."""
 
 
-class Sink(Protocol):
-    """Where a long answer goes."""
+class ResponseSink(Protocol):
+    """The receiver of a streamed response."""
 
-    def begin(self, headers: bytes, length: int | None, source: Source) -> None:
-        """The answer begins, of this many bytes if that is known; the source hears `go_on` when it takes more
-        again, and `stop` when nobody is there any more."""
+    def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
+        """The answer begins, of this many bytes if that is known; the source gets `resume` when it takes more
+        again, and `cancel` when nobody is there any more."""
 
-    def more(self, data: bytes) -> bool:
-        """A piece of it; whether it takes more at once."""
+    def write(self, data: bytes) -> bool:
+        """Write a chunk; return whether more may follow at once."""
 
     def end(self) -> None:
-        """It is whole."""
+        """The response is complete."""
 
-    def cut(self) -> None:
-        """It never will be: the client is to see that."""
+    def abort_response(self) -> None:
+        """The response cannot be completed: make that visible to the client."""
 
 
 def endpoint(raw: Any) -> tuple[Endpoint, float]:
@@ -67,7 +67,7 @@
     for value in (size, since):
         if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < 1e15:
             raise ValueError(f"weight or since_ms: {value!r}")
-    entry = i.WorkerEntry(
+    entry = interface.WorkerEntry(
         worker=name,
         zone=zone,
         cell=cell,
@@ -77,8 +77,8 @@
     return Endpoint(entry, where), since / 1000
 
 
-class News:
-    """What an answer of discovery says. Starts are unknown until it is dated."""
+class DiscoveryUpdate:
+    """An update from discovery. Start times are unknown until `date` is called."""
 
     __slots__ = ("index", "whole", "endpoints", "skipped", "_starts")
 
@@ -102,11 +102,11 @@
             self._starts.append(start)
 
     def date(self, times: StartTimes, now: float) -> None:
-        """Give the endpoints their starts; only for a list that is followed."""
+        """Set the start times of the endpoints; only for an update that is applied."""
         there = set()
         for place, (found, wall) in enumerate(zip(self.endpoints, self._starts, strict=True)):
             name = found.entry.worker
-            if found.entry.state == i.GONE:
+            if found.entry.state == interface.REMOVED:
                 times.forget(name)
                 continue
             there.add(name)
--- a/oliveloft/takeover/taker.py
+++ b/oliveloft/takeover/successor.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from micagate import interface as i
+from micagate import interface
 from micagate.gateway import Gateway
 from micagate.handover import state
 from micagate.handover.fields import Damaged
 from oliveloft.takeover import wire
 from oliveloft.takeover.channel import Channel
-from oliveloft.takeover.giver import path
+from oliveloft.takeover.predecessor import path
 
 log = logging.getLogger("oliveloft")
 
@@ -38,7 +38,7 @@
         """Operators have called the process that gave."""
 
 
-class Taker:
+class Successor:
     """Takes from a giver, if there is one."""
 
     def __init__(
@@ -48,7 +48,7 @@
         gateway: Gateway,
         receiver: Receiver,
         clock: Callable[[], float],
-        handle: Callable[[i.Event], None],
+        handle: Callable[[interface.Event], None],
     ) -> None:
         self._loop, self._name, self._gateway, self._receiver, self._clock = loop, name, gateway, receiver, clock
         self._handle = handle
@@ -85,16 +85,16 @@
     def taken(self) -> None:
         """Clients are accepted here from now on."""
         if self._channel is not None:
-            self._channel.send(wire.Taken())
+            self._channel.send(wire.Accepted())
 
     def _fail(self, why: str) -> None:
-        for queue in self._gateway.quotas.table.queues:
+        for queue in self._gateway.quotas.accounts.queues:
             queue.clear()  # half of it would be worse than none
         log.warning("takeover: %s; starting with nothing", why)
         if not self._given.done():
             self._given.set_result(False)
         if self._channel is not None:
-            self._channel.send(wire.No(why))
+            self._channel.send(wire.Rejected(why))
             self._channel.close(why)
 
     def _lost(self, why: str) -> None:
@@ -123,9 +123,9 @@
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
         match message:
-            case wire.Client(good):
+            case wire.ClientConnection(good):
                 self._receiver.client(sock, good)
-            case wire.Worker(worker, idle_since):
+            case wire.WorkerConnection(worker, idle_since):
                 self._receiver.worker(sock, worker, idle_since)
             case _:
                 sock.close()
@@ -133,28 +133,28 @@
     def _follow(self, message: wire.Message) -> None:
         now = self._clock()
         match message:
-            case wire.No(why):
+            case wire.Rejected(why):
                 self._fail(f"the process that serves says no: {why}")
             case wire.Accounts(rows):
                 self._rows += rows
                 self._spread()
-            case wire.Copied() if self._channel is not None:
-                self._channel.send(wire.Take())
-            case wire.Part("debts", value):
+            case wire.AccountsCopied() if self._channel is not None:
+                self._channel.send(wire.StateRequest())
+            case wire.StatePart("debts", value):
                 self._debts.append(value)
-            case wire.Part("outs", value):
+            case wire.StatePart("outs", value):
                 self._parts["outs"] += value
-            case wire.Part(name, value):
+            case wire.StatePart(name, value):
                 self._parts[name] = value
-            case wire.Given():
+            case wire.StateComplete():
                 self._restore(now)
-            case wire.Began(row):
+            case wire.AttemptStarted(row):
                 self._theirs.add((row["request"], row["number"]))
                 state.adopt(self._gateway, now, row, spends=True)
-            case wire.Ended():
+            case wire.AttemptEnded():
                 self._theirs.discard((message.request, message.number))
                 self._handle(
-                    i.Outcome(
+                    interface.Outcome(
                         message.request,
                         message.number,
                         message.worker,
@@ -164,7 +164,7 @@
                         used=message.used,
                     )
                 )
-            case wire.Call(word, worker):
+            case wire.OperatorCall(word, worker):
                 self._receiver.call(word, worker)
 
     def _spread(self) -> None:
@@ -180,7 +180,7 @@
         self._theirs.update((row["request"], row["number"]) for row in self._parts["outs"])
         state.put_core(self._gateway, now, self._parts, self._parts["outs"])
         for debts in self._debts:
-            self._gateway.quotas.debts.restore(debts)
+            self._gateway.quotas.deficits.restore(debts)
         self._restored = True
         self._parts, self._debts = {}, []
         if not self._given.done():
--- a/rig/cluster.py
+++ b/rig/cluster.py
@@ -11,8 +11,7 @@
 from dataclasses import replace
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.planning.demand import Demands
 from micagate.planning.holder import Holder
 from micagate.planning.ledger import Ledger
@@ -36,7 +35,7 @@
         seed: int,
         rates: Sequence[float],
         capacities: dict[str, Capacity],
-        settings: i.Settings,
+        settings: interface.Settings,
         planner: bool,
         paces: bool = False,
         zones: str = "a",
@@ -60,7 +59,7 @@
             self.entrances.append(Entrance(self.fleet, gate.handle, settings, f"f{n}"))
             holder = Holder(TERMS, n, count, -1e6, n * 1000 + 1)
             if planner:
-                holder.owns(0.0, "p", 0, 1)
+                holder.planner_elected(0.0, "p", 0, 1)
             self.holders.append(holder)
             self.demands.append(Demands(0.0))
             self.clock.after(self.random.expovariate(self.rates[n]), self._ask, n)
@@ -77,18 +76,22 @@
     def _exchange(self) -> None:
         now = self.clock.now
         for n, holder in enumerate(self.holders):
-            (tallies,) = (a for a in self.gates[n].handle(now, i.Survey(self.paces)) if isinstance(a, i.Tallies))
-            holder.demand(now, self.demands[n].survey(now, tallies.tallies))
-            holder.saw(tallies.works)
-            for event in [*holder.moves(now), *holder.ended(now)]:
+            (tallies,) = (
+                a
+                for a in self.gates[n].handle(now, interface.DemandQuery(self.paces))
+                if isinstance(a, interface.DemandReport)
+            )
+            holder.demand(now, self.demands[n].survey(now, tallies.resources))
+            holder.record_worker_loads(tallies.workers)
+            for event in [*holder.share_updates(now), *holder.expired_sessions(now)]:
                 self.gates[n].handle(now, event)
                 self.moved = max(self.moved, *(share.borrowed for share in event.changes), 0.0)
             for _, report in holder.reports(now):
                 if self.ledger is not None:
                     self.ledger.report(now, f"f{n}", n, report)
         if self.ledger is not None:
-            for name, word in self.ledger.words(now):
-                self.holders[int(name[1:])].word(now, "p", word)
+            for name, word in self.ledger.pending_updates(now):
+                self.holders[int(name[1:])].receive_update(now, "p", word)
         self.clock.after(EVERY, self._exchange)
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -17,16 +17,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from micagate import interface as i
+from micagate import interface
 from micagate.accounts import Account
 from micagate.quotas import Quotas
 from rig.traffic import PlanShape, Store
 
 KINDS = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # shares of the customers
 PLANS = (
-    i.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
-    i.Plan("middle", rate=4.1, burst=14.0, at_once=2.0, excess_cost=1.2),
-    i.Plan("large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_depth=41.0, ceiling_slack=4.0, excess_cost=0.8),
+    interface.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
+    interface.Plan("middle", rate=4.1, burst=14.0, concurrency_limit=2.0, excess_cost=1.2),
+    interface.Plan(
+        "large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_capacity=41.0, ceiling_slack=4.0, excess_cost=0.8
+    ),
 )
 OF_PLAN = (0,) * 12 + (1,) * 5 + (2,)  # of eighteen customers in a row
 AIM, DEADLINE = 0.33, 1.76
@@ -47,7 +49,7 @@
     late: float = 0.8  # from the end of the meter's period to its first reading
     period: float = 0.5  # of the meter
     lost: float = 0.0  # share of the attempts whose answers never come
-    plans: tuple[i.Plan, ...] = PLANS
+    plans: tuple[interface.Plan, ...] = PLANS
     units: int = 1  # the most that a try counts; all up to it are as frequent
     marked: bool = True  # whether repeats are marked
     wait: float = 0.002  # before a repeat, beside what was advised
@@ -69,7 +71,7 @@
 
     name: str
     kind: str
-    plan: i.Plan
+    plan: interface.Plan
     first: int
     weights: list[tuple[float, list[float]]]  # from when on
     store: Store
@@ -89,7 +91,7 @@
         when, level, out = next((p for p in reversed(self.past) if p[0] <= then), (0.0, self.plan.burst, 0))
         since = [sent for at, where, sent in reversed(self.own[-64:]) if at > then and where == gateway]
         level = min(self.plan.burst, level + (now - when) * self.plan.rate) - sum(since)
-        return level >= units and (not self.plan.at_once or out + len(since) < self.plan.at_once)
+        return level >= units and (not self.plan.concurrency_limit or out + len(since) < self.plan.concurrency_limit)
 
     def note(self, now: float) -> None:
         """Keep what is true now for those that see it later."""
@@ -97,7 +99,9 @@
 
     def has_room(self, now: float, units: int) -> bool:
         """Whether the whole quota has room for one more try of so many units now."""
-        return self.store.fill(now) >= units and (not self.plan.at_once or self.out < self.plan.at_once)
+        return self.store.fill(now) >= units and (
+            not self.plan.concurrency_limit or self.out < self.plan.concurrency_limit
+        )
 
 
 @dataclass
@@ -114,7 +118,7 @@
     refused_with_room: int = 0  # with half of the whole store or more unused
 
 
-def whole(plan: i.Plan) -> Store:
+def whole(plan: interface.Plan) -> Store:
     """A full store of the whole quota."""
     return Store(PlanShape(plan.rate, plan.burst), 0.0)
 
@@ -171,36 +175,37 @@
             who.out -= attempt != GIVEN_UP
             if day.sees is not None:
                 who.note(now)
-            account.out -= attempt != WRITTEN
+            account.in_flight -= attempt != WRITTEN
             if attempt in (WRITTEN, GIVEN_UP):
                 continue
             period = int((now - day.late) / day.period) - 1
             if period >= 0:
-                account.metered(now, who.counted[period] / day.period / who.plan.rate, part.meter)
+                account.record_reading(now, who.counted[period] / day.period / who.plan.rate, part.meter)
             in_time = inside and now - begun <= AIM + (day.tries - 1) * day.wait
             kind.served += units * in_time
             kind.earned += units * in_time * who.plan.price
             continue
         kind.tries += units
         account = part.account(now, who.name, who.plan, spread)
-        part.count(
-            account, i.Request("r", "k", who.plan.name, who.name, 1.0, units, spread, day.marked and attempt > 0)
+        part.record_demand(
+            account,
+            interface.Request("r", "k", who.plan.name, who.name, 1.0, units, spread, day.marked and attempt > 0),
         )
         room = who.has_room(now, units)
         lets = (
-            part.inside(account, units, False) and part.allowed(account, units, False)
+            part.is_within_quota(account, units, False) and part.ceiling_allows(account, units, False)
             if day.sees is None
             else who.seemed(now, day.sees, at_gateway, units)
         )
         if lets:
-            part.take(account, units, True)
-            account.out += 1
+            part.spend(account, units, True)
+            account.in_flight += 1
             who.out += 1
             who.counted[int(now / day.period)] += units
             if room:
                 who.store.take(now, units)
             kind.over += units * (not room)
-            kind.cost += units * (not room) * who.plan.price * (who.plan.excess_cost - who.plan.beyond_earns)
+            kind.cost += units * (not room) * who.plan.price * (who.plan.excess_cost - who.plan.excess_revenue)
             if day.sees is not None:
                 who.own.append((now, at_gateway, units))
                 who.note(now)
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from micagate import interface as i
-from micagate.moves import move
+from micagate import interface
 from micagate.planning.holder import Demand, Holder
 from micagate.planning.ledger import Ledger
-from micagate.planning.messages import Again, Report, Word
+from micagate.planning.messages import PlannerUpdate, Report, RestartSession
 from micagate.planning.terms import Terms
 from micagate.quotas import Quotas
-from micagate.told import customer_key
+from micagate.resource_keys import customer_key
+from micagate.share_transfers import apply_share_update
 from rig.simulation import Clock, Link, LocalClock, Network
 
 TICK = 0.05  # seconds between looks at what is due, at forwarders and planners
-PLAN = i.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=60.0)
+PLAN = interface.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_capacity=60.0)
 PLANS = {PLAN.name: PLAN}
 
 
@@ -126,26 +126,26 @@
         now = self.clock.now
         match message:
             case Owns(shard, epoch):
-                self.holder.owns(now, source, shard, epoch)
-            case Word():
-                self.holder.word(now, source, message)
-            case Again(shard, session):
-                self.holder.again(now, source, shard, session)
+                self.holder.planner_elected(now, source, shard, epoch)
+            case PlannerUpdate():
+                self.holder.receive_update(now, source, message)
+            case RestartSession(shard, session):
+                self.holder.restart_session(now, source, shard, session)
         self.tick()
 
     def tick(self) -> None:
         """Carry shares to the stores, send what is due, and spend what is asked."""
         now = self.clock.now
-        for event in [*self.holder.moves(now), *self.holder.ended(now)]:
-            self.holder.freed(event.session, move(self.quotas, now, event, PLANS))
+        for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
+            self.holder.record_released(event.session, apply_share_update(self.quotas, now, event, PLANS))
         for planner, report in self.holder.reports(now):
             self.world.network.send(self.name, planner, report)
         if self.holder.ready(now):
             for key, need in self.needs.items():
                 account = self.quotas.account(now, key.rpartition("/")[2], PLAN, self.world.count)
                 wanted = self.world.random.random() * 2 * need * PLAN.ceiling_rate * TICK
-                while wanted >= 1 and self.quotas.allowed(account, 1.0, False):
-                    self.quotas.take(account, 1.0, False)
+                while wanted >= 1 and self.quotas.ceiling_allows(account, 1.0, False):
+                    self.quotas.spend(account, 1.0, False)
                     self.world.spent(key)
                     wanted -= 1
 
@@ -189,7 +189,7 @@
         """Decide, and tell."""
         if self.ledger is None:
             return
-        for name, word in self.ledger.words(self.clock.now):
+        for name, word in self.ledger.pending_updates(self.clock.now):
             self.world.network.send(self.name, name, word)
         if self.world.random.random() < 0.05:
             self.announce()
@@ -245,7 +245,7 @@
         self.things = [customer_key(PLAN.name, f"c{n}") for n in range(things)]
         self.seen = Seen()
         # What one gateway that saw all would have in the ceiling's store, by the fastest clock.
-        self._stores = dict.fromkeys(self.things, (0.0, PLAN.ceiling_depth))
+        self._stores = dict.fromkeys(self.things, (0.0, PLAN.ceiling_capacity))
         self.epoch = 0
         self.forwarders: list[Forwarder] = []
         self.forwarders += [Forwarder(self, n) for n in range(forwarders)]
@@ -277,7 +277,7 @@
         """A forwarder has spent a unit of a thing."""
         at, level = self._stores[key]
         now = self.clock.now
-        level = min(PLAN.ceiling_depth, level + (now - at) * PLAN.ceiling_rate * (1 + self.drift)) - 1
+        level = min(PLAN.ceiling_capacity, level + (now - at) * PLAN.ceiling_rate * (1 + self.drift)) - 1
         self._stores[key] = now, level
         self.seen.spent += 1
         self.seen.overspent = max(self.seen.overspent, -level)
--- a/rig/traces.py
+++ b/rig/traces.py
@@ -12,32 +12,31 @@
 from collections.abc import Iterator
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from micagate.trace import Recorder
 from rig.capacity import Capacity
 from rig.fleet import Entrance, Fleet
 from rig.simulation import Clock
 
 CLASSES = (
-    i.RequestClass("fetch", aim=0.2, deadline=0.8),
-    i.RequestClass("note", aim=0.3, deadline=1.0, effect=i.TOKEN, group="zone", window=0.6),
-    i.RequestClass("file", aim=0.4, deadline=1.2, effect=i.SIDE_EFFECT),
+    interface.RequestClass("fetch", aim=0.2, deadline=0.8),
+    interface.RequestClass("note", aim=0.3, deadline=1.0, effect=interface.TOKEN, group="zone", window=0.6),
+    interface.RequestClass("file", aim=0.4, deadline=1.2, effect=interface.SIDE_EFFECT),
 )
 PLANS = (
-    i.Plan("solo", rate=3.0, burst=6.0),
-    i.Plan(
+    interface.Plan("solo", rate=3.0, burst=6.0),
+    interface.Plan(
         "team",
         rate=8.0,
         burst=16.0,
-        at_once=6.0,
+        concurrency_limit=6.0,
         ceiling_rate=16.0,
-        ceiling_depth=32.0,
+        ceiling_capacity=32.0,
         ceiling_slack=4.0,
-        beyond_earns=0.3,
+        excess_revenue=0.3,
         excess_cost=0.1,
     ),
-    i.Plan("firm", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_depth=80.0, ceiling_slack=8.0),
+    interface.Plan("firm", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_capacity=80.0, ceiling_slack=8.0),
 )
 CUSTOMERS = 60
 DAYS: dict[str, dict[str, int]] = {
@@ -50,18 +49,18 @@
     """Play a day and record what one gateway of it met; troubles come one after another."""
     facts = DAYS[name]
     random, clock = Random(facts["seed"]), Clock()
-    settings = i.Settings(
+    settings = interface.Settings(
         CLASSES,
         PLANS,
         gateways=facts["gateways"],
         zone="a",
         max_attempts=4,
         can_cancel=True,
-        second_copies=facts["workers"] < 10,
-        max_retry_advice=0.5,
+        hedging=facts["workers"] < 10,
+        max_retry_after=0.5,
         meter_period=1.0,
-        cold_from=0.25,
-        ramp_time=6.0,
+        slow_start_min_factor=0.25,
+        slow_start_duration=6.0,
         overload_factor=2.0,
         fall_time=1.0,
     )
--- a/rig/choices.py
+++ b/rig/worker_selection.py
@@ -1,6 +1,6 @@
 """Choices of a worker on a simulated fleet: the decision module beside others, one of which sees all true queues.
 
-    python -m rig.choices [--workers N] [--gateways N] [--load SHARE] [--seconds S] [--seed N]
+    python -m rig.worker_selection [--workers N] [--gateways N] [--load SHARE] [--seconds S] [--seed N]
 
 Workers have one core and a queue each. A part of them is slow, and some lose answers; nobody is told which.
 """
@@ -13,14 +13,13 @@
 from dataclasses import dataclass
 from random import Random
 
-from micagate import Gateway
-from micagate import interface as i
+from micagate import Gateway, interface
 from rig.capacity import Capacity
 from rig.fleet import Entrance, Fleet
 from rig.simulation import Clock
 
-CLASSES = (i.RequestClass("fetch", aim=0.8, deadline=2.0),)
-PLANS = (i.Plan("free"),)
+CLASSES = (interface.RequestClass("fetch", aim=0.8, deadline=2.0),)
+PLANS = (interface.Plan("free"),)
 UNITS, MEAN = 8.0, 0.16  # of a request, and the seconds that it takes on a worker of speed 1
 
 
@@ -50,13 +49,13 @@
         self.turn = 0
         self.credit = dict.fromkeys(self.names, 0.0)
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Send what comes; count what is out."""
-        if isinstance(event, i.Request):
+        if isinstance(event, interface.Request):
             worker = self.choose(now, self)
             self.out[worker] += 1
-            return [i.Send(event.request, worker)]
-        if isinstance(event, i.Outcome):
+            return [interface.Send(event.request, worker)]
+        if isinstance(event, interface.Outcome):
             self.out[event.worker] -= 1
         return []
 
@@ -105,7 +104,7 @@
     }
     fleet = Fleet(clock, random, capacities, zones="a")
     for number in range(field.gateways):
-        settings = i.Settings(
+        settings = interface.Settings(
             CLASSES,
             PLANS,
             gateways=field.gateways,
@@ -138,7 +137,7 @@
 
 def main() -> None:
     """Print the share served in time by each choice, over the share of the one that sees all."""
-    parser = argparse.ArgumentParser(prog="python -m rig.choices", description=main.__doc__)
+    parser = argparse.ArgumentParser(prog="python -m rig.worker_selection", description=main.__doc__)
     parser.add_argument("--workers", type=int, default=1000, help="workers (default %(default)s)")
     parser.add_argument("--gateways", type=int, default=1, help="gatekeepers (default %(default)s)")
     parser.add_argument("--load", type=float, default=0.8, help="of what all can do (default %(default)s)")
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from rig.driver import Driver, sends
 
 ROOT = Path(__file__).parents[2]
@@ -28,18 +28,18 @@
         "micagate/workload.py",
         "micagate/worker.py",
         "micagate/pending.py",
-        "micagate/table.py",
+        "micagate/account_table.py",
         "micagate/estimates/metering.py",
         "micagate/estimates/tails.py",
         "micagate/estimates/recent.py",
         "micagate/estimates/waits.py",
         "micagate/counting/counting.py",
         "micagate/counting/stores.py",
-        "micagate/debts.py",
-        "micagate/told.py",
+        "micagate/deficit_sketch.py",
+        "micagate/resource_keys.py",
         "micagate/operating/maintenance.py",
         "micagate/operating/presence.py",
-        "micagate/endings.py",
+        "micagate/refunds.py",
         "micagate/handover/state.py",
         "micagate/handover/fields.py",
     ],
@@ -67,12 +67,12 @@
 
 
 def test_timers_are_forgotten_with_what_they_were_set_for():
-    d = Driver(second_copies=False)
+    d = Driver(hedging=False)
     name, actions = d.ask("read")
     assert len(d.gateway._timers) == 3  # aim, hedge, deadline
     (worker,) = sends(actions)
-    assert sends(d.answer(name, worker, i.FAILURE)) and len(d.gateway._timers) == 3  # of the second attempt
-    d.give(i.Abandoned(name))
+    assert sends(d.answer(name, worker, interface.FAILURE)) and len(d.gateway._timers) == 3  # of the second attempt
+    d.give(interface.ClientDisconnected(name))
     assert len(d.gateway._timers) == 2
-    d.answer(name, "w0", i.TIMED_OUT)
+    d.answer(name, "w0", interface.TIMED_OUT)
     assert not d.gateway._timers
--- a/tests/front/test_one_answer.py
+++ b/tests/front/test_one_answer.py
@@ -9,23 +9,22 @@
 
 import pytest
 
-from micagate import Gateway
-from micagate import interface as i
-from oliveloft.backend.attempt import Answer
+from micagate import Gateway, interface
+from oliveloft.backend.attempt import Response
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.front.http import Client, Server
 from oliveloft.guard import Guard
 from rig.loops import SimulatedLoop, Wire
 from rig.simulation import Clock
 
-SETTINGS = i.Settings(
-    (i.RequestClass("read", 0.3, 1.0), i.RequestClass("write", 0.3, 1.0, i.SIDE_EFFECT)),
-    (i.Plan("free"), i.Plan("counted", rate=3.0, burst=6.0, at_once=2, excess_cost=1.0)),
+SETTINGS = interface.Settings(
+    (interface.RequestClass("read", 0.3, 1.0), interface.RequestClass("write", 0.3, 1.0, interface.SIDE_EFFECT)),
+    (interface.Plan("free"), interface.Plan("counted", rate=3.0, burst=6.0, concurrency_limit=2, excess_cost=1.0)),
     gateways=40,
     max_attempts=3,
     can_cancel=True,
-    max_retry_advice=0.2,
-    counter_wait=0.05,
+    max_retry_after=0.2,
+    counter_timeout=0.05,
     meter_period=1.0,
 )
 HEADS = re.compile(rb"HTTP/1\.1 (\d{3}) ")
@@ -42,11 +41,16 @@
         self.calls += 1
         if self.calls == self.fault:
             raise RuntimeError("the handler is closed")
-        how = self.random.choice((i.SUCCESS,) * 6 + (i.FULL, i.UNREACHABLE, i.FAILURE, i.BROKEN, ""))
+        how = self.random.choice(
+            (interface.SUCCESS,) * 6
+            + (interface.OVERLOADED, interface.UNREACHABLE, interface.FAILURE, interface.CONNECTION_RESET, "")
+        )
         if how:
-            answer = Answer()
+            answer = Response()
             answer.status, answer.body = 200, b"ok"
-            self.clock.after(self.random.expovariate(8), attempt.finish, how, answer if how == i.SUCCESS else None)
+            self.clock.after(
+                self.random.expovariate(8), attempt.finish, how, answer if how == interface.SUCCESS else None
+            )
 
     def update(self, *_):
         pass
@@ -59,11 +63,17 @@
         self.clock, self.random = clock, random
 
     def call(self, count, heard):
-        status = self.random.choice((i.SUCCESS, i.SUCCESS, i.SUCCESS, i.FULL, i.TIMED_OUT))
+        status = self.random.choice(
+            (interface.SUCCESS, interface.SUCCESS, interface.SUCCESS, interface.OVERLOADED, interface.TIMED_OUT)
+        )
         wait = self.random.choice((0.0, 0.01, 0.05))
-        self.clock.after(wait, heard, i.Counted(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait))
-        if status == i.TIMED_OUT and self.random.random() < 0.5:
-            self.clock.after(wait + 0.1, heard, i.Counted(count.name, i.LATE, 1.0, wait + 0.1))
+        self.clock.after(
+            wait, heard, interface.CounterResult(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait)
+        )
+        if status == interface.TIMED_OUT and self.random.random() < 0.5:
+            self.clock.after(
+                wait + 0.1, heard, interface.CounterResult(count.name, interface.LATE_RESPONSE, 1.0, wait + 0.1)
+            )
 
 
 class Case:
@@ -79,7 +89,9 @@
         )
         self.server = Server(self.loop, SETTINGS, 10.0, 4, 2, self.dispatcher)
         self.server.accepts = True
-        self.dispatcher.handle(i.WorkerList(tuple(i.WorkerEntry(f"w{n}") for n in range(3)), whole=True))
+        self.dispatcher.handle(
+            interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(3)), whole=True)
+        )
         self.server.able()
         self.wires = []  # with the ids that went whole over each, in order
         self.made = 0
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from micagate import interface as i
+from micagate import interface
 from micagate.invariants import AttemptState
 from oliveloft.backend.connection import Connection, EndpointIncarnation
-from oliveloft.backend.rest import Rest
+from oliveloft.backend.idle_timeout import IdleTimeout
 from oliveloft.discovery.call import DiscoveryCall
 from oliveloft.front.http import SLOW, Client
 from rig.driver import Driver, sends
+from rig.fake_servers import Client as Peer
+from rig.fake_servers import Worker, run, scene, until
 from rig.memory import resident
-from rig.scripted import Client as Peer
-from rig.scripted import Worker, run, scene, until
 
 
 class Transport(asyncio.Transport):
@@ -56,7 +56,7 @@
     """As much of a server as a connection asks for."""
     return types.SimpleNamespace(
         loop=types.SimpleNamespace(time=lambda: 0.0),
-        rest=Rest(1.0, 0.0),
+        rest=IdleTimeout(1.0, 0.0),
         joined=lambda client: None,
         left=lambda client: None,
         lost=lambda link: None,
@@ -99,22 +99,31 @@
 
 
 def test_the_module_forgets_what_is_over_whatever_became_of_it():
-    d = Driver(second_copies=False)
-    ends = (i.SUCCESS, i.FAILURE, i.SPOILT, i.BROKEN, i.TIMED_OUT, i.UNREACHABLE, i.FULL, i.VOID)
+    d = Driver(hedging=False)
+    ends = (
+        interface.SUCCESS,
+        interface.FAILURE,
+        interface.MALFORMED_RESPONSE,
+        interface.CONNECTION_RESET,
+        interface.TIMED_OUT,
+        interface.UNREACHABLE,
+        interface.OVERLOADED,
+        interface.NOT_SENT,
+    )
     for n in range(400):
         name, actions = d.ask("read" if n % 2 else "write", customer=f"c{n}", after=0.05)
         if n % 7 == 0:
-            d.give(i.Abandoned(name))
+            d.give(interface.ClientDisconnected(name))
         while went := sends(actions):
             actions = d.answer(name, went[0], ends[n % len(ends)], terminal=n % 7 == 0 or None)
     gateway = d.gateway
-    assert not (gateway._pending or gateway.out or gateway._timers or gateway.fleet._waiting)
-    assert not any(worker.out for worker in gateway.fleet.workers.values())
-    assert all(len(worker.held) <= 400 for worker in gateway.fleet.workers.values())
+    assert not (gateway._pending or gateway.in_flight or gateway._timers or gateway.fleet._waiting)
+    assert not any(worker.in_flight for worker in gateway.fleet.workers.values())
+    assert all(len(worker.held_slots_until) <= 400 for worker in gateway.fleet.workers.values())
     d.ask(after=100.0)
     for _ in range(400):  # a few go at each step
         d.ask()
-    assert len(gateway.quotas.table) <= 1
+    assert len(gateway.quotas.accounts) <= 1
 
 
 def test_ever_new_connections_customers_and_workers_leave_nothing_behind():
--- a/tests/planners/test_paces.py
+++ b/tests/planners/test_paces.py
@@ -8,14 +8,14 @@
 import math
 import statistics
 
-from micagate import interface as i
+from micagate import interface
 from micagate.planning.ledger import Ledger
-from micagate.told import worker_key
+from micagate.resource_keys import worker_key
 from oliveloft.planners.status import gather, table
 from rig.capacity import Capacity
 from rig.cluster import TERMS, Cluster
+from rig.fake_servers import run, until
 from rig.installation import Installation
-from rig.scripted import run, until
 from rig.traffic import Customer, Traffic
 
 FORWARDERS = 20
@@ -24,9 +24,9 @@
 
 
 def cluster(seed, paces, load=0.7, planner=True, skewed=False):
-    settings = i.Settings(
-        (i.RequestClass("fetch", aim=0.4, deadline=1.0),),
-        (i.Plan("free"),),
+    settings = interface.Settings(
+        (interface.RequestClass("fetch", aim=0.4, deadline=1.0),),
+        (interface.Plan("free"),),
         gateways=FORWARDERS,
         zone="a",
         max_attempts=3,
@@ -50,7 +50,7 @@
 
 def paces_known(made):
     """At how many forwarders the paces of all workers stand."""
-    now, klass = made.clock.now, i.RequestClass("fetch", aim=0.4, deadline=1.0)
+    now, klass = made.clock.now, interface.RequestClass("fetch", aim=0.4, deadline=1.0)
     return sum(gate.fleet._paced(now, klass, list(gate.fleet.workers.values())) is not None for gate in made.gates)
 
 
@@ -89,12 +89,13 @@
         if step == 140:  # another begins, with no book and no estimate
             made.ledger = Ledger(TERMS, 0, 2, FORWARDERS, made.clock.now)
             for holder in made.holders:
-                holder.lost(made.clock.now, "p")
-                holder.owns(made.clock.now, "p", 0, 2)
+                holder.planner_disconnected(made.clock.now, "p")
+                holder.planner_elected(made.clock.now, "p", 0, 2)
         for n in range(8):
             shares = [holder.share(made.clock.now, worker_key(f"w{n}"), FORWARDERS) for holder in made.holders]
             parts = [
-                1.0 / gate.fleet._shares.over(made.clock.now, worker_key(f"w{n}"), FORWARDERS)[0] for gate in made.gates
+                1.0 / gate.fleet._shares.divisors(made.clock.now, worker_key(f"w{n}"), FORWARDERS)[0]
+                for gate in made.gates
             ]
             borrowed = max(borrowed, max(parts) - 1 / FORWARDERS)
             assert sum(shares) <= 1 + 1e-6 and sum(parts) <= 1 + 1e-6, (step, n)
@@ -114,7 +115,7 @@
     made = cluster(1, True)
     made.clock.run(5.0)
     for _ in range(20):
-        made.holders[0].saw([i.Work(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
+        made.holders[0].record_worker_loads([interface.WorkerLoad(worker_key("w0"), 10**5, 1e5, 1.0, 0, 0, 0)])
         made.clock.run(made.clock.now + 0.1)
     made.clock.run(made.clock.now + 6.0)  # it lies no more
     told = [made.ledger.workers(made.clock.now)[worker_key(f"w{n}")]["pace"] for n in (0, 7)]
