--- a/micagate/__init__.py
+++ b/micagate/__init__.py
@@ -1,4 +1,4 @@
-"""micagate: the decisions of an admission gateway for a service sold by plan."""
+"""The decision logic of an admission gateway and load balancer for a service that is sold by plan, without I/O."""
 
 from micagate.gateway import Gateway
 from micagate.interface import Plan, RequestClass, Settings
--- a/micagate/account_table.py
+++ b/micagate/account_table.py
@@ -1,4 +1,4 @@
-"""A table of customers' accounts that is bounded by a number. Decides nothing on a request."""
+"""A bounded table of customers' accounts in memory, ordered by last use. `Quotas` evicts from it."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 
 class AccountTable:
-    """The accounts, bounded: those that asked once apart from those that asked again.
+    """The accounts in two queues of `max_accounts` / 2, each ordered by last use (2Q: Johnson, Shasha 1994).
 
-    Guards the usual customers against ever so many that come once: these only push out each other. Two
-    queues, each by last use (2Q: Johnson, Shasha 1994). Half of the places are for those seen once.
+    One holds accounts used once, the other those used repeatedly. A flood of customers that each send one request
+    therefore evicts only its own kind, and regular customers keep their accounts.
     """
 
-    def __init__(self, most: int) -> None:
-        self._once: OrderedDict[str, Account] = OrderedDict()
-        self._often: OrderedDict[str, Account] = OrderedDict()
-        self.queues = self._once, self._often  # each by last use, the longest ago first
-        self.most = max(1, most // 2)  # of each
+    def __init__(self, max_accounts: int) -> None:
+        self._seen_once: OrderedDict[str, Account] = OrderedDict()
+        self._seen_repeatedly: OrderedDict[str, Account] = OrderedDict()
+        self.queues = self._seen_once, self._seen_repeatedly  # least recently used first
+        self.max_per_queue = max(1, max_accounts // 2)
 
     def __len__(self) -> int:
-        return len(self._once) + len(self._often)
+        return len(self._seen_once) + len(self._seen_repeatedly)
 
     def get(self, key: str) -> Account | None:
-        """The account of a customer, if it is here."""
-        return self._often.get(key) or self._once.get(key)
-
-    def use(self, account: Account) -> None:
-        """A customer has asked: its account is the latest used."""
-        if account.key in self._often:
-            self._often.move_to_end(account.key)
-        elif self._once.pop(account.key, None) is not None:
-            self._often[account.key] = account
+        """Return the account of a customer key, or None."""
+        return self._seen_repeatedly.get(key) or self._seen_once.get(key)
+
+    def record_use(self, account: Account) -> None:
+        """Make an account the most recently used one; its second use moves it to the other queue."""
+        if account.key in self._seen_repeatedly:
+            self._seen_repeatedly.move_to_end(account.key)
+        elif self._seen_once.pop(account.key, None) is not None:
+            self._seen_repeatedly[account.key] = account
         else:
-            self._once[account.key] = account
+            self._seen_once[account.key] = account
--- a/micagate/accounts.py
+++ b/micagate/accounts.py
@@ -1,4 +1,7 @@
-"""Customers' accounts: what a gateway knows of one, and what its stores hold."""
+"""Customers' accounts: the token buckets of one customer at one gateway, and what is known of its use.
+
+`micagate/quotas.py` creates, refills and charges them.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,14 @@
 from micagate.estimates.metering import UNSEEN, Meter, QuotaEstimate
 from micagate.recovery.high_water_mark import Mark
 
-SMOOTH = 2.0  # seconds that a reading of the meter should span; shorter ones are averaged (ours)
+METER_SMOOTHING_SECONDS = 2.0  # period that a meter reading should span; readings of shorter periods are averaged
 
 
 class Account:
-    """One customer as this gateway knows it."""
+    """The state of one customer, under one plan, at this gateway. Amounts are in units, times in seconds.
+
+    `gateway_count` gateways serve the customer. `gateway_started_at` is when this gateway started.
+    """
 
     __slots__ = (
         "plan",
@@ -49,56 +55,63 @@
         "ceiling_mark",
     )
 
-    def __init__(self, plan: interface.Plan, key: str, spread: int, now: float, born: float) -> None:
-        self.plan, self.key, self.gateway_count = plan, key, spread
-        # What the whole rate, and the whole stores, are divided by to give this gateway's.
-        self.rate_divisor: float = spread
-        self.capacity_divisor: float = spread
+    def __init__(
+        self, plan: interface.Plan, key: str, gateway_count: int, now: float, gateway_started_at: float
+    ) -> None:
+        self.plan, self.key, self.gateway_count = plan, key, gateway_count
+        # Divisors of the plan's rates and of its bucket capacities that give this gateway's local shares. They
+        # differ from `gateway_count` while shares are lent or borrowed.
+        self.rate_divisor: float = gateway_count
+        self.capacity_divisor: float = gateway_count
         self.first_gateway, self.requested_units, self.peak_in_flight = 0, 0.0, 0
-        self.capacity, self.equal_rate = plan.burst / spread, plan.rate / spread
-        self.local_rate = self.metered_local_rate = (
-            self.equal_rate
-        )  # now, and when the use was metered that is read now
+        self.capacity, self.equal_rate = plan.burst / gateway_count, plan.rate / gateway_count
+        # The local refill rate of the quota: now, and at the time that the current meter readings refer to.
+        self.local_rate = self.metered_local_rate = self.equal_rate
         self.balance, self.quota_estimate = (
             self.capacity,
-            QuotaEstimate(plan.rate, plan.burst, spread, now, UNSEEN * plan.burst),
+            QuotaEstimate(plan.rate, plan.burst, gateway_count, now, UNSEEN * plan.burst),
+        )
+        # An earlier incarnation of this gateway may have spent its share of the ceiling, so it fills from this start.
+        self.ceiling_balance = (
+            min(plan.ceiling_capacity, (now - gateway_started_at) * plan.ceiling_rate) / gateway_count
         )
-        # An earlier life of this gateway may have spent its share of the ceiling: it fills from this birth.
-        self.ceiling_balance = min(plan.ceiling_capacity, (now - born) * plan.ceiling_rate) / spread
         self.updated_at = self.ticked_at = now
         self.demand = self.forecast = self.long_forecast = self.largest_request = 0.0
         self.metered_use, self.read_at, self.reading_count, self.has_new_reading = UNSEEN, now, 0, False
-        self.uses_counter = False  # its sends may be: `Counting` fills its part of the ceiling
-        self.counter_unresponsive_since: float | None = None  # since when its counts have had no answer
-        self.ceiling_filled_until = now  # up to when the ceiling's part was filled since
-        self.ceiling_full_until = now  # a counted total has told that there is no room before
-        self.ceiling_mark: Mark | None = None  # what stands on disk of the ceiling's part: not to be spent below it
-        self.in_flight, self.mean_duration = 0, 0.0  # attempts out, and how long one is, on average; 0: none has ended
+        self.uses_counter = False  # then `Counting` fills its local share of the ceiling
+        self.counter_unresponsive_since: float | None = None  # None while calls for it are answered
+        self.ceiling_filled_until = now  # by `Counting`, while the counter does not respond
+        self.ceiling_full_until = now  # according to the total of the shared counter
+        self.ceiling_mark: Mark | None = None  # persisted level that the ceiling must stay above
+        self.in_flight, self.mean_duration = 0, 0.0  # attempts; the mean duration of one, 0 if none has ended
 
     def record_reading(self, now: float, used: float, meter: Meter, age: float = 0.0) -> None:
-        """A reading of the meter, `age` seconds old; averaged with those before where its period is short.
+        """Record a meter reading: `used` is the total use as a fraction of the plan's rate, measured `age` seconds ago.
 
-        Guards against coarse readings: one unit in a short period looks like many times the rate. The level
-        of the whole store needs no average: it sums them.
+        Readings of a short period are averaged, since one unit in it looks like many times the rate. The estimate of
+        the whole bucket's level takes them as they are, since it sums them up.
         """
-        if self.plan.rate:  # without one, readings are of what is out
+        if self.plan.rate:  # without a rate, readings are of the attempts in flight
             self.quota_estimate.reading(now, used, meter, age)
-        smooth = max(1e-9, SMOOTH - meter.period)
+        smoothing_seconds = max(1e-9, METER_SMOOTHING_SECONDS - meter.period)
         self.reading_count += 1
-        weight = max(1 - math.exp((self.read_at - now) / smooth), 1 / (1 + self.reading_count))
+        weight = max(1 - math.exp((self.read_at - now) / smoothing_seconds), 1 / (1 + self.reading_count))
         self.metered_use += (used - self.metered_use) * weight
         self.read_at, self.has_new_reading = now, True
 
     def seconds_to_full(self) -> float:
-        """Seconds until store and ceiling would be full again."""
-        rate, top = self.plan.ceiling_rate / self.gateway_count, self.plan.ceiling_capacity / self.gateway_count
+        """Return the seconds until both quota and ceiling are full again at equal shares."""
+        ceiling_rate, ceiling_capacity = (
+            self.plan.ceiling_rate / self.gateway_count,
+            self.plan.ceiling_capacity / self.gateway_count,
+        )
         return max(
-            (top - self.ceiling_balance) / rate if rate > 0 else 0.0,
+            (ceiling_capacity - self.ceiling_balance) / ceiling_rate if ceiling_rate > 0 else 0.0,
             (self.capacity - self.balance) / self.equal_rate if self.equal_rate > 0 else 0.0,
         )
 
     def apply_deficit(self, seconds: float) -> None:
-        """Begin with what would take so long to fill missing."""
+        """Reduce quota and ceiling by what they gain in so many seconds at equal shares."""
         if seconds > 0:
             self.balance = max(0.0, self.balance - seconds * self.equal_rate)
             self.quota_estimate.level = max(0.0, self.quota_estimate.level - seconds * self.plan.rate)
@@ -107,5 +120,5 @@
             )
 
     def quota_headroom(self) -> float:
-        """How sure it is that the quota has room: 1 while the meter shows half in use, 0 from all on."""
+        """Return the confidence that the quota has room: 1 up to half of it in use by the meter, 0 from full use on."""
         return min(1.0, max(0.0, 2 * (1 - self.metered_use)))
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -1,7 +1,10 @@
-"""One gateway: a request meets its quota and ceiling, the choice of a worker, then the leaky bucket.
+"""Decides about each request of a gateway: admission, worker, retries, hedges and the final response.
 
-`Gateway.handle` owns a request's life after that: attempts, their repeats and its one end. Settings, events
-and actions are in `micagate/interface.py`. Pure: no I/O, no clock.
+Admission checks in this order: the customer's quota and ceiling, whether a worker is available, the leaky bucket that
+limits the request rate under overload control, and whether the workers are likely to respond in time. `Gateway.handle`
+then tracks the request's attempts until it ends, exactly once.
+Settings, events and actions are defined in `micagate/interface.py`. The module does no I/O and reads no clock: the
+caller passes the time with each event and carries out the returned actions.
 """
 
 from __future__ import annotations
@@ -16,81 +19,89 @@
 from micagate.operating.maintenance import Maintenance
 from micagate.pending import Attempt, Pending
 from micagate.quotas import Quotas
-from micagate.refunds import settle
+from micagate.refunds import release_request
 from micagate.share_transfers import apply_share_update
 from micagate.shares import Shares
 from micagate.throttle import Throttle
 
-RETRY_SHARE, RETRY_DEPTH = 0.2, 10.0  # retry budget: further attempts per first try, and how many it saves up
-CHEAP = 0.5  # of the bounds under pressure: what a class has that is worth next to nothing (ours)
-ADVICE = 0.2  # of the aim: the longest wait that a refusal advises
-EACH = 0.03  # weight of an attempt in how long all are out on average
+# The retry budget: further attempts that each new request adds to it, and the most that it can hold.
+RETRY_BUDGET_PER_REQUEST, RETRY_DEPTH = 0.2, 10.0
+MIN_CLASS_SHARE = 0.5  # share of the overload thresholds that a class of almost no importance still has
+RETRY_AFTER_AIM_FRACTION = 0.2  # longest `retry_after` of a refusal, as a fraction of the class's latency objective
+MEAN_DURATION_WEIGHT = 0.03  # weight of a new attempt in the mean duration of all customers' attempts
 
 
 class Gateway:
-    """One gateway: `handle` turns an event into actions."""
+    """The decisions of one gateway: `handle` turns each event into the actions that the caller carries out.
 
-    def __init__(self, settings: interface.Settings, seed: int, now: float, offset: float = 0.0) -> None:
-        self._s = settings
+    `seed` makes random choices reproducible. `now` is the caller's monotonic time in seconds, and `clock_offset` is
+    added to it to get a time that all gateways share, for the names on the shared counter.
+    """
+
+    def __init__(self, settings: interface.Settings, seed: int, now: float, clock_offset: float = 0.0) -> None:
+        self._settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: p for p in settings.plans}
-        top = max((c.importance for c in settings.classes), default=1.0)
-        # What each class has of the bucket and of the latecomers' bar under control: less where it is worth
-        # less, so that the room goes to what is worth most inside the quotas (RFC 7415, 3.5.2: thresholds by
-        # priority). Harm: as long as dear classes fill the room, cheap ones are all refused.
-        self._part = {c.name: CHEAP + (1 - CHEAP) * c.importance / top for c in settings.classes}
+        max_importance = max((c.importance for c in settings.classes), default=1.0)
+        # The share of the leaky bucket's size and of the limit on late attempts that each class may use under
+        # overload control. Less important classes have a smaller one, so that the capacity goes to the most
+        # important requests within the quotas (RFC 7415, 3.5.2: thresholds by priority). Trade-off: while
+        # high-value classes use all capacity, low-value ones are refused entirely.
+        self._class_shares = {
+            c.name: MIN_CLASS_SHARE + (1 - MIN_CLASS_SHARE) * c.importance / max_importance for c in settings.classes
+        }
         self._random = Random(seed)
         self.throttle = Throttle(now, len(settings.plans))
         shares = Shares()
         self.quotas = Quotas(now, shares, settings.max_accounts, str(seed), settings.meter_period)
         self.fleet = Fleet(settings, self._random, now, shares)
         self.maintenance = Maintenance()
-        self.counting = Counting(settings, now, offset, self._random)
-        self._held: dict[str, Pending] = {}  # tries that wait for their count
-        self._pending: dict[str, Pending] = {}
-        self.in_flight: dict[tuple[str, int], Attempt] = {}
-        self._timers: dict[int, tuple[str, str, int]] = {}
-        self._refs = 0
+        self.counting = Counting(settings, now, clock_offset, self._random)
+        self._awaiting_counter: dict[str, Pending] = {}  # by request, not sent until the shared counter responds
+        self._pending: dict[str, Pending] = {}  # by request, sent to a worker and without a final response yet
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request and number of the attempt, from 0
+        self._timers: dict[int, tuple[str, str, int]] = {}  # by ref: kind of timer, request, number of the attempt
+        self._last_timer_ref = 0
         self.waits = Waits(settings.classes)
         self.retry_budget = RETRY_DEPTH
         self._subscribed = not settings.requires_subscription
         self._actions: list[interface.Action] = []
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """The actions that an event calls for."""
+        """Process an event that occurred at `now` and return the resulting actions."""
         self._actions = []
         match event:
             case interface.Request():
-                self._request(now, event)
+                self._on_request(now, event)
             case interface.Outcome():
-                self._outcome(now, event)
+                self._on_outcome(now, event)
             case interface.TimerFired(ref):
-                self._timer(now, *self._timers.pop(ref, ("", "", 0)))
+                self._on_timer(now, *self._timers.pop(ref, ("", "", 0)))
             case interface.WorkerList():
-                self._list(now, event)
-            case interface.RequestComplete(request, kept):
-                self._whole(now, request, kept)
+                self._on_worker_list(now, event)
+            case interface.RequestComplete(request, retryable):
+                self._on_request_complete(now, request, retryable)
             case interface.SetMaintenance():
-                self._maintain(now, event)
+                self._on_set_maintenance(now, event)
             case interface.StreamStarted(request, number):
-                self._started(now, request, number, event.took)
+                self._on_stream_started(now, request, number, event.took)
             case interface.ClientDisconnected(request):
-                self._held.pop(request, None)
-                self._over(request)
+                self._awaiting_counter.pop(request, None)
+                self._remove_pending(request)
             case interface.StopRetrying(request):
-                self._ending(now, request)
+                self._on_stop_retrying(now, request)
             case interface.CounterResult():
                 if (verdict := self.counting.answered(now, event)) is not None:
-                    self._counted(now, verdict)
+                    self._on_counter_verdict(now, verdict)
             case interface.ShareUpdate():
-                if freed := apply_share_update(self.quotas, now, event, self.plans):
-                    self._actions.append(interface.ReleasedLevels(tuple(freed)))
+                if released := apply_share_update(self.quotas, now, event, self.plans):
+                    self._actions.append(interface.ReleasedLevels(tuple(released)))
             case interface.DemandQuery():
-                seen = worker_demand(now, self.fleet, self.quotas.shares, self._s.gateways)
-                tallies = (*self.quotas.demand_report(), *seen)
+                worker_resources = worker_demand(now, self.fleet, self.quotas.shares, self._settings.gateways)
+                resources = (*self.quotas.demand_report(), *worker_resources)
                 self._actions.append(
                     interface.DemandReport(
-                        tallies, tuple(worker_loads(now, self.fleet)) if event.include_workers else ()
+                        resources, tuple(worker_loads(now, self.fleet)) if event.include_workers else ()
                     )
                 )
         if self.counting.actions:
@@ -98,65 +109,75 @@
             self.counting.actions.clear()
         return self._actions
 
-    def _list(self, now: float, event: interface.WorkerList) -> None:
+    def _on_worker_list(self, now: float, event: interface.WorkerList) -> None:
+        """Apply a discovery update, and subscribe to further ones if that is required and not done or has failed."""
         if not event.failed:
             self.fleet.update(now, self.maintenance.follow(event))
             self.throttle.set_workers(self.fleet.subset.reachable_count, self.fleet.subset.is_partial)
-        if self._s.requires_subscription and (event.failed or not self._subscribed):
+        if self._settings.requires_subscription and (event.failed or not self._subscribed):
             self._subscribed = True
-            if event.failed:  # ask again a little later: the list's service may be drowning
+            if event.failed:  # retry after a delay: the discovery service may be overloaded
                 self._set_timer(1.0 + self._random.random(), "subscribe", "", 0)
             else:
                 self._actions.append(interface.Subscribe())
 
-    def _maintain(self, now: float, event: interface.SetMaintenance) -> None:
-        change = self.maintenance.out if event.out_of_service else self.maintenance.online
-        if (news := change(now, event.worker, event.since)) is not None:
-            self.fleet.update(now, news)
-            if not event.out_of_service and news.entries:
+    def _on_set_maintenance(self, now: float, event: interface.SetMaintenance) -> None:
+        """Take a worker out of service for maintenance, or put it back."""
+        apply_change = self.maintenance.out if event.out_of_service else self.maintenance.online
+        if (update := apply_change(now, event.worker, event.since)) is not None:
+            self.fleet.update(now, update)
+            if not event.out_of_service and update.entries:
                 self.fleet.restored_at[event.worker] = now
-        self._actions.append(interface.MaintenanceResult(event.worker, news is not None))
+        self._actions.append(interface.MaintenanceResult(event.worker, update is not None))
 
-    def _request(self, now: float, event: interface.Request) -> None:
+    def _on_request(self, now: float, event: interface.Request) -> None:
+        """Admit a request and send its first attempt, ask the shared counter about it, or refuse it."""
         klass, plan = self.classes.get(event.klass), self.plans.get(event.plan)
-        if klass is None or plan is None or event.time_left <= self._s.tick:
+        if klass is None or plan is None or event.time_left <= self._settings.tick:
             self._actions.append(interface.Refuse(event.request, 0.0))
             return
         account = self.quotas.account(now, event.customer, plan, event.gateway_count)
         self.quotas.record_demand(account, event)
         pending = Pending(event, klass, account, now + event.time_left)
-        counts = self.counting.counts(now, account, event.first_gateway)
-        pending.within_quota = not (counts and now < account.ceiling_full_until) and self.quotas.is_within_quota(
-            account, event.units, self.throttle.active, counts
+        on_counter = self.counting.counts(now, account, event.first_gateway)
+        pending.within_quota = not (on_counter and now < account.ceiling_full_until) and self.quotas.is_within_quota(
+            account, event.units, self.throttle.active, on_counter
         )
         if not event.client_retry:
             self.waits.first(klass, event.time_left)
-        self.retry_budget = min(RETRY_DEPTH, self.retry_budget + RETRY_SHARE)
-        # Beyond the quota only where that pays, and never while the back end is pressed.
-        welcome = pending.within_quota or (plan.excess_revenue > plan.excess_cost and not self.throttle.active)
-        welcome = welcome and not (event.client_retry and self.waits.too_late(klass, event.time_left))
-        if not welcome or not counts and not self.quotas.ceiling_allows(account, event.units, not pending.within_quota):
+        self.retry_budget = min(RETRY_DEPTH, self.retry_budget + RETRY_BUDGET_PER_REQUEST)
+        # Beyond the quota only if that earns more than it costs, and never under overload control.
+        acceptable = pending.within_quota or (plan.excess_revenue > plan.excess_cost and not self.throttle.active)
+        acceptable = acceptable and not (event.client_retry and self.waits.too_late(klass, event.time_left))
+        if (
+            not acceptable
+            or not on_counter
+            and not self.quotas.ceiling_allows(account, event.units, not pending.within_quota)
+        ):
             self._refuse(event.request, klass.aim)
             return
         worker = self.fleet.pick(now, klass, set())
-        part = self._part[klass.name] if self.throttle.active else 1.0
-        if worker is not None and not self.throttle.admit(now, part):
+        class_share = self._class_shares[klass.name] if self.throttle.active else 1.0
+        if worker is not None and not self.throttle.admit(now, class_share):
             worker = None
-        if worker is not None and self.fleet.is_overloaded(now, account.quota_headroom(), part):
+        if worker is not None and self.fleet.is_overloaded(now, account.quota_headroom(), class_share):
             self.throttle.record_signal(now, worker, plan.name, now)
             worker = None
         if worker is None:
             self._refuse(event.request, klass.aim)
             return
-        if counts:
-            self._held[event.request] = pending
+        if on_counter:
+            self._awaiting_counter[event.request] = pending
             self.counting.ask(now, account, event.units, event.request)
         else:
-            self._first(now, pending, worker)
+            self._send_first_attempt(now, pending, worker)
+
+    def _on_counter_verdict(self, now: float, verdict: Verdict) -> None:
+        """Send or refuse a request that waited for the shared counter's verdict.
 
-    def _counted(self, now: float, verdict: Verdict) -> None:
-        """The count of a try that waited for it."""
-        pending = self._held.pop(verdict.call.request, None)
+        `verdict.inside` is None if the counter gave no answer; the gateway's local share decides then.
+        """
+        pending = self._awaiting_counter.pop(verdict.call.request, None)
         worker = None
         if pending is not None:
             worker, pending.within_quota = self.fleet.pick(now, pending.klass, set()), verdict.inside is True
@@ -167,26 +188,33 @@
                 ) and self.quotas.ceiling_allows(account, units, False)
             if worker is not None and pending.within_quota:
                 pending.counter_call, verdict.call.sent = verdict.call, True
-                return self._first(now, pending, worker, verdict.inside is True)
+                return self._send_first_attempt(now, pending, worker, verdict.inside is True)
             self._refuse(pending.request.request, pending.klass.aim)
         if verdict.inside:
             self.counting.give_back(verdict.call)
 
-    def _first(self, now: float, pending: Pending, worker: str, counted: bool = False) -> None:
+    def _send_first_attempt(self, now: float, pending: Pending, worker: str, on_counter: bool = False) -> None:
+        """Charge a request's units and send it; `on_counter`: the shared counter has counted it."""
         name, account = pending.request.request, pending.account
-        pending.on_counter = counted
-        self.quotas.spend(account, pending.request.units, pending.within_quota, counted, pending.complete)
+        pending.on_counter = on_counter
+        self.quotas.spend(account, pending.request.units, pending.within_quota, on_counter, pending.complete)
         self._pending[name] = pending
-        self._send(now, pending, worker)
+        self._send_attempt(now, pending, worker)
         if pending.complete:
-            pending.timer = self._set_timer(pending.deadline - now - self._s.tick, "deadline", name, 0)
+            pending.timer = self._set_timer(pending.deadline - now - self._settings.tick, "deadline", name, 0)
 
     def _refuse(self, request: str, aim: float) -> None:
-        """Refuse with advice that leaves several tries before the aim: later ones spend units for nothing."""
-        advice = min(self._s.max_retry_after, ADVICE * aim) * (0.5 + 0.5 * self._random.random())
-        self._actions.append(interface.Refuse(request, advice))
+        """Refuse a request, with a `retry_after` short enough for several client retries within the objective `aim`.
+
+        Retries after that would spend units on responses that come too late.
+        """
+        retry_after = min(self._settings.max_retry_after, RETRY_AFTER_AIM_FRACTION * aim) * (
+            0.5 + 0.5 * self._random.random()
+        )
+        self._actions.append(interface.Refuse(request, retry_after))
 
-    def _send(self, now: float, pending: Pending, worker: str) -> None:
+    def _send_attempt(self, now: float, pending: Pending, worker: str) -> None:
+        """Send an attempt to a worker; its timers start when the request is complete."""
         name, number, klass = pending.request.request, len(pending.attempts), pending.klass
         attempt = Attempt(self.fleet.workers[worker].entry, klass, now, pending)
         pending.attempts.append(attempt)
@@ -194,143 +222,158 @@
         self.in_flight[name, number] = attempt
         self._actions.append(interface.Send(name, worker))
         if pending.complete:
-            self._began(now, pending, number)
+            self._record_attempt_start(now, pending, number)
 
-    def _whole(self, now: float, name: str, kept: bool) -> None:
-        """The last byte of a request has come: its time, and that of the attempt that is out, begin here.
+    def _on_request_complete(self, now: float, name: str, retryable: bool) -> None:
+        """Start the deadline of a request, and the clock of its attempt in flight, when its last byte has arrived.
 
-        What comes slowly would look like a worker that is slow.
+        Measured from the first byte, a slow upload would look like a slow worker.
         """
-        pending = self._pending.get(name) or self._held.get(name)
+        pending = self._pending.get(name) or self._awaiting_counter.get(name)
         if pending is None or pending.complete:
             return
-        pending.complete, pending.retryable, pending.deadline = True, kept, now + pending.request.time_left
+        pending.complete, pending.retryable, pending.deadline = True, retryable, now + pending.request.time_left
         if not pending.attempts:
             return
         self.quotas.record_arrival(now, pending.account, pending.request.units)
-        pending.timer = self._set_timer(pending.request.time_left - self._s.tick, "deadline", name, 0)
+        pending.timer = self._set_timer(pending.request.time_left - self._settings.tick, "deadline", name, 0)
         number = len(pending.attempts) - 1
         if not pending.attempts[number].status:
             pending.attempts[number].sent_at = now
-            self._began(now, pending, number)
+            self._record_attempt_start(now, pending, number)
 
-    def _began(self, now: float, pending: Pending, number: int) -> None:
-        """An attempt is out: a worker has all of it."""
+    def _record_attempt_start(self, now: float, pending: Pending, number: int) -> None:
+        """Record that a worker is sent the whole request, and set the attempt's latency and hedge timers."""
         name, attempt, klass = pending.request.request, pending.attempts[number], pending.klass
         if attempt.worker in self.fleet.workers:
             self.fleet.record_sent(now, attempt.worker, (name, number), klass)
         attempt.timers.append(self._set_timer(klass.aim, "aim", name, number))
-        if pending.retryable and number + 1 < self._s.max_attempts and klass.effect != interface.SIDE_EFFECT:
-            attempt.timers.append(self._set_timer(self._silence(klass), "hedge", name, number))
+        if pending.retryable and number + 1 < self._settings.max_attempts and klass.effect != interface.SIDE_EFFECT:
+            attempt.timers.append(self._set_timer(self._stall_threshold(klass), "hedge", name, number))
 
-    def _silence(self, klass: interface.RequestClass) -> float:
-        """How long an attempt may be out before its silence is unusual."""
+    def _stall_threshold(self, klass: interface.RequestClass) -> float:
+        """Return how many seconds an attempt may be in flight before it counts as unusually long."""
         return min(STALL * self.fleet.usual_latency(klass), klass.aim / 2)
 
-    def _ending(self, now: float, name: str) -> None:
-        """The gateway ends: what waits for its count is refused, and what is out ends with its outcome."""
-        if (held := self._held.pop(name, None)) is not None:
-            self._refuse(name, held.klass.aim)
+    def _on_stop_retrying(self, now: float, name: str) -> None:
+        """Stop retrying a request because the gateway shuts down.
+
+        If it still waits for the shared counter it is refused; otherwise the outcome of its attempt ends it.
+        """
+        if (waiting := self._awaiting_counter.pop(name, None)) is not None:
+            self._refuse(name, waiting.klass.aim)
         elif (pending := self._pending.get(name)) is not None:
             pending.deadline = now
 
-    def _over(self, name: str) -> Pending | None:
-        """Forget a request that has ended, and its timer: callers may drop timers that nothing waits for."""
+    def _remove_pending(self, name: str) -> Pending | None:
+        """Remove a request that has ended and return it, or return None if it was not pending.
+
+        Its deadline timer is removed as well: the caller may drop timers of ended requests, so it may never fire.
+        """
         pending = self._pending.pop(name, None)
         if pending is not None:
             self._timers.pop(pending.timer, None)
         return pending
 
     def _set_timer(self, delay: float, kind: str, name: str, number: int) -> int:
-        self._refs += 1
-        self._timers[self._refs] = (kind, name, number)
-        self._actions.append(interface.SetTimer(max(0.0, delay), self._refs))
-        return self._refs
+        """Ask the caller for a timer and return its ref. `kind` is "aim", "hedge", "deadline" or "subscribe"."""
+        self._last_timer_ref += 1
+        self._timers[self._last_timer_ref] = (kind, name, number)
+        self._actions.append(interface.SetTimer(max(0.0, delay), self._last_timer_ref))
+        return self._last_timer_ref
 
-    def _timer(self, now: float, kind: str, name: str, number: int) -> None:
+    def _on_timer(self, now: float, kind: str, name: str, number: int) -> None:
+        """Handle a timer: an attempt passed its latency objective or is unusually long, or a deadline has come."""
         attempt, pending = self.in_flight.get((name, number)), self._pending.get(name)
         if kind == "subscribe":
             self._actions.append(interface.Subscribe())
         elif kind == "aim" and attempt is not None and not attempt.overload_signalled:
             attempt.overload_signalled = True
             self.fleet.record_overdue(now, (name, number))
-            if overtaken := self.fleet.has_answered_later(attempt.worker, attempt.sent_at):
+            if later_attempt_answered := self.fleet.has_answered_later(attempt.worker, attempt.sent_at):
                 self.fleet.tails.missed(now)
-                attempt.release_slot()  # its answer was written and got lost: the customer's place is free
-            if overtaken or attempt.klass.effect == interface.SIDE_EFFECT:
+                # The response was sent and got lost: the customer's concurrency slot is free.
+                attempt.release_slot()
+            if later_attempt_answered or attempt.klass.effect == interface.SIDE_EFFECT:
                 self.fleet.record_no_response(now, attempt.worker, attempt.klass)
-            lost = self.fleet.loses_class(now, attempt.worker, attempt.klass)
-            if not lost and not self.fleet.recent.lossy():
+            worker_loses_class = self.fleet.loses_class(now, attempt.worker, attempt.klass)
+            if not worker_loses_class and not self.fleet.recent.lossy():
                 self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
         elif kind == "deadline" and pending is not None and not pending.streaming:
-            self._end(pending)
+            self._end_without_response(pending)
         elif kind == "hedge" and attempt is not None and pending is not None and not pending.streaming:
-            if self.fleet.has_answered_later(attempt.worker, attempt.sent_at):  # else it may be a queue or a pause
+            # If no attempt sent later was answered, the worker may just have a queue or a pause.
+            if self.fleet.has_answered_later(attempt.worker, attempt.sent_at):
                 self.fleet.record_no_response(now, attempt.worker, attempt.klass)
                 if self.fleet.tails.lost():
                     attempt.release_slot()
-            self._hedge(now, pending, number)
+            self._hedge_or_cancel(now, pending, number)
 
-    def _hedge(self, now: float, pending: Pending, number: int) -> None:
-        """A second chance for an attempt that is out well beyond the usual, while the back end isn't pressed.
+    def _hedge_or_cancel(self, now: float, pending: Pending, number: int) -> None:
+        """Hedge an attempt that is in flight for unusually long, or cancel it so that its outcome leads to a retry.
 
-        Guards against hung, cut off and lost workers, before any time-out tells of them. Harm: work done
-        twice, which a cancel need not stop: so only where what is silent for so long was mostly lost lately,
-        not long; the retry budget bounds it, and control switches it off but where a worker loses answers.
+        This covers hung, unreachable and lost workers before a timeout reveals them. Trade-off: work is done twice,
+        since a cancel need not stop it. So an attempt is cancelled only if most of the recent attempts that took this
+        long were lost rather than just slow, and the retry budget bounds hedges. Overload control disables both,
+        except at a worker that loses responses of this class.
         """
         if self.throttle.active and not self.fleet.loses_class(now, pending.attempts[number].worker, pending.klass):
             return
         if pending.deadline - now < self.fleet.usual_latency(pending.klass):
             return
-        if self._s.hedging:
-            self._again(now, pending)
+        if self._settings.hedging:
+            self._send_further_attempt(now, pending)
         elif (
             pending.klass.effect == interface.PURE
-            and self._s.can_cancel
+            and self._settings.can_cancel
             and self.retry_budget >= 1
             and self.fleet.tails.lost()
         ):
-            self._actions.append(interface.Cancel(pending.request.request, number))  # its outcome sends it again
+            # The outcome of the cancelled attempt is followed by a retry.
+            self._actions.append(interface.Cancel(pending.request.request, number))
 
-    def _started(self, now: float, name: str, number: int, took: float) -> None:
+    def _on_stream_started(self, now: float, name: str, number: int, took: float) -> None:
+        """Take the time to the first byte as the attempt's latency; a begun stream is neither ended nor hedged."""
         pending, attempt = self._pending.get(name), self.in_flight.get((name, number))
         if attempt is not None:
-            self._late(now, attempt, took)
+            self._signal_if_late(now, attempt, took)
             self.fleet.record_response_start(now, attempt.worker, (name, number))
-            attempt.overload_signalled = True  # what follows is the stream's length, no sign of load
+            attempt.overload_signalled = True  # from here the duration is the stream's length, not a sign of load
         if pending is not None:
             pending.streaming = True
 
-    def _late(self, now: float, attempt: Attempt, took: float) -> None:
+    def _signal_if_late(self, now: float, attempt: Attempt, took: float) -> None:
+        """Record an overload signal for a response after the latency objective, once for each attempt."""
         if took > attempt.klass.aim and not attempt.overload_signalled:
             self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
 
-    def _outcome(self, now: float, event: interface.Outcome) -> None:
+    def _on_outcome(self, now: float, event: interface.Outcome) -> None:
+        """Record an attempt's outcome; then end its request, send a further attempt, or wait for another in flight."""
         key = (event.request, event.attempt)
         attempt, pending = self.in_flight.pop(key, None), self._pending.get(event.request)
         if attempt is None:
-            return  # late or repeated news
+            return  # a late or duplicate outcome
         for ref in attempt.timers:
             self._timers.pop(ref, None)
         attempt.status = event.status
         attempt.finish(event.took)
         self.quotas.mean_duration += (event.took - self.quotas.mean_duration) * (
-            EACH if self.quotas.mean_duration else 1.0
+            MEAN_DURATION_WEIGHT if self.quotas.mean_duration else 1.0
         )
         if event.used is not None:
             attempt.account.record_reading(now, event.used, self.quotas.meter, event.used_age)
         self.fleet.record_outcome(now, attempt.worker, key, attempt.klass, event.status, event.took)
-        if event.status == interface.SUCCESS and event.took > self._silence(attempt.klass):
+        if event.status == interface.SUCCESS and event.took > self._stall_threshold(attempt.klass):
             self.fleet.tails.came(now, event.took > attempt.klass.aim)
         if event.status in (interface.OVERLOADED, interface.TIMED_OUT):
             if not attempt.overload_signalled and (
                 event.status == interface.OVERLOADED or not self.fleet.recent.lossy()
             ):
                 self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
-        elif attempt.pending.complete:  # else its time is that of whoever sends the request
-            self._late(now, attempt, event.took)
+        elif attempt.pending.complete:  # else the duration is that of the client's upload
+            self._signal_if_late(now, attempt, event.took)
         if pending is None:
-            settle(self.counting, attempt.pending, self._pending)
+            release_request(self.counting, attempt.pending, self._pending)
             return
         if (
             event.status == interface.SUCCESS
@@ -340,47 +383,56 @@
         ):
             pending.account.balance += pending.request.units - event.final_units
         if event.terminal or event.status == interface.SUCCESS:
-            self._over(event.request)
-            if self._s.can_cancel:
+            self._remove_pending(event.request)
+            if self._settings.can_cancel:
                 for number, other in enumerate(pending.attempts):
                     if not other.status:
                         self._actions.append(interface.Cancel(event.request, number))
         elif any(not other.status for other in pending.attempts):
-            pass  # another copy is still out
-        elif not event.retryable or now >= pending.deadline - self._s.tick or not self._again(now, pending):
-            self._end(pending)
-        settle(self.counting, attempt.pending, self._pending)
+            pass  # another attempt is still in flight
+        elif (
+            not event.retryable
+            or now >= pending.deadline - self._settings.tick
+            or not self._send_further_attempt(now, pending)
+        ):
+            self._end_without_response(pending)
+        release_request(self.counting, attempt.pending, self._pending)
 
-    def _again(self, now: float, pending: Pending) -> bool:
-        """Send a further attempt if effect, group, window, budget and bucket allow."""
+    def _send_further_attempt(self, now: float, pending: Pending) -> bool:
+        """Send a retry or a hedge and return True, or return False if that is not allowed.
+
+        The class's effect, group and window, the retry budget, the state of the workers and the leaky bucket decide.
+        """
         klass, zone, cell = pending.klass, None, None
-        anchor = next((a for a in pending.attempts if a.status not in interface.NOT_EXECUTED_STATUSES), None)
-        if anchor is not None:
+        # The first attempt that may have executed; those in flight count as well.
+        possibly_executed = next((a for a in pending.attempts if a.status not in interface.NOT_EXECUTED_STATUSES), None)
+        if possibly_executed is not None:
             if klass.effect == interface.SIDE_EFFECT:
                 return False
             if klass.effect == interface.TOKEN:
-                if now > anchor.sent_at + klass.window - self._s.tick:
+                if now > possibly_executed.sent_at + klass.window - self._settings.tick:
                     return False
-                zone = anchor.zone if klass.group == "zone" else None
-                cell = anchor.cell if klass.group == "cell" else None
-        # What did not come up cost the workers nothing, and a lost zone takes a third of all tries.
-        free = self.fleet.subset.is_partial and pending.attempts[-1].status == interface.UNREACHABLE
-        if len(pending.attempts) >= self._s.max_attempts or self.retry_budget < 1 and not free:
+                zone = possibly_executed.zone if klass.group == "zone" else None
+                cell = possibly_executed.cell if klass.group == "cell" else None
+        # An attempt that did not connect cost the workers nothing, and when a zone is lost a third of all attempts
+        # end this way, more than the retry budget allows for.
+        exempt_from_budget = self.fleet.subset.is_partial and pending.attempts[-1].status == interface.UNREACHABLE
+        if len(pending.attempts) >= self._settings.max_attempts or self.retry_budget < 1 and not exempt_from_budget:
             return False
         worker = self.fleet.pick(now, klass, {a.worker for a in pending.attempts}, zone, cell)
-        part = self._part[klass.name] if self.throttle.active else 1.0
-        if worker is None or self.fleet.is_overloaded(now, pending.account.quota_headroom(), part):
+        class_share = self._class_shares[klass.name] if self.throttle.active else 1.0
+        if worker is None or self.fleet.is_overloaded(now, pending.account.quota_headroom(), class_share):
             return False
-        if not self.throttle.admit(now, part):
+        if not self.throttle.admit(now, class_share):
             return False
-        self.retry_budget -= not free
-        self._send(now, pending, worker)
+        self.retry_budget -= not exempt_from_budget
+        self._send_attempt(now, pending, worker)
         return True
 
-    def _end(self, pending: Pending) -> None:
-        """The request's own end: a refusal while nothing can have run, else a failure."""
+    def _end_without_response(self, pending: Pending) -> None:
+        """End a request without a worker's response: refuse it if no attempt can have executed, else fail it."""
         name = pending.request.request
-        if self._over(name) is None:
+        if self._remove_pending(name) is None:
             return
         if all(a.status in interface.NOT_EXECUTED_STATUSES for a in pending.attempts):
             self._refuse(name, pending.klass.aim)
--- a/micagate/interface.py
+++ b/micagate/interface.py
@@ -9,7 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-WRITTEN = "written"  # metadata of a field that traces write under another name than its own
+WRITTEN = "written"  # metadata key of a field: the name under which traces write it, if it differs
+# Effects of a request: none that matters if it executes twice; none if its token is recognised; executes once at most.
 PURE, TOKEN, SIDE_EFFECT = "pure", "token", "side_effect"
 EFFECTS = (PURE, TOKEN, SIDE_EFFECT)
 GROUPS = ("all", "zone", "cell")
@@ -22,29 +23,34 @@
 NOT_DELIVERED_STATUSES = frozenset({UNREACHABLE, NOT_SENT})  # no worker received it whole: no quota was used
 
 
-def _check(owner: object, at_least: float, names: Iterable[str]) -> None:
+def _require_at_least(owner: object, minimum: float, names: Iterable[str]) -> None:
+    """Raise a ValueError if a field of `owner` is infinite, not a number or below `minimum`."""
     for name in names:
         value = getattr(owner, name)
-        if not at_least <= value < float("inf"):
-            raise ValueError(f"{type(owner).__name__}.{name} must be at least {at_least:g}, not {value!r}")
+        if not minimum <= value < float("inf"):
+            raise ValueError(f"{type(owner).__name__}.{name} must be at least {minimum:g}, not {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. `aim` is its latency objective, `deadline` the time after which a request has failed."""
+    """A class of requests. `aim` is its latency objective, `deadline` the time after which a request has failed.
+
+    Both are in seconds from the arrival of the request.
+    """
 
     name: str
     aim: float
     deadline: float
-    effect: str = PURE
-    group: str = "all"
-    window: float = 0.0
-    streaming: bool = False
+    effect: str = PURE  # whether a request that may have executed may be sent again: PURE always, SIDE_EFFECT never
+    group: str = "all"  # TOKEN: the workers that recognise a repeated request: all, or the same zone's or cell's
+    window: float = 0.0  # TOKEN: seconds after an attempt that may have executed in which a retry is recognised
+    streaming: bool = False  # the response is streamed; its latency counts to the first byte
+    # Value of a response after the objective; above 0, client retries are served also when the objective has passed.
     late_value: float = field(default=0.0, metadata={WRITTEN: "late_worth"})
     importance: float = 1.0  # value of one request relative to other classes
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("aim", "deadline", "window", "late_value"))
+        _require_at_least(self, 0.0, ("aim", "deadline", "window", "late_value"))
         if not 0 < self.importance < float("inf"):
             raise ValueError(f"RequestClass.importance must be a number above 0, not {self.importance!r}")
         if self.effect not in EFFECTS:
@@ -55,21 +61,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's limits, each for one customer over all gateways; a rate or limit of 0 means unlimited."""
+    """A plan's limits, each for one customer over all gateways; a rate or limit of 0 means unlimited.
+
+    The quota and the ceiling are token buckets. Requests beyond the quota may be served, those beyond the ceiling never
+    are.
+    """
 
     name: str
-    rate: float = 0.0
-    burst: float = 0.0
-    concurrency_limit: float = field(default=0.0, metadata={WRITTEN: "at_once"})
-    ceiling_rate: float = 0.0
-    ceiling_capacity: float = field(default=0.0, metadata={WRITTEN: "ceiling_depth"})
-    ceiling_slack: float = 0.0
-    excess_revenue: float = field(default=0.0, metadata={WRITTEN: "beyond_earns"})
-    excess_cost: float = 0.0
+    rate: float = 0.0  # refill rate of the quota, units a second
+    burst: float = 0.0  # capacity of the quota, units
+    concurrency_limit: float = field(default=0.0, metadata={WRITTEN: "at_once"})  # attempts in flight
+    ceiling_rate: float = 0.0  # refill rate of the ceiling, units a second
+    ceiling_capacity: float = field(default=0.0, metadata={WRITTEN: "ceiling_depth"})  # units
+    ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded
+    excess_revenue: float = field(default=0.0, metadata={WRITTEN: "beyond_earns"})  # of a request beyond the quota
+    excess_cost: float = 0.0  # of a request beyond the quota, relative to the value of one within it
     price: float = 1.0  # value of its requests relative to other plans
 
     def __post_init__(self) -> None:
-        _check(
+        _require_at_least(
             self,
             0.0,
             (
@@ -88,24 +98,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one gateway, fixed at its start."""
+    """The settings of one gateway, fixed at its start. Times are in seconds."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    gateways: int = 1
+    gateways: int = 1  # number of gateways in the installation
     number: int | None = None  # this gateway's number, from 0; None if unknown
-    zone: str = ""
-    tick: float = 0.001
-    max_attempts: int = 1
-    can_cancel: bool = False
-    hedging: bool = field(default=False, metadata={WRITTEN: "second_copies"})
+    zone: str = ""  # this gateway's zone; workers in it are preferred
+    tick: float = 0.001  # margin by which requests end, and retries stop, before a deadline or the end of a window
+    max_attempts: int = 1  # per request, retries and hedges included
+    can_cancel: bool = False  # the caller can carry out a `Cancel`
+    hedging: bool = field(default=False, metadata={WRITTEN: "second_copies"})  # hedges are allowed
     max_retry_after: float = field(default=0.0, metadata={WRITTEN: "max_retry_advice"})  # 0: no Retry-After is sent
     requires_subscription: bool = field(
         default=False, metadata={WRITTEN: "must_subscribe"}
     )  # the worker list is sent to subscribers only
     meter_period: float = 0.0  # 0: there is no meter
+    # A worker that started lately has this fraction of its capacity at first, and all of it after the duration.
     slow_start_min_factor: float = field(default=1.0, metadata={WRITTEN: "cold_from"})
     slow_start_duration: float = field(default=0.0, metadata={WRITTEN: "ramp_time"})
+    # It may have at most (overload_factor - 1) x its capacity x fall_time in flight, from all gateways together.
     overload_factor: float = 2.0
     fall_time: float = 1.0
     counter_timeout: float = field(
@@ -116,10 +128,10 @@
     )  # accounts kept in memory, besides those with attempts in flight
 
     def __post_init__(self) -> None:
-        _check(self, 1, ("gateways", "max_attempts", "overload_factor", "max_accounts"))
+        _require_at_least(self, 1, ("gateways", "max_attempts", "overload_factor", "max_accounts"))
         if self.number is not None:
-            _check(self, 0, ("number",))
-        _check(
+            _require_at_least(self, 0, ("number",))
+        _require_at_least(
             self,
             0.0,
             (
@@ -142,7 +154,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """An entry of the worker list. `started` is None if the worker started long ago."""
+    """An entry of the worker list. `size` is the worker's capacity relative to others.
+
+    `started` is None if the worker started long ago.
+    """
 
     worker: str
     zone: str = ""
@@ -168,14 +183,14 @@
 class Request:
     """A request of a client. `gateway_count` consecutive gateways may receive this customer's requests."""
 
-    request: str
-    klass: str
-    plan: str
+    request: str  # unique among the requests of this gateway that have not ended
+    klass: str  # name of its `RequestClass`
+    plan: str  # name of its `Plan`
     customer: str
-    time_left: float
-    units: float = 1.0
+    time_left: float  # seconds until its deadline
+    units: float = 1.0  # what it charges to the quota and the ceiling
     gateway_count: int = field(default=1, metadata={WRITTEN: "spread"})
-    client_retry: bool = field(default=False, metadata={WRITTEN: "repeat"})
+    client_retry: bool = field(default=False, metadata={WRITTEN: "repeat"})  # the client has sent it before
     first_gateway: int = field(
         default=0, metadata={WRITTEN: "first"}
     )  # number of the first of these gateways; the others follow it, modulo the number of gateways
@@ -184,8 +199,8 @@
     )  # the whole body has arrived; else a `RequestComplete` follows, and the deadline counts from it
 
     def __post_init__(self) -> None:
-        _check(self, 1, ("gateway_count",))
-        _check(self, 0.0, ("units", "first_gateway"))
+        _require_at_least(self, 1, ("gateway_count",))
+        _require_at_least(self, 0.0, ("units", "first_gateway"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -193,13 +208,13 @@
     """The outcome of an attempt, one for each. `used` is the metered use as a share of the quota, if reported."""
 
     request: str
-    attempt: int
+    attempt: int  # number of the attempt within the request, from 0
     worker: str
     status: str
-    terminal: bool
-    took: float
+    terminal: bool  # the request has ended with this outcome, for example because the client has its response
+    took: float  # seconds
     used: float | None = None
-    final_units: float = 0.0
+    final_units: float = 0.0  # what the request used according to the worker, if reported; replaces its `units`
     used_age: float = 0.0  # age of `used` in seconds: a long response may take seconds to arrive
     retryable: bool = field(
         default=True, metadata={WRITTEN: "kept"}
@@ -250,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt. It times out after `timeout` seconds, or with the client if that is 0."""
+    """Start an attempt. It times out after `timeout` seconds, or at the request's deadline if that is 0."""
 
     request: str
     worker: str
@@ -259,7 +274,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final: the request was refused and did not execute, so that a retry is safe."""
+    """Final: the request was refused and did not execute, so that a retry is safe.
+
+    `retry_after` is how many seconds the client should wait before it, 0 if nothing is advised.
+    """
 
     request: str
     retry_after: float = 0.0
@@ -336,21 +354,20 @@
     gateway_count: int = field(default=1, metadata={WRITTEN: "count"})
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("lent", "borrowed"))
-        _check(self, 1, ("gateway_count",))
+        _require_at_least(self, 0.0, ("lent", "borrowed"))
+        _require_at_least(self, 1, ("gateway_count",))
 
 
 @dataclass(frozen=True, slots=True)
 class BucketLevels:
-    """The balances of a resource's token buckets, of quota and ceiling, that move with a share; 1 is a whole
-    burst."""
+    """The amounts in a resource's token buckets, of quota and ceiling, that move with a share; 1 is a whole bucket."""
 
     key: str
     quota: float = field(default=0.0, metadata={WRITTEN: "store"})
     ceiling: float = 0.0
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("quota", "ceiling"))
+        _require_at_least(self, 0.0, ("quota", "ceiling"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -361,7 +378,7 @@
     capacity: float = field(metadata={WRITTEN: "pace"})
 
     def __post_init__(self) -> None:
-        _check(self, 0.0, ("capacity",))
+        _require_at_least(self, 0.0, ("capacity",))
 
 
 @dataclass(frozen=True, slots=True)
--- a/micagate/pending.py
+++ b/micagate/pending.py
@@ -1,4 +1,4 @@
-"""Requests and attempts that are not over. Decides nothing."""
+"""State of the requests and attempts that have not ended. `micagate/gateway.py` makes all decisions on them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from micagate.accounts import Account
 from micagate.counting.counting import Call
 
-TOOK = 0.1  # weight of an attempt in how long a customer's are on average
+ACCOUNT_DURATION_WEIGHT = 0.1  # weight of a new attempt in the mean duration of its customer's attempts
 
 
 class Attempt:
-    """An attempt until its outcome has come."""
+    """An attempt, from when it is sent until its outcome arrives. `status` is the outcome's, "" until then."""
 
     __slots__ = (
         "worker",
@@ -29,30 +29,32 @@
     )
 
     def __init__(
-        self, entry: interface.WorkerEntry, klass: interface.RequestClass, sent: float, pending: Pending
+        self, entry: interface.WorkerEntry, klass: interface.RequestClass, sent_at: float, pending: Pending
     ) -> None:
         self.worker, self.zone, self.cell = entry.worker, entry.zone, entry.cell
-        self.klass, self.sent_at, self.account = klass, sent, pending.account
-        self.pending = pending  # the request's, also when that is over
+        self.klass, self.sent_at, self.account = klass, sent_at, pending.account
+        self.pending = pending  # stays set when the request has ended before the attempt
         self.status, self.overload_signalled = "", False
         self.timers: list[int] = []
-        self.holds_slot = True  # among what its customer has out
+        self.holds_slot = True  # whether it counts against its customer's concurrency limit
 
     def finish(self, took: float) -> None:
-        """It is out no more, after `took` seconds, which are averaged with its customer's others."""
+        """Release the concurrency slot and add the duration, `took` seconds, to the customer's mean."""
         self.release_slot()
         account = self.account
-        account.mean_duration += (took - account.mean_duration) * (TOOK if account.mean_duration else 1.0)
+        account.mean_duration += (took - account.mean_duration) * (
+            ACCOUNT_DURATION_WEIGHT if account.mean_duration else 1.0
+        )
 
     def release_slot(self) -> None:
-        """Count it no more among what its customer has out."""
+        """Release the concurrency slot of its customer, once."""
         if self.holds_slot:
             self.holds_slot = False
             self.account.in_flight -= 1
 
 
 class Pending:
-    """A request that is owed its end."""
+    """A request without a final response yet. `deadline` is on the caller's clock, infinite until it is complete."""
 
     __slots__ = (
         "request",
@@ -78,6 +80,6 @@
         self.timer = 0
         self.complete, self.retryable = request.complete, True
         if not request.complete:
-            self.deadline = math.inf  # its time has not begun
-        self.counter_call: Call | None = None  # that counted it
-        self.on_counter = False  # its units stand on the counter, and not in the part of the ceiling here
+            self.deadline = math.inf  # the deadline counts from the last byte
+        self.counter_call: Call | None = None  # the call to the shared counter that counted it
+        self.on_counter = False  # its units are charged to the shared counter, not to the local share of the ceiling
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -1,4 +1,11 @@
-"""Customers' quotas, ceilings and at-once caps: stores, and metered slices of them."""
+"""Enforces customers' quotas, ceilings and concurrency limits at one gateway.
+
+Each is a limit for all gateways together, and this gateway enforces its local share of it. A quota is a token bucket
+of a plan's `rate` and `burst`, in units. Its local share starts as an equal part for each of the customer's gateways;
+the local refill rate then follows a meter, which reports the customer's total use. A ceiling is a second token
+bucket, which also limits the requests that are served beyond the quota. The bookkeeping of one customer is in
+`micagate/accounts.py`.
+"""
 
 from __future__ import annotations
 
@@ -12,195 +19,256 @@
 from micagate.shares import Shares
 from micagate.workload import asked_of
 
-DECAY = 0.7  # of the forecast, each second (ours)
-LONG_DECAY = 0.95  # of the longer forecast, for customers that come to this gateway seldom (ours)
-LEAST = 2.0  # requests that a part of the store should hold; thinner ones get credit (ours)
-AIMED = 0.6  # of the quota: what slices steer the use to with the whole store empty; 1.6 when full (ours)
-LATE = 3.0  # seconds by which readings of the meter, smoothed, are late: a slice tells by then (ours)
-MOVED = 0.5  # of each part of a ceiling's rate: it follows what the meter shows this gateway to send (ours)
-RETURNS = 0.8  # of what a refusal leaves in a store, what a later try makes good (ours)
-IDLE = 30.0  # seconds after which an idle customer's entry may go (ours)
+FORECAST_DECAY_PER_SECOND = 0.7  # factor by which past demand decays each second in the forecast
+LONG_FORECAST_DECAY_PER_SECOND = 0.95  # the same in the long forecast, for customers seldom seen at this gateway
+MIN_REQUESTS_IN_CAPACITY = 2.0  # a local share should hold this many requests; a smaller one gets credit
+# Use that local rates steer to, as a fraction of the quota, while the whole bucket is empty; 1.6 while it is full.
+TARGET_USE_WHEN_EMPTY = 0.6
+METER_LAG_SECONDS = 3.0  # delay of smoothed meter readings: how long a change of a local rate takes to show in them
+# Part of a gateway's share of a ceiling's rate that follows its share of the metered use; the rest is divided equally.
+CEILING_RATE_FOLLOWING_USE = 0.5
+RETRY_RECOVERY_FRACTION = 0.8  # part of a wrongly refused request's value that the client's next retry recovers
+IDLE_TIMEOUT_SECONDS = 30.0  # an account unused for this long may be evicted once it is full again
 
 
 class Quotas:
-    """Stores, metered slices, ceilings and at-once caps of the customers."""
+    """The quotas, ceilings and concurrency limits of all customers at one gateway.
+
+    `max_accounts` bounds the accounts in memory, `salt` keys the sketch of evicted ones, and `period` is the meter's
+    reporting period in seconds, 0 if there is no meter.
+    """
 
     def __init__(
-        self, now: float, shares: Shares | None = None, most: int = 30_000, salt: str = "", period: float = 0.0
+        self,
+        now: float,
+        shares: Shares | None = None,
+        max_accounts: int = 30_000,
+        salt: str = "",
+        period: float = 0.0,
     ) -> None:
         self.meter = Meter(period)
-        self.mean_duration = 0.0  # how long an attempt is out, on average, whoever's
+        self.mean_duration = 0.0  # of an attempt, seconds, over all customers; 0: none has ended yet
         self._born, self.shares = now, Shares() if shares is None else shares
-        self._surveyed: dict[str, Account] | None = None  # asked since the last survey, if any
-        self.accounts, self.deficits = AccountTable(most), DeficitSketch(salt)
-        self.ceiling_marks: Marks | None = None  # of ceilings, where there is a memory that lasts
+        self._demanding_accounts: dict[str, Account] | None = None  # by key, since the last demand report
+        self.accounts, self.deficits = AccountTable(max_accounts), DeficitSketch(salt)
+        self.ceiling_marks: Marks | None = None  # set if ceilings are persisted across restarts
 
-    def account(self, now: float, customer: str, plan: interface.Plan, spread: int) -> Account:
-        """The customer's entry brought up to now; entries idle for long and full again are dropped.
+    def account(self, now: float, customer: str, plan: interface.Plan, gateway_count: int) -> Account:
+        """Return the customer's account, refilled up to `now`; create it if needed, and evict a few idle accounts.
 
-        Guards against requests that name a customer wrongly: another plan has an entry of its own, and
-        another set only moves the bounds, so that neither fills a store again.
+        `gateway_count` gateways serve the customer. A request with a wrong plan or gateway count does not refill a
+        bucket: another plan has an account of its own, and another count only changes the capacities and rates.
         """
-        self._let_go(now)
+        self._evict_accounts(now)
         key = customer_key(plan.name, customer)
         account = self.accounts.get(key)
         if account is None:
-            account = Account(plan, key, spread, now, self._born)
-            account.apply_deficit(owed := self.deficits.deficit(now, key))
+            account = Account(plan, key, gateway_count, now, self._born)
+            account.apply_deficit(deficit_seconds := self.deficits.deficit(now, key))
             if self.ceiling_marks is not None:
-                self.ceiling_marks.opened(now, account, owed)
-        elif account.gateway_count != spread:
-            account.gateway_count = spread
-            self._divide(account, spread, spread)
-        self.accounts.use(account)
+                self.ceiling_marks.opened(now, account, deficit_seconds)
+        elif account.gateway_count != gateway_count:
+            account.gateway_count = gateway_count
+            self._set_divisors(account, gateway_count, gateway_count)
+        self.accounts.record_use(account)
         self.refill(now, account)
         return account
 
-    def _let_go(self, now: float) -> None:
-        """Drop a few entries: idle ones that are full again, and whatever is too many.
+    def _evict_accounts(self, now: float) -> None:
+        """Evict up to two accounts of each queue: idle ones that are full again, and any beyond the queue's limit.
 
-        Guards memory, and each step's time, against customers that are made up. What an entry was short of is
-        kept among the debts, so that it is not fresh when it comes back. Harm: it has lost its forecast.
+        This bounds the memory, and the time of each call, under a flood of invented customers. The deficit of an
+        evicted account is recorded, so that it does not come back with full buckets. Trade-off: its forecast is lost.
         """
         for queue in self.accounts.queues:
             for _ in range(2):
-                entry, over = next(iter(queue.values()), None), len(queue) > self.accounts.most
-                if entry is None or not over and now - entry.updated_at < IDLE:
+                entry, queue_over_limit = next(iter(queue.values()), None), len(queue) > self.accounts.max_per_queue
+                if entry is None or not queue_over_limit and now - entry.updated_at < IDLE_TIMEOUT_SECONDS:
                     break
                 self.refill(now, entry)
-                short = not over and entry.ceiling_balance < entry.plan.ceiling_capacity / entry.capacity_divisor
-                # What is lent or borrowed fills elsewhere: debts couldn't tell.
-                if entry.in_flight or short or entry.rate_divisor != entry.gateway_count:
+                ceiling_not_full = (
+                    not queue_over_limit
+                    and entry.ceiling_balance < entry.plan.ceiling_capacity / entry.capacity_divisor
+                )
+                # With leases the account fills at another rate than the one that the recorded deficit assumes.
+                if entry.in_flight or ceiling_not_full or entry.rate_divisor != entry.gateway_count:
                     queue.move_to_end(entry.key)
                     continue
-                if over:
+                if queue_over_limit:
                     self.deficits.add(now, entry.key, entry.seconds_to_full())
                 del queue[entry.key]
 
     @staticmethod
-    def _divide(a: Account, over: float, span: float) -> None:
-        a.rate_divisor, a.capacity_divisor, a.capacity, a.equal_rate = (
-            over,
-            span,
-            a.plan.burst / span,
-            a.plan.rate / over,
+    def _set_divisors(account: Account, rate_divisor: float, capacity_divisor: float) -> None:
+        """Set the divisors of the whole rates and capacities, and the local shares that follow from them."""
+        account.rate_divisor, account.capacity_divisor, account.capacity, account.equal_rate = (
+            rate_divisor,
+            capacity_divisor,
+            account.plan.burst / capacity_divisor,
+            account.plan.rate / rate_divisor,
         )
 
-    def refill(self, now: float, a: Account) -> None:
-        """Bring an account up to now."""
-        elapsed, a.updated_at = now - a.updated_at, now
-        if self.shares or a.rate_divisor != a.gateway_count:
-            over, span = self.shares.divisors(now, a.key, a.gateway_count)
-            if over != a.rate_divisor:
-                # What came in since then came at the smaller share: the other part of it may have been
-                # another's. A store that shrinks is cut; one that grows has to fill.
-                elapsed, before = 0.0, elapsed
-                a.balance += before * min(a.local_rate, a.plan.rate / over)
-                a.ceiling_balance += before * a.plan.ceiling_rate / max(over, a.rate_divisor)
-                if over < a.rate_divisor:
-                    a.local_rate = max(a.local_rate, a.plan.rate / over)
-                self._divide(a, over, span)
-        a.balance = min(a.capacity, a.balance + elapsed * a.local_rate)
-        a.quota_estimate.advance(now)
-        part = 0.0 if a.uses_counter else 1 / a.rate_divisor
-        if a.rate_divisor == a.gateway_count and 0 < a.plan.ceiling_rate * part < LEAST and self.meter.period:
-            part += MOVED * (a.quota_estimate.share() - part)
-        a.ceiling_balance = min(
-            a.plan.ceiling_capacity / a.capacity_divisor, a.ceiling_balance + elapsed * a.plan.ceiling_rate * part
+    def refill(self, now: float, account: Account) -> None:
+        """Refill an account's buckets for the time since the last call, and update its local rate each second."""
+        elapsed, account.updated_at = now - account.updated_at, now
+        if self.shares or account.rate_divisor != account.gateway_count:
+            rate_divisor, capacity_divisor = self.shares.divisors(now, account.key, account.gateway_count)
+            if rate_divisor != account.rate_divisor:
+                # The time since the last refill counts at the smaller of both shares: the difference may have
+                # belonged to another gateway. A bucket that shrinks is cut to its new capacity below; one that
+                # grows has to fill.
+                elapsed, elapsed_at_old_share = 0.0, elapsed
+                account.balance += elapsed_at_old_share * min(account.local_rate, account.plan.rate / rate_divisor)
+                account.ceiling_balance += (
+                    elapsed_at_old_share * account.plan.ceiling_rate / max(rate_divisor, account.rate_divisor)
+                )
+                if rate_divisor < account.rate_divisor:
+                    account.local_rate = max(account.local_rate, account.plan.rate / rate_divisor)
+                self._set_divisors(account, rate_divisor, capacity_divisor)
+        account.balance = min(account.capacity, account.balance + elapsed * account.local_rate)
+        account.quota_estimate.advance(now)
+        ceiling_share = 0.0 if account.uses_counter else 1 / account.rate_divisor
+        if (
+            account.rate_divisor == account.gateway_count
+            and 0 < account.plan.ceiling_rate * ceiling_share < MIN_REQUESTS_IN_CAPACITY
+            and self.meter.period
+        ):
+            ceiling_share += CEILING_RATE_FOLLOWING_USE * (account.quota_estimate.share() - ceiling_share)
+        account.ceiling_balance = min(
+            account.plan.ceiling_capacity / account.capacity_divisor,
+            account.ceiling_balance + elapsed * account.plan.ceiling_rate * ceiling_share,
         )
-        seconds = int(now - a.ticked_at)
+        seconds = int(now - account.ticked_at)
         if seconds:
-            a.ticked_at += seconds
-            a.forecast = (a.forecast * DECAY + a.demand * (1 - DECAY)) * DECAY ** (seconds - 1)
-            a.long_forecast = (a.long_forecast * LONG_DECAY + a.demand * (1 - LONG_DECAY)) * LONG_DECAY ** (seconds - 1)
-            a.demand = 0.0
-            if a.has_new_reading:  # without a reading the last slice stands
-                # Guards against parts that stay small while the whole is full, and large while it is empty.
-                a.local_rate = (
-                    a.metered_local_rate
-                    * (AIMED + a.quota_estimate.level / max(a.plan.burst, 1e-9))
-                    / max(a.metered_use, 0.01)
+            account.ticked_at += seconds
+            account.forecast = (
+                account.forecast * FORECAST_DECAY_PER_SECOND + account.demand * (1 - FORECAST_DECAY_PER_SECOND)
+            ) * FORECAST_DECAY_PER_SECOND ** (seconds - 1)
+            account.long_forecast = (
+                account.long_forecast * LONG_FORECAST_DECAY_PER_SECOND
+                + account.demand * (1 - LONG_FORECAST_DECAY_PER_SECOND)
+            ) * LONG_FORECAST_DECAY_PER_SECOND ** (seconds - 1)
+            account.demand = 0.0
+            if account.has_new_reading:  # without a reading the local rate stays as it is
+                # The target use depends on the level of the whole bucket. Otherwise local rates stay low while it
+                # is full, and high while it is empty.
+                account.local_rate = (
+                    account.metered_local_rate
+                    * (TARGET_USE_WHEN_EMPTY + account.quota_estimate.level / max(account.plan.burst, 1e-9))
+                    / max(account.metered_use, 0.01)
                 )
-                a.has_new_reading = False
-            expected = max(a.forecast, a.long_forecast)
-            a.local_rate = max(a.equal_rate, min(a.local_rate, 2 * expected, a.plan.rate))
-            a.metered_local_rate += (a.local_rate - a.metered_local_rate) * min(1.0, seconds / LATE)
+                account.has_new_reading = False
+            expected = max(account.forecast, account.long_forecast)
+            account.local_rate = max(account.equal_rate, min(account.local_rate, 2 * expected, account.plan.rate))
+            account.metered_local_rate += (account.local_rate - account.metered_local_rate) * min(
+                1.0, seconds / METER_LAG_SECONDS
+            )
 
-    def is_within_quota(self, a: Account, units: float, pressed: bool, counted: bool = False) -> bool:
-        """Whether a try is inside this gateway's part of the quota, or else surely enough inside the whole.
+    def is_within_quota(self, account: Account, units: float, overload_control: bool, on_counter: bool = False) -> bool:
+        """Return whether a request fits the local share of the quota, or very probably fits the whole quota.
 
-        What is `counted` is asked for the places at once here alone: the counter knows the rest.
+        For a request `on_counter` only this gateway's concurrency limit is checked: the shared counter, which counts
+        the customer's requests at all gateways, decides the rest.
 
-        Sure enough: what it is worth if it is inside, less what a refusal would save of that by the client's
-        next try, outweighs what it costs if it is not. Not while the back end is pressed: what is beyond the
-        quota would take the place of what is inside. A request larger than a whole part goes when that part
-        is full, or it never would.
+        The probability must be high enough that the expected value of serving a request within the quota exceeds the
+        expected cost of serving one beyond it; the value is reduced by what the client's next retry would recover
+        after a refusal. Under overload control the estimate of the whole quota is not used unless the local share is
+        thin: requests beyond the quota would displace those within it. A request larger than the local capacity is
+        admitted when the bucket is full, since it never could be otherwise.
         """
-        whole, cost = a.quota_estimate, max(0.0, a.plan.excess_cost - a.plan.excess_revenue)
-        sure = cost / (cost + 1 - RETURNS)
-        a.largest_request = max(a.largest_request, units)
-        thin = whole.has_thin_share()  # then the estimate of the whole decides alone: the part says little
-        known = (thin or whole.is_current(a.updated_at) and not pressed) and a.rate_divisor == a.gateway_count
-        if a.plan.concurrency_limit:
-            if a.in_flight >= max(1, int(a.plan.concurrency_limit)):
+        estimate, cost = account.quota_estimate, max(0.0, account.plan.excess_cost - account.plan.excess_revenue)
+        min_confidence = cost / (cost + 1 - RETRY_RECOVERY_FRACTION)
+        account.largest_request = max(account.largest_request, units)
+        # A thin share holds so few requests that the local balance says little: the estimate alone decides then.
+        thin_share = estimate.has_thin_share()
+        estimate_usable = (
+            thin_share or estimate.is_current(account.updated_at) and not overload_control
+        ) and account.rate_divisor == account.gateway_count
+        if account.plan.concurrency_limit:
+            if account.in_flight >= max(1, int(account.plan.concurrency_limit)):
                 return False
             if (
-                not counted
-                and (thin or a.in_flight >= max(1, int(a.plan.concurrency_limit / a.rate_divisor)))
+                not on_counter
                 and (
-                    not known
-                    or whole.places(a.in_flight, a.mean_duration or self.mean_duration, int(a.plan.concurrency_limit))
-                    < sure
+                    thin_share
+                    or account.in_flight >= max(1, int(account.plan.concurrency_limit / account.rate_divisor))
+                )
+                and (
+                    not estimate_usable
+                    or estimate.places(
+                        account.in_flight,
+                        account.mean_duration or self.mean_duration,
+                        int(account.plan.concurrency_limit),
+                    )
+                    < min_confidence
                 )
             ):
                 return False
-        if not a.plan.rate or counted:
+        if not account.plan.rate or on_counter:
             return True
-        # Guards against starving: a part of less than a few requests refuses calm customers by chance. Harm:
-        # a burst of one that the meter showed as calm goes over until the next readings.
-        credit = 0.0 if pressed or thin else a.quota_headroom() * max(0.0, LEAST * a.largest_request - a.capacity)
-        if a.balance + credit >= min(units, a.capacity + credit):
+        # A local capacity of only a few requests would refuse customers well within their quota by chance, so they
+        # get credit. Trade-off: a burst of a customer that the meter showed as calm exceeds the quota until the next
+        # readings.
+        credit = (
+            0.0
+            if overload_control or thin_share
+            else account.quota_headroom()
+            * max(0.0, MIN_REQUESTS_IN_CAPACITY * account.largest_request - account.capacity)
+        )
+        if account.balance + credit >= min(units, account.capacity + credit):
             return True
-        # Never further ahead of what the slices gave than the rest of the whole store.
-        ahead = a.balance + a.plan.burst - a.capacity
-        return known and min(whole.spare(a.updated_at, sure), ahead) >= units
+        # The local balance may be overdrawn by no more than the rest of the whole burst.
+        max_overdraft = account.balance + account.plan.burst - account.capacity
+        return estimate_usable and min(estimate.spare(account.updated_at, min_confidence), max_overdraft) >= units
 
-    def ceiling_allows(self, a: Account, units: float, beyond: bool) -> bool:
-        """Whether the ceiling has room; what goes beyond the quota leaves half of it to what is inside."""
-        if not a.plan.ceiling_rate:
+    def ceiling_allows(self, account: Account, units: float, beyond_quota: bool) -> bool:
+        """Return whether the ceiling allows a request; those beyond the quota must leave half its capacity free."""
+        if not account.plan.ceiling_rate:
             return True
-        if self.ceiling_marks is not None and not self.ceiling_marks.lets(a, units):
+        if self.ceiling_marks is not None and not self.ceiling_marks.lets(account, units):
             return False
-        return a.ceiling_balance >= units + (a.plan.ceiling_capacity / a.capacity_divisor / 2 if beyond else 0.0)
+        return account.ceiling_balance >= units + (
+            account.plan.ceiling_capacity / account.capacity_divisor / 2 if beyond_quota else 0.0
+        )
 
-    def record_demand(self, a: Account, request: interface.Request) -> None:
-        """Count what is asked, for the next survey."""
-        a.demand += 0.0 if request.client_retry else request.units  # a repeat asks for nothing more
-        if self._surveyed is not None:
-            a.first_gateway = request.first_gateway
-            a.requested_units += request.units
-            a.peak_in_flight = max(a.peak_in_flight, a.in_flight + 1)
-            self._surveyed[a.key] = a
+    def record_demand(self, account: Account, request: interface.Request) -> None:
+        """Count a request's demand, admitted or not, for the forecasts and the next demand report."""
+        account.demand += 0.0 if request.client_retry else request.units  # a client retry is no new demand
+        if self._demanding_accounts is not None:
+            account.first_gateway = request.first_gateway
+            account.requested_units += request.units
+            account.peak_in_flight = max(account.peak_in_flight, account.in_flight + 1)
+            self._demanding_accounts[account.key] = account
 
     def demand_report(self) -> list[interface.ResourceDemand]:
-        """What was asked since the last survey."""
-        surveyed, self._surveyed = self._surveyed or {}, {}
-        return asked_of(surveyed.values())
-
-    def spend(self, a: Account, units: float, inside: bool, counted: bool = False, whole: bool = True) -> None:
-        """Take a first attempt's units."""
-        if whole:
-            self.record_arrival(a.updated_at, a, units)
-        if a.plan.ceiling_rate and not counted:
-            a.ceiling_balance -= units
+        """Return the demand of customers since the last report; the first call starts the counting."""
+        accounts, self._demanding_accounts = self._demanding_accounts or {}, {}
+        return asked_of(accounts.values())
+
+    def spend(
+        self, account: Account, units: float, within_quota: bool, on_counter: bool = False, complete: bool = True
+    ) -> None:
+        """Deduct the units of a request that is sent to a worker.
+
+        The quota is charged only for a request `within_quota`, the ceiling only if the request is not `on_counter`.
+        A request that is not `complete` yet is recorded for the meter later, by `record_arrival`.
+        """
+        if complete:
+            self.record_arrival(account.updated_at, account, units)
+        if account.plan.ceiling_rate and not on_counter:
+            account.ceiling_balance -= units
             if self.ceiling_marks is not None:
-                self.ceiling_marks.spent(a)
-        if inside and a.plan.rate:
-            a.balance -= units
-
-    def record_arrival(self, now: float, a: Account, units: float) -> None:
-        """A first attempt is on its way whole: from now on the meter may count it."""
-        self.refill(now, a)
-        most = int(a.plan.concurrency_limit)
-        place = a.quota_estimate.places(a.in_flight, a.mean_duration or self.mean_duration, most) if most else 1.0
-        a.quota_estimate.record_sent(a.updated_at, units, self.meter.period / BINS, place)
+                self.ceiling_marks.spent(account)
+        if within_quota and account.plan.rate:
+            account.balance -= units
+
+    def record_arrival(self, now: float, account: Account, units: float) -> None:
+        """Record that a worker is being sent the whole request, so that the meter may count it from now on."""
+        self.refill(now, account)
+        limit = int(account.plan.concurrency_limit)
+        free_slot_probability = (
+            account.quota_estimate.places(account.in_flight, account.mean_duration or self.mean_duration, limit)
+            if limit
+            else 1.0
+        )
+        account.quota_estimate.record_sent(account.updated_at, units, self.meter.period / BINS, free_slot_probability)
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -10,27 +10,29 @@
 from micagate.pending import Pending
 
 
-def settle(counting: Counting, pending: Pending, owed: Mapping[str, Pending]) -> None:
-    """Settle a request once it has been answered (it is not in `owed`) and has no attempt in flight.
+def release_request(counting: Counting, pending: Pending, unanswered: Mapping[str, Pending]) -> None:
+    """Release what a request holds, once it has been answered (is not in `unanswered`) and has no attempt in flight.
 
     Its slot on the shared counter is released. If no worker received it whole, it used no quota, and its units are
     refunded as well.
     """
-    if pending.request.request in owed or not all(attempt.status for attempt in pending.attempts):
+    if pending.request.request in unanswered or not all(attempt.status for attempt in pending.attempts):
         return
-    reached = any(attempt.status not in interface.NOT_DELIVERED_STATUSES for attempt in pending.attempts)
-    if not reached:
+    delivered = any(attempt.status not in interface.NOT_DELIVERED_STATUSES for attempt in pending.attempts)
+    if not delivered:
         refund(pending.account, pending.request.units, pending.within_quota, pending.on_counter, pending.complete)
     if pending.counter_call is not None:
-        (counting.leave if reached else counting.give_back)(pending.counter_call)
+        (counting.leave if delivered else counting.give_back)(pending.counter_call)
         pending.counter_call = None
 
 
-def refund(a: Account, units: float, inside: bool, counted: bool, whole: bool) -> None:
+def refund(account: Account, units: float, within_quota: bool, on_counter: bool, complete: bool) -> None:
     """Reverse `Quotas.spend`."""
-    if whole:
-        a.quota_estimate.record_unsent(a.updated_at, units)
-    if a.plan.ceiling_rate and not counted:
-        a.ceiling_balance = min(a.plan.ceiling_capacity / a.capacity_divisor, a.ceiling_balance + units)
-    if inside and a.plan.rate:
-        a.balance = min(a.capacity, a.balance + units)
+    if complete:
+        account.quota_estimate.record_unsent(account.updated_at, units)
+    if account.plan.ceiling_rate and not on_counter:
+        account.ceiling_balance = min(
+            account.plan.ceiling_capacity / account.capacity_divisor, account.ceiling_balance + units
+        )
+    if within_quota and account.plan.rate:
+        account.balance = min(account.capacity, account.balance + units)
--- a/micagate/resource_keys.py
+++ b/micagate/resource_keys.py
@@ -7,11 +7,11 @@
 
 def set_values(table: SessionValues, key: str, session: int, *values: float) -> None:
     """Set what a session reports of a resource, as its latest report; remove it if there are no values or all are 0."""
-    held = table.setdefault(key, {})
-    held.pop(session, None)
+    by_session = table.setdefault(key, {})
+    by_session.pop(session, None)
     if any(values):
-        held[session] = values
-    if not held:
+        by_session[session] = values
+    if not by_session:
         del table[key]
 
 
--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -17,35 +17,50 @@
     What is lent can no longer be spent here. Bucket levels that arrive are added, up to the capacity of the share.
     A transfer creates no units, so that all gateways together stay within burst and rate.
     """
-    touched = {}
-    counts = {share.key: share.gateway_count for share in event.changes}
-    for key in (*(share.key for share in event.changes), *(fill.key for fill in event.bucket_levels)):
-        whose = parse_customer_key(key)
-        if whose is not None and (plan := plans.get(whose[0])) is not None:
-            known, count = quotas.accounts.get(key), counts.get(key, 1)
-            if known is not None or count > 1:
-                touched[key] = quotas.account(now, whose[1], plan, known.gateway_count if known else count)
+    affected_accounts = {}
+    gateway_counts = {share.key: share.gateway_count for share in event.changes}
+    for key in (*(share.key for share in event.changes), *(levels.key for levels in event.bucket_levels)):
+        plan_and_customer = parse_customer_key(key)
+        if plan_and_customer is not None and (plan := plans.get(plan_and_customer[0])) is not None:
+            known_account, gateway_count = quotas.accounts.get(key), gateway_counts.get(key, 1)
+            if known_account is not None or gateway_count > 1:
+                affected_accounts[key] = quotas.account(
+                    now, plan_and_customer[1], plan, known_account.gateway_count if known_account else gateway_count
+                )
     before = {
-        key: (account.capacity_divisor, account.balance, account.ceiling_balance) for key, account in touched.items()
+        key: (account.capacity_divisor, account.balance, account.ceiling_balance)
+        for key, account in affected_accounts.items()
     }
     quotas.shares.apply(event)
-    freed = []
-    for key, a in touched.items():
-        span, store, ceiling = before[key]
-        quotas.refill(now, a)
-        if a.capacity_divisor > span:
-            kept, whole, top = span / a.capacity_divisor, a.plan.burst, a.plan.ceiling_capacity
-            a.balance, a.ceiling_balance = min(store, store * kept), ceiling * kept
-            freed.append(
+    released = []
+    for key, account in affected_accounts.items():
+        old_divisor, old_balance, old_ceiling_balance = before[key]
+        quotas.refill(now, account)
+        if account.capacity_divisor > old_divisor:
+            kept_fraction, burst, ceiling_capacity = (
+                old_divisor / account.capacity_divisor,
+                account.plan.burst,
+                account.plan.ceiling_capacity,
+            )
+            account.balance, account.ceiling_balance = (
+                min(old_balance, old_balance * kept_fraction),
+                old_ceiling_balance * kept_fraction,
+            )
+            released.append(
                 interface.BucketLevels(
                     key,
-                    max(0.0, store - a.balance) / whole if whole else 0.0,
-                    (ceiling - a.ceiling_balance) / top if top else 0.0,
+                    max(0.0, old_balance - account.balance) / burst if burst else 0.0,
+                    (old_ceiling_balance - account.ceiling_balance) / ceiling_capacity if ceiling_capacity else 0.0,
                 )
             )
-    for fill in event.bucket_levels:
-        if fill.key in touched:
-            a, top = touched[fill.key], touched[fill.key].plan.ceiling_capacity
-            a.balance = min(a.capacity, a.balance + fill.quota * a.plan.burst)
-            a.ceiling_balance = min(top / a.capacity_divisor, a.ceiling_balance + fill.ceiling * top)
-    return freed
+    for levels in event.bucket_levels:
+        if levels.key in affected_accounts:
+            account, ceiling_capacity = (
+                affected_accounts[levels.key],
+                affected_accounts[levels.key].plan.ceiling_capacity,
+            )
+            account.balance = min(account.capacity, account.balance + levels.quota * account.plan.burst)
+            account.ceiling_balance = min(
+                ceiling_capacity / account.capacity_divisor, account.ceiling_balance + levels.ceiling * ceiling_capacity
+            )
+    return released
--- a/micagate/shares.py
+++ b/micagate/shares.py
@@ -1,9 +1,10 @@
-"""Shares of things that planners move between gateways, as the decisions use them.
+"""The local shares of resources that planners lease from one gateway to another.
 
-Each gateway of a set of `count` has the part 1/count of a thing, less what it has lent, plus what it has
-borrowed. Both stand by session, with one end each for all of a session, and are looked at when they are used:
-a gateway that slept past an end spends nothing that was no longer its own. With no planner there is nothing
-here, and every part is 1/count to the letter.
+A resource is a customer's limits or a worker's capacity. Each of the `gateway_count` gateways that use it has a share
+of 1 / gateway_count, less what it has lent, plus what it has borrowed. Leases are kept by planner session; a session
+has one expiry for all that it lent and one for all that it borrowed. Expiries are checked at each use, so that a
+gateway that was suspended past an expiry spends nothing that is no longer its own. Without planners there are no
+leases, and every share is exactly 1 / gateway_count.
 """
 
 from __future__ import annotations
@@ -13,57 +14,60 @@
 from micagate import interface
 from micagate.resource_keys import SessionValues, set_values
 
-MOVED = 0.7  # of the stores behind a share, which moves with it (ours)
+BUCKET_TRANSFER_RATIO = 0.7  # part of a share's bucket capacity that is lent with it; the rate is lent entirely
 
 
 class Shares:
-    """What is lent and borrowed of each thing."""
+    """The leases in force, and the workers' capacities that planners report."""
 
     def __init__(self) -> None:
-        self._ends: dict[int, tuple[float, float]] = {}  # by session: of what is lent, of what is borrowed
-        self._amounts: SessionValues = {}  # by session: what is lent and what is borrowed
-        self.worker_capacities: SessionValues = {}  # by session: what a worker can do
+        self._lease_expiries: dict[int, tuple[float, float]] = {}  # by session: of what is lent, and borrowed
+        self._leases: SessionValues = {}  # lent and borrowed share of each resource
+        self.worker_capacities: SessionValues = {}  # of each worker, responses a second
 
     def apply(self, event: interface.ShareUpdate) -> None:
-        """Follow a session; one whose both ends are past is forgotten with its amounts."""
+        """Update a session's leases and capacities; remove the session if both its leases have expired."""
         if event.expired:
-            self._ends.pop(event.session, None)
-            for table in (self._amounts, self.worker_capacities):
+            self._lease_expiries.pop(event.session, None)
+            for table in (self._leases, self.worker_capacities):
                 for key in list(table):
                     set_values(table, key, event.session)
             return
-        self._ends[event.session] = event.lent_until, event.borrowed_until
+        self._lease_expiries[event.session] = event.lent_until, event.borrowed_until
         for share in event.changes:
-            set_values(self._amounts, share.key, event.session, share.lent, share.borrowed)
-        for pace in event.capacities:
-            set_values(self.worker_capacities, pace.key, event.session, pace.capacity)
+            set_values(self._leases, share.key, event.session, share.lent, share.borrowed)
+        for worker in event.capacities:
+            set_values(self.worker_capacities, worker.key, event.session, worker.capacity)
 
     def worker_capacity(self, now: float, key: str) -> float:
-        """What a worker can do for all gateways together, answers a second; 0 where that is not known."""
-        for session, (pace,) in reversed(self.worker_capacities.get(key, {}).items()):
-            if now < self._ends[session][1]:
-                return pace
+        """Return the capacity of a worker for all gateways together, responses a second; 0 if it is not known."""
+        for session, (capacity,) in reversed(self.worker_capacities.get(key, {}).items()):
+            if now < self._lease_expiries[session][1]:
+                return capacity
         return 0.0
 
     def __len__(self) -> int:
-        return len(self._amounts)
+        return len(self._leases)
 
-    def divisors(self, now: float, key: str, count: float) -> tuple[float, float]:
-        """What the rate and the stores of a whole thing are divided by to give this gateway's.
+    def divisors(self, now: float, key: str, gateway_count: float) -> tuple[float, float]:
+        """Return the divisors of a whole resource's rate and bucket capacity that give this gateway's local share.
 
-        Both are `count` where nothing moved. Of the stores less moves than of the rate: traffic that comes to
-        a lender meets something at once, until its share has followed.
+        Both equal `gateway_count` without leases. Less capacity is lent than rate, so that new traffic at a lender
+        can be served at once, until its share has adapted.
         """
-        held = self._amounts.get(key)
-        if held is None:
-            return count, count
+        leases = self._leases.get(key)
+        if leases is None:
+            return gateway_count, gateway_count
         lent = borrowed = 0.0
-        for session, (out, got) in held.items():
-            lent_until, borrowed_until = self._ends[session]
-            lent += out if now < lent_until else 0.0
-            borrowed += got if now < borrowed_until else 0.0
+        for session, (session_lent, session_borrowed) in leases.items():
+            lent_until, borrowed_until = self._lease_expiries[session]
+            lent += session_lent if now < lent_until else 0.0
+            borrowed += session_borrowed if now < borrowed_until else 0.0
         if not lent and not borrowed:
-            return count, count
-        rate = max(0.0, 1.0 / count - lent) + borrowed
-        room = max(0.0, 1.0 / count - lent * MOVED) + borrowed * MOVED
-        return 1.0 / rate if rate > 0 else math.inf, 1.0 / room if room > 0 else math.inf
+            return gateway_count, gateway_count
+        rate_share = max(0.0, 1.0 / gateway_count - lent) + borrowed
+        capacity_share = max(0.0, 1.0 / gateway_count - lent * BUCKET_TRANSFER_RATIO) + borrowed * BUCKET_TRANSFER_RATIO
+        return (
+            1.0 / rate_share if rate_share > 0 else math.inf,
+            1.0 / capacity_share if capacity_share > 0 else math.inf,
+        )
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from micagate import interface
-from micagate.deficit_sketch import SLOTS, DeficitSketch
+from micagate.deficit_sketch import SLOTS_PER_ROW, DeficitSketch
 from micagate.quotas import Quotas
 from micagate.share_transfers import apply_share_update
 from rig.driver import Driver, sends
@@ -26,7 +26,7 @@
 
 
 def test_usual_customers_keep_their_accounts_beside_a_flood_of_those_that_come_once():
-    quotas = Quotas(-60.0, most=2000)
+    quotas = Quotas(-60.0, max_accounts=2000)
     usual = {f"u{n}": None for n in range(900)}
     for _ in range(2):
         for name in usual:
@@ -41,7 +41,7 @@
 
 
 def test_an_account_that_was_let_go_is_not_fresh_when_it_comes_back():
-    quotas = Quotas(-60.0, most=100)
+    quotas = Quotas(-60.0, max_accounts=100)
     assert spend(quotas, 0.0, "c", 100) == 20  # its half of the ceiling's depth
     for n in range(1000):
         quotas.account(0.1, f"twice-{n // 2}", CAPPED, 2)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_ceilings_hold_however_accounts_come_and_go(seed):
-    random, quotas = Random(seed), Quotas(-60.0, most=40)
+    random, quotas = Random(seed), Quotas(-60.0, max_accounts=40)
     level, at, now, spent, gone = 20.0, 0.0, 0.0, 0, 0
     for _ in range(1500):
         now += random.expovariate(100.0)
@@ -69,7 +69,7 @@
 
 def test_a_table_that_forgets_debts_lets_a_ceiling_be_passed(monkeypatch):
     monkeypatch.setattr(DeficitSketch, "deficit", lambda self, now, key: 0.0)
-    quotas = Quotas(-60.0, most=40)
+    quotas = Quotas(-60.0, max_accounts=40)
     went = 0
     for n in range(20):
         went += spend(quotas, 0.0, "c", 5)
@@ -79,7 +79,7 @@
 
 
 def test_what_has_something_out_or_lent_is_not_let_go():
-    quotas = Quotas(-60.0, most=50)
+    quotas = Quotas(-60.0, max_accounts=50)
     account = quotas.account(0.0, "busy", CAPPED, 2)
     account.in_flight = 1
     key = "c/capped/lender"
@@ -120,7 +120,7 @@
 def test_debts_are_never_too_small_whatever_shares_their_places():
     debts, random = DeficitSketch("salt"), Random(1)
     true = {}
-    for n in range(3 * SLOTS):
+    for n in range(3 * SLOTS_PER_ROW):
         seconds = random.uniform(0.0, 10.0)
         true[f"k{n}"] = seconds
         debts.add(0.0, f"k{n}", seconds)
@@ -133,4 +133,4 @@
 
 
 def test_two_gateways_place_debts_differently():
-    assert DeficitSketch("1")._places("c/p/x") != DeficitSketch("2")._places("c/p/x")
+    assert DeficitSketch("1")._slots("c/p/x") != DeficitSketch("2")._slots("c/p/x")
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -4,7 +4,7 @@
 
 from micagate import interface
 from micagate.estimates.metering import STALE, Meter
-from micagate.quotas import AIMED, IDLE, Quotas
+from micagate.quotas import IDLE_TIMEOUT_SECONDS, TARGET_USE_WHEN_EMPTY, Quotas
 from micagate.share_transfers import apply_share_update
 from rig.customers import Day, play, total
 from rig.driver import Driver, sends
@@ -64,9 +64,9 @@
     for n in range(1000):
         quotas.account(1.0, f"c{n}", PLAN, 3)
     for _ in range(1000):  # a few go at each step
-        quotas.account(2.0 + IDLE, "new", PLAN, 3)
+        quotas.account(2.0 + IDLE_TIMEOUT_SECONDS, "new", PLAN, 3)
     assert len(quotas.accounts) == 2
-    assert quotas.account(3.0 + IDLE, "slow", capped, 3) is a
+    assert quotas.account(3.0 + IDLE_TIMEOUT_SECONDS, "slow", capped, 3) is a
 
 
 def test_beyond_the_quota_goes_on_only_where_that_pays():
@@ -152,12 +152,12 @@
 def test_slices_steer_to_the_whole_quota_with_a_part_of_the_whole_store_left():
     quotas = Quotas(0.0)
     a = asked(quotas, 0.0, 3.0)
-    for level in (0.0, (1.0 - AIMED) * PLAN.burst, PLAN.burst):
+    for level in (0.0, (1.0 - TARGET_USE_WHEN_EMPTY) * PLAN.burst, PLAN.burst):
         for _ in range(1, 60):
             used = (a.local_rate + 1.0) / PLAN.rate  # one unit a second goes through the other gateways
             a.quota_estimate.level, a.quota_estimate.at = level, a.updated_at + 1.0
             a = asked(quotas, a.updated_at + 1.0, 3.0, used=used)
-        aim = AIMED + level / PLAN.burst  # empty it steers below the quota, full beyond
+        aim = TARGET_USE_WHEN_EMPTY + level / PLAN.burst  # empty it steers below the quota, full beyond
         assert abs(a.local_rate - max(a.equal_rate, min(PLAN.rate, aim * PLAN.rate - 1.0))) < 0.1
 
 
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -8,7 +8,7 @@
 from micagate.quotas import Quotas
 from micagate.resource_keys import customer_key, worker_key
 from micagate.share_transfers import apply_share_update
-from micagate.shares import MOVED, Shares
+from micagate.shares import BUCKET_TRANSFER_RATIO, Shares
 from rig.driver import Driver, sends
 
 CAPPED = interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0)
@@ -24,10 +24,10 @@
     shares = Shares()
     assert shares.divisors(0.0, KEY, 3) == (3, 3)
     shares.apply(moved(lent=0.2))
-    assert shares.divisors(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 - 0.2), 1 / (1 / 3 - 0.2 * MOVED)))
+    assert shares.divisors(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 - 0.2), 1 / (1 / 3 - 0.2 * BUCKET_TRANSFER_RATIO)))
     assert shares.divisors(10.0, KEY, 3) == (3, 3)  # the end is past
     shares.apply(moved(borrowed=0.5))
-    assert shares.divisors(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 + 0.5), 1 / (1 / 3 + 0.5 * MOVED)))
+    assert shares.divisors(0.0, KEY, 3) == pytest.approx((1 / (1 / 3 + 0.5), 1 / (1 / 3 + 0.5 * BUCKET_TRANSFER_RATIO)))
     shares.apply(moved(lent=1 / 3))
     assert shares.divisors(0.0, KEY, 3)[0] == math.inf
     shares.apply(interface.ShareUpdate(1, 10.0, 10.0, expired=True))
@@ -58,7 +58,7 @@
     quotas = Quotas(-60.0)
     quotas.account(0.0, "c", CAPPED, 2)
     apply_share_update(quotas, 0.0, moved(lent=0.45, until=10.0), PLANS)
-    assert spend(quotas, 0.0, 10.0) <= (0.5 - 0.45 * MOVED) * 40 + 0.05 * 20 * 10 + 1
+    assert spend(quotas, 0.0, 10.0) <= (0.5 - 0.45 * BUCKET_TRANSFER_RATIO) * 40 + 0.05 * 20 * 10 + 1
     assert spend(quotas, 10.0, 15.0) <= 0.05 * 40 + 0.5 * 20 * 5 + 1  # it does not come back full
     borrower = Quotas(-60.0)
     spend(borrower, 0.0, 2.0, step=0.01)  # its own part is spent
@@ -110,7 +110,7 @@
     (freed,) = apply_share_update(
         lender, 4.0, interface.ShareUpdate(1, 9.0, 9.0, (interface.ResourceShare(KEY, 0.4, 0.0, 2),)), PLANS
     )
-    moved_on = 0.4 * MOVED  # of the stores less moves than of the rate
+    moved_on = 0.4 * BUCKET_TRANSFER_RATIO  # of the stores less moves than of the rate
     assert freed.quota == pytest.approx(moved_on) and freed.ceiling == pytest.approx(moved_on)
     assert lender.account(4.0, "c", CAPPED, 2).ceiling_balance == pytest.approx((0.5 - moved_on) * 40)
     assert not apply_share_update(
