--- a/micagate/share_transfers.py
+++ b/micagate/share_transfers.py
@@ -28,8 +28,8 @@
                     now, plan_and_customer[1], plan, known_account.gateway_count if known_account else gateway_count
                 )
     before = {
-        key: (account.capacity_divisor, account.balance, account.ceiling_balance)
-        for key, account in affected_accounts.items()
+        key: (affected.capacity_divisor, affected.balance, affected.ceiling_balance)
+        for key, affected in affected_accounts.items()
     }
     quotas.shares.apply(event)
     released = []
