--- a/micagate/accounts.py
+++ b/micagate/accounts.py
@@ -64,9 +64,11 @@
         self.rate_divisor: float = gateway_count
         self.capacity_divisor: float = gateway_count
         self.first_gateway, self.requested_units, self.peak_in_flight = 0, 0.0, 0
+        # The local share of the quota: its bucket's capacity, and its refill rate if all gateways' shares were equal.
         self.capacity, self.equal_rate = plan.burst / gateway_count, plan.rate / gateway_count
         # The local refill rate of the quota: now, and at the time that the current meter readings refer to.
         self.local_rate = self.metered_local_rate = self.equal_rate
+        # The local balance of the quota, and an estimate of the whole bucket's level from the meter's readings.
         self.balance, self.quota_estimate = (
             self.capacity,
             QuotaEstimate(plan.rate, plan.burst, gateway_count, now, UNSEEN * plan.burst),
@@ -75,15 +77,17 @@
         self.ceiling_balance = (
             min(plan.ceiling_capacity, (now - gateway_started_at) * plan.ceiling_rate) / gateway_count
         )
-        self.updated_at = self.ticked_at = now
+        self.updated_at = self.ticked_at = now  # the last refill; the last update of the forecasts, in whole seconds
+        # Units requested since `ticked_at`, forecasts of that in units a second, and the most units of one request.
         self.demand = self.forecast = self.long_forecast = self.largest_request = 0.0
+        # The smoothed use by the meter, as a fraction of the plan's rate, and the time of the last reading.
         self.metered_use, self.read_at, self.reading_count, self.has_new_reading = UNSEEN, now, 0, False
-        self.uses_counter = False  # then `Counting` fills its local share of the ceiling
-        self.counter_unresponsive_since: float | None = None  # None while calls for it are answered
-        self.ceiling_filled_until = now  # by `Counting`, while the counter does not respond
-        self.ceiling_full_until = now  # according to the total of the shared counter
+        self.uses_counter = False  # if so, `Counting` fills its local share of the ceiling
+        self.counter_unresponsive_since: float | None = None  # None while the shared counter responds to its calls
+        self.ceiling_filled_until = now  # time up to which `Counting` filled it while the counter did not respond
+        self.ceiling_full_until = now  # before then there is no room, according to the shared counter's total
         self.ceiling_mark: Mark | None = None  # persisted level that the ceiling must stay above
-        self.in_flight, self.mean_duration = 0, 0.0  # attempts; the mean duration of one, 0 if none has ended
+        self.in_flight, self.mean_duration = 0, 0.0  # attempts, and their mean duration; 0 if none has ended yet
 
     def record_reading(self, now: float, used: float, meter: Meter, age: float = 0.0) -> None:
         """Record a meter reading: `used` is the total use as a fraction of the plan's rate, measured `age` seconds ago.
--- a/micagate/interface.py
+++ b/micagate/interface.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 WRITTEN = "written"  # metadata key of a field: the name under which traces write it, if it differs
-# Effects of a request: none that matters if it executes twice; none if its token is recognised; executes once at most.
+# What executing a request twice does: PURE no harm; TOKEN none if a worker recognises its token; SIDE_EFFECT harm.
 PURE, TOKEN, SIDE_EFFECT = "pure", "token", "side_effect"
 EFFECTS = (PURE, TOKEN, SIDE_EFFECT)
 GROUPS = ("all", "zone", "cell")
@@ -63,8 +63,8 @@
 class Plan:
     """A plan's limits, each for one customer over all gateways; a rate or limit of 0 means unlimited.
 
-    The quota and the ceiling are token buckets. Requests beyond the quota may be served, those beyond the ceiling never
-    are.
+    The quota and the ceiling are token buckets. Requests beyond the quota may be served if that pays; the ceiling
+    bounds all requests.
     """
 
     name: str
@@ -73,7 +73,7 @@
     concurrency_limit: float = field(default=0.0, metadata={WRITTEN: "at_once"})  # attempts in flight
     ceiling_rate: float = 0.0  # refill rate of the ceiling, units a second
     ceiling_capacity: float = field(default=0.0, metadata={WRITTEN: "ceiling_depth"})  # units
-    ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded
+    ceiling_slack: float = 0.0  # units beyond the capacity that are tolerated, over all gateways
     excess_revenue: float = field(default=0.0, metadata={WRITTEN: "beyond_earns"})  # of a request beyond the quota
     excess_cost: float = 0.0  # of a request beyond the quota, relative to the value of one within it
     price: float = 1.0  # value of its requests relative to other plans
@@ -110,9 +110,8 @@
     can_cancel: bool = False  # the caller can carry out a `Cancel`
     hedging: bool = field(default=False, metadata={WRITTEN: "second_copies"})  # hedges are allowed
     max_retry_after: float = field(default=0.0, metadata={WRITTEN: "max_retry_advice"})  # 0: no Retry-After is sent
-    requires_subscription: bool = field(
-        default=False, metadata={WRITTEN: "must_subscribe"}
-    )  # the worker list is sent to subscribers only
+    # The worker list is sent to subscribers only.
+    requires_subscription: bool = field(default=False, metadata={WRITTEN: "must_subscribe"})
     meter_period: float = 0.0  # 0: there is no meter
     # A worker that started lately has this fraction of its capacity at first, and all of it after the duration.
     slow_start_min_factor: float = field(default=1.0, metadata={WRITTEN: "cold_from"})
@@ -120,12 +119,10 @@
     # It may have at most (overload_factor - 1) x its capacity x fall_time in flight, from all gateways together.
     overload_factor: float = 2.0
     fall_time: float = 1.0
-    counter_timeout: float = field(
-        default=0.0, metadata={WRITTEN: "counter_wait"}
-    )  # timeout of a call to the shared counter; 0: there is no counter
-    max_accounts: int = field(
-        default=30_000, metadata={WRITTEN: "accounts"}
-    )  # accounts kept in memory, besides those with attempts in flight
+    # Timeout of a call to the shared counter; 0: there is no counter.
+    counter_timeout: float = field(default=0.0, metadata={WRITTEN: "counter_wait"})
+    # Accounts kept in memory, besides those with attempts in flight.
+    max_accounts: int = field(default=30_000, metadata={WRITTEN: "accounts"})
 
     def __post_init__(self) -> None:
         _require_at_least(self, 1, ("gateways", "max_attempts", "overload_factor", "max_accounts"))
@@ -161,7 +158,7 @@
 
     worker: str
     zone: str = ""
-    cell: int = 0
+    cell: int = 0  # number of the group of workers that share request tokens; see `RequestClass.group`
     state: str = HEALTHY
     size: float = 1.0
     started: float | None = None
@@ -191,12 +188,10 @@
     units: float = 1.0  # what it charges to the quota and the ceiling
     gateway_count: int = field(default=1, metadata={WRITTEN: "spread"})
     client_retry: bool = field(default=False, metadata={WRITTEN: "repeat"})  # the client has sent it before
-    first_gateway: int = field(
-        default=0, metadata={WRITTEN: "first"}
-    )  # number of the first of these gateways; the others follow it, modulo the number of gateways
-    complete: bool = field(
-        default=True, metadata={WRITTEN: "whole"}
-    )  # the whole body has arrived; else a `RequestComplete` follows, and the deadline counts from it
+    # Number of the first of these gateways; the others follow it, modulo the number of gateways.
+    first_gateway: int = field(default=0, metadata={WRITTEN: "first"})
+    # The whole body has arrived; otherwise a `RequestComplete` follows, and the deadline counts from it.
+    complete: bool = field(default=True, metadata={WRITTEN: "whole"})
 
     def __post_init__(self) -> None:
         _require_at_least(self, 1, ("gateway_count",))
@@ -216,9 +211,8 @@
     used: float | None = None
     final_units: float = 0.0  # what the request used according to the worker, if reported; replaces its `units`
     used_age: float = 0.0  # age of `used` in seconds: a long response may take seconds to arrive
-    retryable: bool = field(
-        default=True, metadata={WRITTEN: "kept"}
-    )  # the request is still buffered for a further attempt
+    # The request is still buffered for a further attempt.
+    retryable: bool = field(default=True, metadata={WRITTEN: "kept"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -395,9 +389,8 @@
     lent_until: float
     borrowed_until: float
     changes: tuple[ResourceShare, ...] = ()
-    bucket_levels: tuple[BucketLevels, ...] = field(
-        default=(), metadata={WRITTEN: "fills"}
-    )  # units that came with shares: added to the token buckets, once
+    # Units that came with shares: added to the token buckets, once.
+    bucket_levels: tuple[BucketLevels, ...] = field(default=(), metadata={WRITTEN: "fills"})
     expired: bool = field(default=False, metadata={WRITTEN: "over"})
     capacities: tuple[WorkerCapacity, ...] = field(default=(), metadata={WRITTEN: "paces"})
 
--- a/micagate/pending.py
+++ b/micagate/pending.py
@@ -34,7 +34,7 @@
         self.worker, self.zone, self.cell = entry.worker, entry.zone, entry.cell
         self.klass, self.sent_at, self.account = klass, sent_at, pending.account
         self.pending = pending  # stays set when the request has ended before the attempt
-        self.status, self.overload_signalled = "", False
+        self.status, self.overload_signalled = "", False  # at most one overload signal is recorded for an attempt
         self.timers: list[int] = []
         self.holds_slot = True  # whether it counts against its customer's concurrency limit
 
@@ -77,7 +77,7 @@
         self.request, self.klass, self.account, self.deadline = request, klass, account, deadline
         self.within_quota, self.streaming = True, False
         self.attempts: list[Attempt] = []
-        self.timer = 0
+        self.timer = 0  # ref of the deadline timer; 0: none is set
         self.complete, self.retryable = request.complete, True
         if not request.complete:
             self.deadline = math.inf  # the deadline counts from the last byte
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -49,7 +49,9 @@
         self.meter = Meter(period)
         self.mean_duration = 0.0  # of an attempt, seconds, over all customers; 0: none has ended yet
         self._born, self.shares = now, Shares() if shares is None else shares
-        self._demanding_accounts: dict[str, Account] | None = None  # by key, since the last demand report
+        self._demanding_accounts: dict[str, Account] | None = (
+            None  # by key, since the last report; None before the first
+        )
         self.accounts, self.deficits = AccountTable(max_accounts), DeficitSketch(salt)
         self.ceiling_marks: Marks | None = None  # set if ceilings are persisted across restarts
 
@@ -117,10 +119,10 @@
                 # The time since the last refill counts at the smaller of both shares: the difference may have
                 # belonged to another gateway. A bucket that shrinks is cut to its new capacity below; one that
                 # grows has to fill.
-                elapsed, elapsed_at_old_share = 0.0, elapsed
-                account.balance += elapsed_at_old_share * min(account.local_rate, account.plan.rate / rate_divisor)
+                elapsed, elapsed_before_change = 0.0, elapsed
+                account.balance += elapsed_before_change * min(account.local_rate, account.plan.rate / rate_divisor)
                 account.ceiling_balance += (
-                    elapsed_at_old_share * account.plan.ceiling_rate / max(rate_divisor, account.rate_divisor)
+                    elapsed_before_change * account.plan.ceiling_rate / max(rate_divisor, account.rate_divisor)
                 )
                 if rate_divisor < account.rate_divisor:
                     account.local_rate = max(account.local_rate, account.plan.rate / rate_divisor)
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -1,4 +1,4 @@
-"""Refunds of units and counted slots when a request ends. No I/O."""
+"""Refunds units, and releases slots on the shared counter, when a request has ended."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_hard_cases.py
+++ b/tests/decisions/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""What other deployments do to workers: all slower at once, rooms cut off, pods with one member, starts in a rush."""
+"""Faults in a simulated fleet: all workers slow at once, an unreachable zone, small cells, high load at the start."""
 
 from collections import Counter
 from random import Random
@@ -12,8 +12,11 @@
 WORKERS = [f"w{n}" for n in range(8)]
 
 
-class Played:
-    """Two gateways before eight workers of two cores, in two rooms, at a steady load of single units (20 ms)."""
+class SimulatedFleet:
+    """Two gateways and eight workers with two cores, in two zones, at a steady load of requests of one unit (20 ms).
+
+    `load` is the request rate as a fraction of the fleet's capacity.
+    """
 
     def __init__(self, load=0.5, seed=1):
         self.random, self.clock = Random(seed), Clock()
@@ -31,83 +34,91 @@
         for n in range(2):
             Entrance(self.fleet, Gateway(settings, seed * 10 + n, 0.0).handle, settings, f"g{n}")
         self.rate = load * len(WORKERS) * 2 / 0.02
-        self.sent = Counter()
-        self.fleet.arrived = lambda now, name, work, done: self.sent.update((name,))
+        self.sent_counts = Counter()
+        self.fleet.arrived = lambda now, name, work, done: self.sent_counts.update((name,))
         self.fleet.tell(whole=True)
-        self.clock.after(0.0, self._ask)
+        self.clock.after(0.0, self._send_request)
 
-    def _ask(self):
+    def _send_request(self):
         self.random.choice(self.fleet.entrances).ask("read", "free", "c", spread=2)
-        self.clock.after(self.random.expovariate(self.rate), self._ask)
+        self.clock.after(self.random.expovariate(self.rate), self._send_request)
 
-    def speed(self, speed):
+    def set_speed(self, speed):
         for place in self.fleet.places.values():
             place.load.capacity = Capacity(cores=2, queue=24, speed=speed)
 
-    def over(self, seconds):
-        """Let time pass: the share of what ended that was served in its aim, and what each worker got."""
-        before, sent = self.fleet.ends, Counter(self.sent)
+    def run_for(self, seconds):
+        """Run for so long; return the share of ended requests served in time, and the attempts sent to each worker."""
+        before, sent = self.fleet.ends, Counter(self.sent_counts)
         self.clock.run(self.clock.now + seconds)
         ended = self.fleet.ends
         ended.subtract(before)
-        return ended["served"] / ended.total(), {name: self.sent[name] - sent[name] for name in WORKERS}
+        return ended["served"] / ended.total(), {name: self.sent_counts[name] - sent[name] for name in WORKERS}
 
 
-def test_when_every_worker_is_slower_at_once_none_is_put_out_and_nothing_swings():
-    played = Played(load=0.35)
-    _, usual = played.over(6.0)
-    played.speed(0.45)  # 0.78 of what they can do now
-    shares, seconds = [], []
+def test_when_all_workers_slow_down_at_once_none_is_excluded_and_load_does_not_oscillate():
+    simulation = SimulatedFleet(load=0.35)
+    _, counts_before = simulation.run_for(6.0)
+    simulation.set_speed(0.45)  # the load is now 0.78 of the capacity
+    served_shares, counts_by_second = [], []
     for _ in range(8):
-        share, got = played.over(1.0)
-        shares.append(share)
-        seconds.append(got)
-    mean = sum(sum(got.values()) for got in seconds) / len(seconds) / len(WORKERS)
+        served_share, sent_counts = simulation.run_for(1.0)
+        served_shares.append(served_share)
+        counts_by_second.append(sent_counts)
+    mean = sum(sum(sent_counts.values()) for sent_counts in counts_by_second) / len(counts_by_second) / len(WORKERS)
     for name in WORKERS:
-        whole = sum(got[name] for got in seconds) / len(seconds)
-        assert 0.5 * mean < whole < 1.7 * mean, (name, whole, mean)
-        assert all(got[name] > 0.25 * mean for got in seconds), name
-    assert min(shares[1:]) > 0.8, shares
-    played.speed(1.0)
-    played.over(3.0)
-    share, after = played.over(3.0)
-    assert share > 0.99 and all(0.5 < after[name] / max(1, usual[name] / 2) < 1.8 for name in WORKERS), after
-
-
-def test_a_room_cut_off_costs_its_share_for_a_moment_and_gets_its_work_back():
-    played = Played(load=0.35)
-    played.over(4.0)
-    cut = [name for name, place in played.fleet.places.items() if place.zone == "b"]
-    for name in cut:
-        played.fleet.places[name].hung = True  # nothing comes back, and nothing is said
-    played.over(2.0)
-    share, got = played.over(6.0)
-    assert share > 0.9, share
-    assert sum(got[name] for name in cut) < 0.1 * sum(got.values()), got
-    for name in cut:
-        played.fleet.places[name].hung = False
-    played.over(8.0)
-    share, got = played.over(4.0)
-    assert share > 0.99 and all(got[name] > 0 for name in cut), got
-
-
-def test_a_rush_in_the_first_second_after_a_start_is_spread_and_served():
-    played = Played(load=0.9)
-    share, got = played.over(1.0)
-    assert share > 0.95 and max(got.values()) < 2 * sum(got.values()) / len(WORKERS), (share, got)
-    share, _ = played.over(3.0)
-    assert share > 0.9, share
-
-
-def pod(state):
-    """A keyed request that broke at one worker of a pod of two; the other one is in `state`."""
-    d = Driver(
+        worker_mean = sum(sent_counts[name] for sent_counts in counts_by_second) / len(counts_by_second)
+        assert 0.5 * mean < worker_mean < 1.7 * mean, (name, worker_mean, mean)
+        assert all(sent_counts[name] > 0.25 * mean for sent_counts in counts_by_second), name
+    assert min(served_shares[1:]) > 0.8, served_shares
+    simulation.set_speed(1.0)
+    simulation.run_for(3.0)
+    served_share, counts_after = simulation.run_for(3.0)
+    assert served_share > 0.99 and all(
+        0.5 < counts_after[name] / max(1, counts_before[name] / 2) < 1.8 for name in WORKERS
+    ), counts_after
+
+
+def test_an_unreachable_zone_is_avoided_quickly_and_used_again_after_recovery():
+    simulation = SimulatedFleet(load=0.35)
+    simulation.run_for(4.0)
+    unreachable = [name for name, place in simulation.fleet.places.items() if place.zone == "b"]
+    for name in unreachable:
+        simulation.fleet.places[name].hung = True  # no response and no error
+    simulation.run_for(2.0)
+    served_share, sent_counts = simulation.run_for(6.0)
+    assert served_share > 0.9, served_share
+    assert sum(sent_counts[name] for name in unreachable) < 0.1 * sum(sent_counts.values()), sent_counts
+    for name in unreachable:
+        simulation.fleet.places[name].hung = False
+    simulation.run_for(8.0)
+    served_share, sent_counts = simulation.run_for(4.0)
+    assert served_share > 0.99 and all(sent_counts[name] > 0 for name in unreachable), sent_counts
+
+
+def test_high_load_in_the_first_second_after_a_start_is_spread_and_served():
+    simulation = SimulatedFleet(load=0.9)
+    served_share, sent_counts = simulation.run_for(1.0)
+    assert served_share > 0.95 and max(sent_counts.values()) < 2 * sum(sent_counts.values()) / len(WORKERS), (
+        served_share,
+        sent_counts,
+    )
+    served_share, _ = simulation.run_for(3.0)
+    assert served_share > 0.9, served_share
+
+
+def retry_in_cell(state):
+    """Let a request with a token fail at a worker of a two-worker cell whose other worker is in `state`.
+
+    Returns the other worker and the resulting actions.
+    """
+    driver = Driver(
         0,
         classes=(
             interface.RequestClass("keyed", aim=1.0, deadline=4.0, effect=interface.TOKEN, group="cell", window=2.0),
         ),
     )
-    d.give(
+    driver.give(
         interface.WorkerList(
             tuple(
                 interface.WorkerEntry(name, zone="a", cell=cell, state=interface.HEALTHY)
@@ -116,25 +127,29 @@
             whole=True,
         )
     )
-    name, actions = d.ask("keyed")
+    name, actions = driver.ask("keyed")
     (worker,) = sends(actions)
-    mate = {"p0": "p1", "p1": "p0", "q0": "q1", "q1": "q0"}[worker]
-    d.give(interface.WorkerList((interface.WorkerEntry(mate, zone="a", cell=0 if mate[0] == "p" else 1, state=state),)))
-    return mate, d.answer(name, worker, interface.CONNECTION_RESET, terminal=False)
+    other_worker = {"p0": "p1", "p1": "p0", "q0": "q1", "q1": "q0"}[worker]
+    driver.give(
+        interface.WorkerList(
+            (interface.WorkerEntry(other_worker, zone="a", cell=0 if other_worker[0] == "p" else 1, state=state),)
+        )
+    )
+    return other_worker, driver.answer(name, worker, interface.CONNECTION_RESET, terminal=False)
 
 
-def test_a_keyed_repeat_goes_to_the_pods_other_member_and_nowhere_else_where_that_one_drains():
-    mate, actions = pod(interface.HEALTHY)
-    assert sends(actions) == [mate]
+def test_a_retry_with_a_token_goes_only_to_the_other_worker_of_its_cell_unless_that_drains():
+    other_worker, actions = retry_in_cell(interface.HEALTHY)
+    assert sends(actions) == [other_worker]
     for state in (interface.DRAINING, interface.REMOVED):
-        _, actions = pod(state)
+        _, actions = retry_in_cell(state)
         assert not sends(actions) and [type(action) for action in actions] == [interface.Fail]
 
 
-def test_a_worker_that_looks_idle_since_it_answers_nothing_is_left_alone():
-    played = Played(load=0.5)
-    played.over(3.0)
-    played.fleet.places["w3"].hung = True  # nothing out there is ever answered, and nothing is refused
-    played.over(1.0)
-    share, got = played.over(6.0)
-    assert got["w3"] < 0.05 * sum(got.values()) and share > 0.97, (share, got)
+def test_a_hung_worker_that_looks_idle_gets_hardly_any_requests():
+    simulation = SimulatedFleet(load=0.5)
+    simulation.run_for(3.0)
+    simulation.fleet.places["w3"].hung = True  # it never responds and refuses nothing
+    simulation.run_for(1.0)
+    served_share, sent_counts = simulation.run_for(6.0)
+    assert sent_counts["w3"] < 0.05 * sum(sent_counts.values()) and served_share > 0.97, (served_share, sent_counts)
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -1,4 +1,4 @@
-"""The decisions' size and purity, which its readers rely on."""
+"""The decision modules stay small, do no I/O, read no clock and forget what has ended."""
 
 import ast
 import tomllib
@@ -11,13 +11,13 @@
 
 ROOT = Path(__file__).parents[2]
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-LONGEST_MODULE = 600  # lines
+MAX_MODULE_LINES = 600
 
 
-def test_all_decisions_on_a_request_are_policy_and_no_module_of_decisions_grows_large():
+def test_all_decisions_on_a_request_are_listed_as_policy_and_modules_stay_small():
     assert {f"micagate/{name}.py" for name in ("gateway", "fleet", "quotas", "accounts", "throttle")} <= set(POLICY)
     for path in (ROOT / "micagate").rglob("*.py"):
-        assert path.read_text().count("\n") <= LONGEST_MODULE, path
+        assert path.read_text().count("\n") <= MAX_MODULE_LINES, path
 
 
 @pytest.mark.parametrize(
@@ -44,7 +44,7 @@
         "micagate/handover/fields.py",
     ],
 )
-def test_imports_nothing_that_does_io_or_reads_a_clock(name):
+def test_a_decision_module_imports_nothing_that_does_io_or_reads_a_clock(name):
     allowed = {
         "__future__",
         "math",
@@ -66,13 +66,15 @@
             assert node.func.id not in {"open", "print", "input", "exec", "eval", "hash", "id"}
 
 
-def test_timers_are_forgotten_with_what_they_were_set_for():
-    d = Driver(hedging=False)
-    name, actions = d.ask("read")
-    assert len(d.gateway._timers) == 3  # aim, hedge, deadline
+def test_timers_are_removed_with_their_request_or_attempt():
+    driver = Driver(hedging=False)
+    name, actions = driver.ask("read")
+    assert len(driver.gateway._timers) == 3  # aim, hedge, deadline
     (worker,) = sends(actions)
-    assert sends(d.answer(name, worker, interface.FAILURE)) and len(d.gateway._timers) == 3  # of the second attempt
-    d.give(interface.ClientDisconnected(name))
-    assert len(d.gateway._timers) == 2
-    d.answer(name, "w0", interface.TIMED_OUT)
-    assert not d.gateway._timers
+    assert (
+        sends(driver.answer(name, worker, interface.FAILURE)) and len(driver.gateway._timers) == 3
+    )  # of the second attempt
+    driver.give(interface.ClientDisconnected(name))
+    assert len(driver.gateway._timers) == 2
+    driver.answer(name, "w0", interface.TIMED_OUT)
+    assert not driver.gateway._timers
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -1,4 +1,8 @@
-"""The rules under random legal orders of events."""
+"""Property-based tests of the gateway's rules under random legal orders of events.
+
+Hypothesis derives its random draws from the source of the two test functions: any renaming in them, or of what they
+name, leads to other examples.
+"""
 
 from typing import Any
 
@@ -27,7 +31,10 @@
 
 
 class Watch(Driver):
-    """A driver that plays the world and holds the rules against every action."""
+    """A driver that simulates clients and workers, and checks the rules on every action.
+
+    `open` holds the requests without a final response, `out` the attempts in flight.
+    """
 
     def __init__(self, **changes: Any) -> None:
         self.open: dict[str, dict[str, Any]] = {}
@@ -35,18 +42,18 @@
         self.state: dict[str, str] = {f"w{n}": interface.HEALTHY for n in range(6)}
         self.started: dict[str, float] = {}
         self.spent: list[tuple[float, float]] = []
-        self.copies = changes.get("hedging", True)
+        self.hedging_allowed = changes.get("hedging", True)
         super().__init__(**changes)
 
     def give(self, event: interface.Event, after: float = 0.0) -> list[interface.Action]:
-        """Hand over, then check all that comes back."""
+        """Pass an event to the gateway and check the resulting actions."""
         actions = super().give(event, after)
         for action in actions:
             if isinstance(action, interface.Send):
                 self.check_send(action)
             elif isinstance(action, interface.Refuse):
-                tries = self.open.pop(action.request)["tries"]
-                assert all(t["status"] in interface.NOT_EXECUTED_STATUSES for t in tries)
+                attempts = self.open.pop(action.request)["attempts"]
+                assert all(earlier["status"] in interface.NOT_EXECUTED_STATUSES for earlier in attempts)
             elif isinstance(action, interface.Fail):
                 del self.open[action.request]
             elif isinstance(action, interface.Cancel) and (key := (action.request, action.attempt)) in self.out:
@@ -54,32 +61,32 @@
         return actions
 
     def check_send(self, action: interface.Send) -> None:
-        """The rules for an attempt."""
-        request = self.open[action.request]  # KeyError: sent after its end
-        tries = request["tries"]
+        """Check the rules for starting an attempt."""
+        request = self.open[action.request]  # a KeyError means that it was sent after the request had ended
+        attempts = request["attempts"]
         assert self.now < request["deadline"]
         assert self.state[action.worker] == interface.HEALTHY
-        assert self.copies or all(t["status"] for t in tries)
-        ran = [t for t in tries if t["status"] not in interface.NOT_EXECUTED_STATUSES]
-        if ran and request["effect"] == interface.SIDE_EFFECT:
-            raise AssertionError("an unsafe request went out again")
-        if ran and request["effect"] == interface.TOKEN:
-            assert int(ran[0]["worker"][1]) % 3 == int(action.worker[1]) % 3
-            assert self.now <= ran[0]["sent"] + 2.0
+        assert self.hedging_allowed or all(earlier["status"] for earlier in attempts)
+        executed = [earlier for earlier in attempts if earlier["status"] not in interface.NOT_EXECUTED_STATUSES]
+        if executed and request["effect"] == interface.SIDE_EFFECT:
+            raise AssertionError("a request with side effects was sent again")
+        if executed and request["effect"] == interface.TOKEN:
+            assert int(executed[0]["worker"][1]) % 3 == int(action.worker[1]) % 3
+            assert self.now <= executed[0]["sent"] + 2.0
         attempt = {"worker": action.worker, "sent": self.now, "status": "", "cancelled": False}
-        if not tries and request["plan"] == "capped":
+        if not attempts and request["plan"] == "capped":
             self.spent.append((self.now, request["units"]))
-            for at, _ in self.spent:  # in every span: a third of the ceiling's depth and rate
-                used = sum(u for t, u in self.spent if t >= at)
+            for at, _ in self.spent:  # in every interval: a third of the ceiling's capacity and rate
+                used = sum(units for sent_at, units in self.spent if sent_at >= at)
                 assert used <= 24.0 / 3 + 6.0 / 3 * (self.now - at) + 1e-6
-        cold = self.started.get(action.worker, -99.0)
-        if self.now - cold < 1.0:
-            assert not any(o["worker"] == action.worker and o["sent"] >= cold for o in self.out.values())
-        tries.append(attempt)
-        self.out[action.request, len(tries) - 1] = attempt
+        started = self.started.get(action.worker, -99.0)
+        if self.now - started < 1.0:
+            assert not any(other["worker"] == action.worker and other["sent"] >= started for other in self.out.values())
+        attempts.append(attempt)
+        self.out[action.request, len(attempts) - 1] = attempt
 
     def step(self, what: str, n: int) -> None:
-        """Play one step of the world."""
+        """Simulate one step: `what` says which, and `n` is a random number that all its choices are derived from."""
         self.now += (n % 7) * 0.013
         if what == "ask":
             klass = list(CLASSES)[n % 3]
@@ -87,7 +94,7 @@
             name, left, units = f"r{self.made + 1}", 1.0 + n % 4, 1.0 + n // 12 % 3
             self.open[name] = {
                 "effect": CLASSES[klass],
-                "tries": [],
+                "attempts": [],
                 "deadline": self.now + left,
                 "plan": plan,
                 "units": units,
