--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -181,7 +181,7 @@
         estimate, cost = account.quota_estimate, max(0.0, account.plan.excess_cost - account.plan.excess_revenue)
         min_confidence = cost / (cost + 1 - RETRY_RECOVERY_FRACTION)
         account.largest_request = max(account.largest_request, units)
-        # A thin share holds so few requests that the local balance says little: the estimate alone decides then.
+        # A thin share holds so few requests that its balance says little; then the estimate alone decides.
         thin_share = estimate.has_thin_share()
         estimate_usable = (
             thin_share or estimate.is_current(account.updated_at) and not overload_control
@@ -209,8 +209,8 @@
         if not account.plan.rate or on_counter:
             return True
         # A local capacity of only a few requests would refuse customers well within their quota by chance, so they
-        # get credit. Trade-off: a burst of a customer that the meter showed as calm exceeds the quota until the next
-        # readings.
+        # get credit. Trade-off: if the meter showed a customer far below its quota, a burst of it may exceed the quota
+        # until the next readings.
         credit = (
             0.0
             if overload_control or thin_share
--- a/tests/decisions/test_hard_cases.py
+++ b/tests/decisions/test_hard_cases.py
@@ -108,7 +108,7 @@
 
 
 def retry_in_cell(state):
-    """Let a request with a token fail at a worker of a two-worker cell whose other worker is in `state`.
+    """Let a request with a token fail at a worker of a cell of two, whose other worker is in `state`.
 
     Returns the other worker and the resulting actions.
     """
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -140,14 +140,14 @@
     for what, n in steps:
         d.step(what, n)
         assert all(d.now <= r["deadline"] for r in d.open.values()) or d.pass_time(0) is not None
-    for key, attempt in list(d.out.items()):  # all that is out comes back at last
+    for key, attempt in list(d.out.items()):  # every attempt in flight ends at last
         d.pass_time(0.01)
         attempt["status"] = interface.TIMED_OUT
         del d.out[key]
         d.answer(key[0], attempt["worker"], interface.TIMED_OUT, attempt=key[1], terminal=key[0] not in d.open)
     d.pass_time(10)
-    assert not d.open  # nothing lost
-    assert not d.gateway._pending and not d.gateway._timers  # and nothing kept
+    assert not d.open  # every request has ended
+    assert not d.gateway._pending and not d.gateway._timers  # and no state of it is left
     assert set(d.gateway.in_flight) == set(d.out)
 
 
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -105,9 +105,9 @@
 def test_a_client_retry_after_the_latency_objective_is_refused():
     driver = Driver()
     assert sends(driver.ask(time_left=3.0)[1])  # these clients wait 3 s for each of their requests, 4 s in all
-    for left, repeat, admitted in ((3.0, True, True), (2.5, True, False), (2.5, False, True)):
+    for left, client_retry, admitted in ((3.0, True, True), (2.5, True, False), (2.5, False, True)):
         driver.made += 1
-        event = interface.Request(f"r{driver.made}", "read", "free", "c", left, client_retry=repeat)
+        event = interface.Request(f"r{driver.made}", "read", "free", "c", left, client_retry=client_retry)
         assert bool(sends(driver.give(event))) is admitted
 
 
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -147,9 +147,8 @@
     assert quotas.account(6.0, "c", plan, 3).local_rate >= 0.9 * 12
     before = quotas.account(6.4, "c", plan, 3).local_rate
     after = quotas.account(7.0, "c", plan, 3)
-    assert (
-        after.rate_divisor == 3 and after.local_rate > 0.9 * before
-    )  # the last slice stands until a reading says more
+    # The last local rate stays until a new reading.
+    assert after.rate_divisor == 3 and after.local_rate > 0.9 * before
 
 
 def test_a_concurrency_limit_follows_the_share():
