--- a/micagate/adapter.py
+++ b/micagate/adapter.py
@@ -11,7 +11,7 @@
 from micagate.gateway import Gateway
 from micagate.settings_keys import check
 
-MICRO = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 STATES = {"healthy": interface.HEALTHY, "cordoned": interface.DRAINING, "deregistered": interface.REMOVED}
 STATUSES = {
     "success": interface.SUCCESS,
@@ -23,21 +23,21 @@
     "withdrawn": interface.CANCELLED,
     "void": interface.NOT_SENT,
 }
-REPEAT = 2  # bit of `Options`
+CLIENT_RETRY_FLAG = 2  # bit of `Options`
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """Input that the wire does not allow; the text says what is wrong."""
 
 
 def seconds(text: str) -> float:
     """Seconds from a whole number of microseconds; absent is 0."""
-    return 0.0 if text == "-" else int(text) / MICRO
+    return 0.0 if text == "-" else int(text) / MICROSECONDS_PER_SECOND
 
 
-def micros(value: float) -> int:
+def microseconds(value: float) -> int:
     """Microseconds, rounded."""
-    return round(value * MICRO)
+    return round(value * MICROSECONDS_PER_SECOND)
 
 
 def settings(facts: dict[str, Any]) -> interface.Settings:
@@ -47,11 +47,11 @@
     classes = tuple(
         interface.RequestClass(
             name=c["Name"],
-            aim=c["SloUs"] / MICRO,
-            deadline=c["DeadlineUs"] / MICRO,
+            aim=c["SloUs"] / MICROSECONDS_PER_SECOND,
+            deadline=c["DeadlineUs"] / MICROSECONDS_PER_SECOND,
             effect=c["Effect"],
             group=c["Group"],
-            window=c["WindowUs"] / MICRO,
+            window=c["WindowUs"] / MICROSECONDS_PER_SECOND,
             streaming=c["Streaming"],
             late_value=c["LateWorth"],
             importance=c.get("Importance", 1.0),
@@ -79,28 +79,28 @@
         gateways=facts["NInstances"],
         number=facts.get("Index"),
         zone=facts["MyZone"],
-        tick=facts["TickUs"] / MICRO,
+        tick=facts["TickUs"] / MICROSECONDS_PER_SECOND,
         max_attempts=caps["MaxAttempts"],
         can_cancel=caps["Cancel"],
         hedging=caps["SecondCopies"],
-        max_retry_after=caps["MaxRetryAfterUs"] / MICRO if caps["RetryAfter"] else 0.0,
-        counter_timeout=family.get("CountLimitUs", 0) / MICRO if family.get("SharedCounter") else 0.0,
+        max_retry_after=caps["MaxRetryAfterUs"] / MICROSECONDS_PER_SECOND if caps["RetryAfter"] else 0.0,
+        counter_timeout=family.get("CountLimitUs", 0) / MICROSECONDS_PER_SECOND if family.get("SharedCounter") else 0.0,
         requires_subscription=facts["Discovery"] == "on_request",
-        meter_period=family["MeterUs"] / MICRO,
+        meter_period=family["MeterUs"] / MICROSECONDS_PER_SECOND,
         slow_start_min_factor=rules["ColdFrom"],
-        slow_start_duration=rules["RampTimeUs"] / MICRO,
+        slow_start_duration=rules["RampTimeUs"] / MICROSECONDS_PER_SECOND,
         overload_factor=rules["OverloadFactor"],
-        fall_time=rules["FallUs"] / MICRO,
+        fall_time=rules["FallUs"] / MICROSECONDS_PER_SECOND,
     )
 
 
-def entry(line: str) -> interface.WorkerEntry:
+def parse_worker_entry(line: str) -> interface.WorkerEntry:
     """A line of a workers list."""
     word, worker, area, _kind, cohort, state, hint, boot = line.split(" ")[:8]
     if word != "ENTRY":
-        raise Malformed(f"expected an ENTRY, found {word!r}")
+        raise MalformedInputError(f"expected an ENTRY, found {word!r}")
     if state not in STATES:
-        raise Malformed(f"unknown state {state!r}")
+        raise MalformedInputError(f"unknown state {state!r}")
     started = seconds(boot)
     return interface.WorkerEntry(
         worker=worker,
@@ -112,57 +112,60 @@
     )
 
 
-def submit(v: list[str]) -> interface.Event:
+def parse_submit(values: list[str]) -> interface.Event:
     """SUBMIT: OpId Class Tariff Account TimeLeftUs PriceUnits Spread Base Options."""
-    options = 0 if v[8] == "-" else int(v[8])
+    options = 0 if values[8] == "-" else int(values[8])
     return interface.Request(
-        request=v[0],
-        klass=v[1],
-        plan=v[2],
-        customer=v[3],
-        time_left=seconds(v[4]),
-        units=1.0 if v[5] == "-" else float(v[5]),
-        gateway_count=1 if v[6] == "-" else int(v[6]),
-        first_gateway=0 if v[7] == "-" else int(v[7]),
-        client_retry=bool(options & REPEAT),
+        request=values[0],
+        klass=values[1],
+        plan=values[2],
+        customer=values[3],
+        time_left=seconds(values[4]),
+        units=1.0 if values[5] == "-" else float(values[5]),
+        gateway_count=1 if values[6] == "-" else int(values[6]),
+        first_gateway=0 if values[7] == "-" else int(values[7]),
+        client_retry=bool(options & CLIENT_RETRY_FLAG),
     )
 
 
-def response(v: list[str]) -> interface.Event:
+def parse_response(values: list[str]) -> interface.Event:
     """RESPONSE: OpId Shot FinalUnits Worker Terminal Status SpentUs Used Metrics."""
-    if v[5] not in STATUSES:
-        raise Malformed(f"unknown status {v[5]!r}")
-    used = 0 if v[7] == "-" else int(v[7])
+    if values[5] not in STATUSES:
+        raise MalformedInputError(f"unknown status {values[5]!r}")
+    used = 0 if values[7] == "-" else int(values[7])
     return interface.Outcome(
-        request=v[0],
-        attempt=int(v[1]),
-        worker=v[3],
-        status=STATUSES[v[5]],
-        terminal=v[4] == "1",
-        took=seconds(v[6]),
+        request=values[0],
+        attempt=int(values[1]),
+        worker=values[3],
+        status=STATUSES[values[5]],
+        terminal=values[4] == "1",
+        took=seconds(values[6]),
         used=(used - 1) / 100 if used else None,
-        final_units=0.0 if v[2] == "-" else float(v[2]),
+        final_units=0.0 if values[2] == "-" else float(values[2]),
     )
 
 
-def counted(v: list[str]) -> interface.Event:
+def parse_sum(values: list[str]) -> interface.Event:
     """SUM: Status Reading SlotName SpentUs."""
-    if v[0] not in STATUSES:
-        raise Malformed(f"unknown status {v[0]!r}")
+    if values[0] not in STATUSES:
+        raise MalformedInputError(f"unknown status {values[0]!r}")
     return interface.CounterResult(
-        name=int(v[2]), status=STATUSES[v[0]], total=0.0 if v[1] == "-" else float(v[1]), took=seconds(v[3])
+        name=int(values[2]),
+        status=STATUSES[values[0]],
+        total=0.0 if values[1] == "-" else float(values[1]),
+        took=seconds(values[3]),
     )
 
 
 # Events of an instance: how many values follow the instance, and what they become. The module asks for no
 # probes or messages, so answers to these are read and left.
-EVENTS: dict[str, tuple[int, Callable[[list[str]], interface.Event | None]]] = {
-    "SUBMIT": (9, submit),
-    "RESPONSE": (9, response),
+EVENT_PARSERS: dict[str, tuple[int, Callable[[list[str]], interface.Event | None]]] = {
+    "SUBMIT": (9, parse_submit),
+    "RESPONSE": (9, parse_response),
     "STARTED": (4, lambda v: interface.StreamStarted(v[0], int(v[3]), v[2], seconds(v[1]))),
     "WAKE": (1, lambda v: interface.TimerFired(int(v[0]))),
     "ABANDONED": (1, lambda v: interface.ClientDisconnected(v[0])),
-    "SUM": (4, counted),
+    "SUM": (4, parse_sum),
     "SAMPLED": (4, lambda v: None),
     "MAIL": (2, lambda v: None),
 }
@@ -172,19 +175,19 @@
     """The wire's line for an action."""
     match action:
         case interface.Send(request, worker, within):
-            return f"SUBMIT_TO {instance} {request} {worker} {micros(within)}"
+            return f"SUBMIT_TO {instance} {request} {worker} {microseconds(within)}"
         case interface.Refuse(request, retry_after):
-            return f"TURN_AWAY {instance} {request} {micros(retry_after)}"
+            return f"TURN_AWAY {instance} {request} {microseconds(retry_after)}"
         case interface.Fail(request):
             return f"FINISH_ERROR {instance} {request}"
         case interface.Cancel(request, attempt):
             return f"WITHDRAW {instance} {request} {attempt}"
         case interface.SetTimer(delay, ref):
-            return f"SET_TIMER {instance} {max(0, micros(delay))} {ref}"
+            return f"SET_TIMER {instance} {max(0, microseconds(delay))} {ref}"
         case interface.Subscribe():
             return f"SUBSCRIBE {instance} 1"
         case interface.CounterAdd(name, amount, life):
-            return f"ADD {instance} {name} {amount:.7g} {micros(life)}"
+            return f"ADD {instance} {name} {amount:.7g} {microseconds(life)}"
         case interface.DemandReport() | interface.ReleasedLevels() | interface.MaintenanceResult():
             raise ValueError("the wire has no planners or operators")  # nor an event that calls for these
 
@@ -193,23 +196,23 @@
     """Hosts the gateways of one process."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self._lines = self._numbered(source)
+        self._lines = self._count_lines(source)
         self._sink = sink
         self._gateways: dict[int, Gateway] = {}
-        self._tables: dict[int, tuple[interface.WorkerEntry, ...]] = {}
+        self._worker_lists: dict[int, tuple[interface.WorkerEntry, ...]] = {}
         self._number = 0
         self._line = ""
 
-    def _numbered(self, source: TextIO) -> Iterator[str]:
+    def _count_lines(self, source: TextIO) -> Iterator[str]:
         for line in source:
             self._number += 1
             self._line = line.rstrip("\n")
             yield self._line
 
-    def _next(self) -> str:
+    def _next_line(self) -> str:
         line = next(self._lines, None)
         if line is None:
-            raise Malformed("input ended inside a batch")
+            raise MalformedInputError("input ended inside a batch")
         return line
 
     def run(self) -> int:
@@ -217,67 +220,69 @@
         try:
             for line in self._lines:
                 if line:
-                    self._batch(line)
-        except (Malformed, ValueError, KeyError, IndexError, TypeError, UnicodeError) as error:
-            what = f"missing setting {error}" if isinstance(error, KeyError) else str(error)
-            print(f"micagate: line {self._number}: {what}: {self._line[:120]!r}", file=sys.stderr)
+                    self._process_batch(line)
+        except (MalformedInputError, ValueError, KeyError, IndexError, TypeError, UnicodeError) as error:
+            message = f"missing setting {error}" if isinstance(error, KeyError) else str(error)
+            print(f"micagate: line {self._number}: {message}: {self._line[:120]!r}", file=sys.stderr)
             return 1
         return 0
 
-    def _batch(self, line: str) -> None:
+    def _process_batch(self, line: str) -> None:
         parts = line.split(" ")
         if parts[0] != "CLOCK" or len(parts) < 3:
-            raise Malformed("expected CLOCK, a time and a batch number")
-        now, batch = int(parts[1]) / MICRO, int(parts[2])
+            raise MalformedInputError("expected CLOCK, a time and a batch number")
+        now, batch = int(parts[1]) / MICROSECONDS_PER_SECOND, int(parts[2])
         out: list[str] = []
-        while (line := self._next()) != "FLUSH":
-            self._event(now, line, out)
+        while (line := self._next_line()) != "FLUSH":
+            self._process_line(now, line, out)
         out.append(f"YIELD {batch}\n")
         self._sink.write("\n".join(out))
         self._sink.flush()
 
-    def _event(self, now: float, line: str, out: list[str]) -> None:
+    def _process_line(self, now: float, line: str, out: list[str]) -> None:
         word, _, rest = line.partition(" ")
         values = rest.split(" ")
         if word == "DIRECTORY":
-            self._tables[int(values[0])] = tuple(entry(self._next()) for _ in range(int(values[1])))
+            self._worker_lists[int(values[0])] = tuple(
+                parse_worker_entry(self._next_line()) for _ in range(int(values[1]))
+            )
         elif word == "LAUNCH":
             number, seed, facts = rest.split(" ", 2)
             self._gateways[int(number)] = Gateway(settings(json.loads(facts)), int(seed), now)
         elif word == "DOWN":
             self._gateways.pop(int(values[0]), None)
         elif word == "UPDATE":
-            self._hand(now, int(values[0]), self._update(values), out)
-        elif word in EVENTS:
-            count, make = EVENTS[word]
+            self._handle_event(now, int(values[0]), self._parse_update(values), out)
+        elif word in EVENT_PARSERS:
+            count, parse = EVENT_PARSERS[word]
             if len(values) <= count:
-                raise Malformed(f"{word} has too few values")
-            event = make(values[1:])
+                raise MalformedInputError(f"{word} has too few values")
+            event = parse(values[1:])
             if event is not None:
-                self._hand(now, int(values[0]), event, out)
+                self._handle_event(now, int(values[0]), event, out)
         else:
-            raise Malformed(f"unknown message {word!r}")
+            raise MalformedInputError(f"unknown message {word!r}")
 
-    def _update(self, values: list[str]) -> interface.Event:
+    def _parse_update(self, values: list[str]) -> interface.Event:
         scope = values[1]
         if scope == "unavailable":
             return interface.WorkerList(failed=True)
         if scope not in ("update", "replace", "restored"):
-            raise Malformed(f"unknown scope {scope!r}")
+            raise MalformedInputError(f"unknown scope {scope!r}")
         table = int(values[3])
-        if table not in self._tables:
-            raise Malformed(f"no DIRECTORY {table}")
-        return interface.WorkerList(self._tables[table], whole=scope != "update")
+        if table not in self._worker_lists:
+            raise MalformedInputError(f"no DIRECTORY {table}")
+        return interface.WorkerList(self._worker_lists[table], whole=scope != "update")
 
-    def _hand(self, now: float, instance: int, event: interface.Event, out: list[str]) -> None:
+    def _handle_event(self, now: float, instance: int, event: interface.Event, out: list[str]) -> None:
         gateway = self._gateways.get(instance)
         if gateway is None:
-            raise Malformed(f"no instance {instance}")
+            raise MalformedInputError(f"no instance {instance}")
         try:
             actions = gateway.handle(now, event)
         except Exception as error:  # a fault in the decisions goes out on the wire, not as a traceback
-            text = " ".join(f"{type(error).__name__}: {error}".split())
-            out.append(f"BAIL_OUT {instance} {text}")
+            message = " ".join(f"{type(error).__name__}: {error}".split())
+            out.append(f"BAIL_OUT {instance} {message}")
             return
         out.extend(action_line(instance, action) for action in actions)
 
--- a/micagate/demand_reports.py
+++ b/micagate/demand_reports.py
@@ -1,4 +1,4 @@
-"""Demand reports about workers for the planners."""
+"""Builds the part of a demand report that tells planners the demand for each worker and its load."""
 
 from __future__ import annotations
 
@@ -8,23 +8,28 @@
 from micagate.fleet import Fleet
 from micagate.resource_keys import worker_key
 from micagate.shares import Shares
-from micagate.workload import Workload, sent_to
+from micagate.workload import Workload, resource_demands
 
 
-def worker_demand(now: float, fleet: Fleet, shares: Shares, gateways: int) -> list[interface.ResourceDemand]:
-    """Return the demand for each worker since the last query, sent and unsent, and its capacity."""
-    passed, fleet.reported_at = now - fleet.reported_at, now
-    if fleet.shortest_usual_latency == math.inf or passed <= 0:
+def worker_demand(now: float, fleet: Fleet, shares: Shares, gateway_count: int) -> list[interface.ResourceDemand]:
+    """Return the demand for each worker since the last query, and its capacity.
+
+    For a worker in slow start it is the demand of a warm one. Empty while no latency is known.
+    """
+    elapsed, fleet.reported_at = now - fleet.reported_at, now
+    if fleet.shortest_usual_latency == math.inf or elapsed <= 0:
         return []
-    standing = {
-        name: (fleet.warm_up_factor(now, w), shares.worker_capacity(now, worker_key(name)))
-        for name, w in fleet.workers.items()
-        if w.usable
+    workers = {
+        name: (fleet.warm_up_factor(now, worker), shares.worker_capacity(now, worker_key(name)))
+        for name, worker in fleet.workers.items()
+        if worker.usable
     }
-    return sent_to(standing, fleet.workload, fleet.rate(now) * passed, 1.0 / fleet.shortest_usual_latency, gateways)
+    return resource_demands(
+        workers, fleet.workload, fleet.rate(now) * elapsed, 1.0 / fleet.shortest_usual_latency, gateway_count
+    )
 
 
 def worker_loads(now: float, fleet: Fleet) -> list[interface.WorkerLoad]:
-    """What became of the attempts at each worker since the last call; the first one begins the count."""
+    """Return the outcomes of the attempts at each worker since the last call; the first call starts the count."""
     fleet.workload = fleet.workload or Workload()
-    return fleet.workload.take(now, {name: len(worker.in_flight) for name, worker in fleet.workers.items()})
+    return fleet.workload.take_loads(now, {name: len(worker.in_flight) for name, worker in fleet.workers.items()})
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -1,4 +1,9 @@
-"""The workers: the list, their health, the cold guard, and the choice of one."""
+"""Tracks the workers of a gateway and chooses one for each attempt.
+
+`Fleet` follows the list of workers, judges their health from responses and timeouts, limits the attempts at workers
+in slow start, and detects overload of the whole fleet. It does no I/O; the time is an argument of its methods, in
+seconds on the caller's clock. `micagate/gateway.py` calls it, and `micagate/throttle.py` limits the request rate.
+"""
 
 from __future__ import annotations
 
@@ -10,67 +15,81 @@
 from micagate.estimates.tails import Tails
 from micagate.resource_keys import worker_key
 from micagate.shares import Shares
-from micagate.worker import BACKOFF, LONGEST_BACKOFF, Worker
-from micagate.worker_subset import TOGETHER, WorkerSubset
+from micagate.worker import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, Worker
+from micagate.worker_subset import MIN_FLEET_ATTEMPTS_PER_WORKER, WorkerSubset
 from micagate.workload import Workload
 
-# All ours, since the design leaves the choice of a worker open.
-LEARN = 0.15  # weight of a new answer in what was learned
-FAR = 1.1  # a worker elsewhere must be this much better than one in the own zone
-LOOK, LOOKS = 16, 3  # workers of a larger fleet that a choice looks at, and how often before it gives up
-STALL = 4.0  # times the usual answer time after which silence counts as a stall
-RECENT = 2.0  # seconds over which the fleet's pace is averaged
-LATE_SHARE = 0.5  # of the aim: expected answer time of a sure latecomer; its age out is over `OLD_SHARE`
-ENOUGH = 10.0  # attempts out or just answered that Little's law needs to mean something
-KEEPS_ENOUGH = 30.0  # ... of a gateway that keeps to few of many workers: by chance it has several out
-SPARE = 1.5  # what a warm worker could take over what it gets, at the least (cold guard with many gateways)
-OWED = 2.0  # seconds after which a worker that was put back gets its first request, room or not
-LOSSY, LOSSIER = 0.3, 4.0  # share of answers that a worker loses, and times what another loses: it loses them
+LEARNING_RATE = 0.15  # weight of a new sample in the moving averages of latency and of lost responses
+# A worker in another zone is chosen only if its expected wait is shorter than a local one's by this factor.
+REMOTE_ZONE_PENALTY = 1.1
+# In a fleet of more workers than SAMPLE_SIZE, a choice compares a sample of that size. If none of it can take the
+# request, up to MAX_SAMPLES samples are drawn in all.
+SAMPLE_SIZE, MAX_SAMPLES = 16, 3
+STALL = 4.0  # multiple of the usual latency after which an unanswered attempt counts as stalled
+THROUGHPUT_WINDOW_SECONDS = 2.0  # time constant of the exponential average of the fleet's throughput
+# Share of the latency objective: a request whose expected latency is above it is rejected as likely to be late, if
+# the mean age of the attempts in flight is above `OLD_SHARE` of the objective too.
+MAX_EXPECTED_LATENCY_SHARE = 0.5
+MIN_SAMPLES = 10.0  # attempts in flight or recently answered that Little's law needs for a usable estimate
+# The same for a gateway that uses only a subset of the workers: there, several can be in flight by chance.
+MIN_SAMPLES_IN_SUBSET = 30.0
+# With many gateways, a worker in slow start may get this multiple of its estimated limit before the gateways take
+# turns. It allows for what a warm worker can serve beyond the traffic that it gets now.
+SLOW_START_HEADROOM = 1.5
+# A worker put back in service gets its first request after this long even if its slow-start limit allows none.
+RESTORED_WORKER_MAX_WAIT_SECONDS = 2.0
+# A worker loses a class of requests if the share of its lost responses is above MIN_LOSS_RATE, and above
+# MIN_LOSS_RATIO times the lowest such share of another worker.
+MIN_LOSS_RATE, MIN_LOSS_RATIO = 0.3, 4.0
 
 
 class Fleet:
-    """The list of workers, their health, the cold guard and the choice of one."""
+    """The known workers: their health, limits during slow start, overload detection and selection."""
 
     def __init__(self, settings: interface.Settings, random: Random, now: float, shares: Shares) -> None:
-        self._s, self._random, self._shares = settings, random, shares
+        self._settings, self._random, self._shares = settings, random, shares
         self.workers: dict[str, Worker] = {}
-        self.gateway_count = settings.gateways  # those that may send to a cold worker
-        self.restored_at: dict[str, float] = {}  # put back by operators, when, and not heard of since
-        self._usual: dict[str, float] = {}
-        self._done, self._done_at = 0.0, now
-        # Out, and not past its aim: when sent, the aim and where.
+        self.gateway_count = settings.gateways  # gateways that share the limit of a worker in slow start
+        self.restored_at: dict[str, float] = {}  # by worker: when an operator put it back in service; until it responds
+        self._usual: dict[str, float] = {}  # by class: moving average of the latency, in seconds
+        self._done, self._done_at = 0.0, now  # decaying count of successful responses, and the time it is valid for
+        # Attempts without a response that are within their latency objective: send time, objective and worker.
         self._waiting: dict[tuple[str, int], tuple[float, float, Worker]] = {}
         self.usable_count, self.tails, self.recent = 0, Tails(now), Recent(now)
-        self.shortest_usual_latency = math.inf  # the shortest usual answer time so far, of the class that takes longest
-        self._answers = 0
-        self.reported_at = now
-        self.workload: Workload | None = None  # counted once a survey has asked for it
+        self.shortest_usual_latency = math.inf  # lowest value so far of the usual latency of the slowest class
+        self._answers = 0  # successful responses since the start
+        self.reported_at = now  # time of the last demand report
+        self.workload: Workload | None = None  # counted from the first demand query on
         self.subset = WorkerSubset(settings.number, settings.gateways)
-        self._pooled: tuple[float, list[Worker]] | None = None  # the last pool, until anything changes
-        self._aim = min(c.aim for c in settings.classes)
-
-    def update(self, now: float, news: interface.WorkerList) -> None:
-        """Follow the list; a drained or gone worker gets nothing from here on, a restarted one is new."""
-        if news.whole:
-            named = {entry.worker for entry in news.entries}
-            for worker in [worker for name, worker in self.workers.items() if name not in named]:
+        self._cached_candidates: tuple[float, list[Worker]] | None = None  # the last result and its time
+        self._shortest_latency_objective = min(klass.aim for klass in settings.classes)
+
+    def update(self, now: float, update: interface.WorkerList) -> None:
+        """Apply a list of workers, whole or changes only.
+
+        A draining or removed worker gets no further attempts. A worker with another start time has restarted: its
+        health is reset, and its attempts in flight are kept.
+        """
+        if update.whole:
+            listed_names = {entry.worker for entry in update.entries}
+            for worker in [worker for name, worker in self.workers.items() if name not in listed_names]:
                 self._leave(worker)
-        sizes = [e.size for e in news.entries if e.size > 0] or [1.0]
-        mean = sum(sizes) / len(sizes)
-        for entry in news.entries:
+        sizes = [entry.size for entry in update.entries if entry.size > 0] or [1.0]
+        mean_size = sum(sizes) / len(sizes)
+        for entry in update.entries:
             known = self.workers.get(entry.worker)
             if known is None or known.entry.started != entry.started:
-                source = self._random if self._s.number is None else Random(entry.worker)
-                fresh = Worker(
+                rank_source = self._random if self._settings.number is None else Random(entry.worker)
+                new_worker = Worker(
                     entry,
-                    mean / entry.size if news.whole and entry.size > 0 else 1.0,
+                    mean_size / entry.size if update.whole and entry.size > 0 else 1.0,
                     now,
-                    known.rank if known else source.random(),
+                    known.rank if known else rank_source.random(),
                 )
                 if known is not None:
-                    fresh.in_flight = known.in_flight
-                    self._unlist(known)
-                self.workers[entry.worker] = known = fresh
+                    new_worker.in_flight = known.in_flight
+                    self._mark_unusable(known)
+                self.workers[entry.worker] = known = new_worker
             known.entry = entry
             if entry.state != interface.HEALTHY:
                 self._leave(known)
@@ -78,92 +97,101 @@
                 known.usable = True
                 self.subset.add(known)
         self.usable_count = len(self.subset.ring)
-        self._pooled = None
+        self._cached_candidates = None
 
-    def _unlist(self, worker: Worker) -> None:
+    def _mark_unusable(self, worker: Worker) -> None:
         if worker.usable:
             worker.usable = False
             self.subset.remove(worker)
 
     def _leave(self, worker: Worker) -> None:
-        """Give a worker no more; forget it if nothing is out there."""
-        self._unlist(worker)
+        """Stop sending to a worker, and forget it unless it has attempts in flight."""
+        self._mark_unusable(worker)
         if not worker.in_flight:
             del self.workers[worker.entry.worker]
 
     def usual_latency(self, klass: interface.RequestClass) -> float:
-        """The usual answer time of a class; its aim's tenth until something is known."""
+        """Return the average latency of a class in seconds; a tenth of its objective before the first response."""
         return self._usual.get(klass.name, klass.aim / 10)
 
-    def _stalled(self, now: float, worker: Worker) -> bool:
-        """Whether all that is out at a worker goes unanswered well beyond the usual.
+    def _is_stalled(self, now: float, worker: Worker) -> bool:
+        """Return whether a worker leaves its latest attempts unanswered for much longer than usual.
 
-        Guards against hung, pausing, cut off or silently lost workers alike: what it holds is bounded, and
-        anything that returns ends it. What later-sent ones have overtaken doesn't count: the worker lives,
-        and one answer lost on the way would shut it out until the client's deadline. Once in a while it may
-        be tried, ever less the more it swallows. Harm: a lone unusually long request keeps the others away
-        for a while.
+        It protects against workers that hang, pause, are partitioned or disappear without notice: each holds a
+        bounded number of attempts, and any response ends the stall. Attempts sent before one that was answered
+        don't count: the worker responds, and a single lost response would exclude it until the client's deadline.
+        A stalled worker is probed now and then, with a backoff that doubles with each unanswered attempt.
+        Trade-off: one unusually long request keeps other requests away from its worker for a while.
         """
-        behind = [sent for sent in worker.in_flight.values() if sent > worker.latest_answered_sent_at]
-        if not behind or now - max(behind[0], worker.last_response_at) <= self._patience(worker):
+        unanswered = [sent_at for sent_at in worker.in_flight.values() if sent_at > worker.latest_answered_sent_at]
+        if not unanswered or now - max(unanswered[0], worker.last_response_at) <= self._stall_timeout(worker):
             return False
-        pause: float = BACKOFF * 2 ** min(len(behind) - 1, 10)
-        return now - behind[-1] < min(LONGEST_BACKOFF, pause)
+        backoff: float = MIN_BACKOFF_SECONDS * 2 ** min(len(unanswered) - 1, 10)
+        return now - unanswered[-1] < min(MAX_BACKOFF_SECONDS, backoff)
 
-    def _patience(self, worker: Worker) -> float:
-        """How long a worker's silence is nothing unusual."""
+    def _stall_timeout(self, worker: Worker) -> float:
+        """Return how long a worker may leave an attempt unanswered before it counts as stalled, in seconds."""
         return STALL * max(self._usual.values(), default=1.0) * max(1.0, min(2.0, worker.relative_latency))
 
-    def _queued(self, now: float, worker: Worker) -> list[float]:
-        """When what a worker has before it was sent, without what is lost as far as can be told.
+    def _outstanding_send_times(self, now: float, worker: Worker) -> list[float]:
+        """Return the send times of the attempts that a worker still has to answer, without those probably lost.
 
-        Lost: past its aim, or silent for unusually long though later-sent ones were answered. Guards against
-        answers lost on the way, of whatever cause: each would count as load until its client's deadline.
-        Harm: unusually long requests among short ones count for nothing after a while.
+        An attempt counts as lost once it is past its latency objective, or unanswered for unusually long although
+        later ones were answered. Otherwise a lost response would count as load until its client's deadline.
+        Trade-off: unusually long requests among short ones no longer count as load after a while.
         """
         if not worker.in_flight:
             return []
         return [
-            sent for key, sent in worker.in_flight.items() if key in self._waiting and not self._gone(now, worker, sent)
+            sent_at
+            for key, sent_at in worker.in_flight.items()
+            if key in self._waiting and not self._is_probably_lost(now, worker, sent_at)
         ]
 
-    def _gone(self, now: float, worker: Worker, sent: float) -> bool:
-        """Whether what was sent then is silent for unusually long, though later-sent ones were answered."""
-        return sent <= worker.latest_answered_sent_at and now - sent > self._patience(worker)
+    def _is_probably_lost(self, now: float, worker: Worker, sent_at: float) -> bool:
+        """Return whether an attempt is unanswered for unusually long although later ones were answered."""
+        return sent_at <= worker.latest_answered_sent_at and now - sent_at > self._stall_timeout(worker)
 
-    def _healthy(self, now: float, worker: Worker) -> bool:
+    def _is_healthy(self, now: float, worker: Worker) -> bool:
         if not worker.in_flight:
             return not worker.is_suspect() or now >= worker.backoff_until
-        if worker.is_suspect() and (now < worker.backoff_until or self._queued(now, worker)):
-            return False  # one trial at a time
-        return not self._stalled(now, worker)
+        if worker.is_suspect() and (now < worker.backoff_until or self._outstanding_send_times(now, worker)):
+            return False  # one probe at a time
+        return not self._is_stalled(now, worker)
 
     def _has_room(self, now: float, worker: Worker) -> bool:
-        """The cold guard: a cap on what this gateway has in flight at a worker that started lately.
+        """Return whether this gateway may send one more attempt to a worker, given the limit of its slow start.
 
-        In a span of `fall_time` a worker does its capacity x span, so what may be in flight at most is
-        (factor - 1) x capacity x span; each gateway takes its own share of the rate a warm one serves it,
-        or of one core at the briskest answer time known: in a jam the rate served says nothing.
+        Within `fall_time` a worker completes capacity x fall_time attempts, so at most
+        (overload_factor - 1) x capacity x fall_time may be in flight. A gateway estimates its share of the capacity
+        from the rate at which a warm worker serves it, or from one core at the shortest latency known: under
+        congestion the rate served says nothing about the capacity.
         """
-        if (warm := self.warm_up_factor(now, worker)) is None:
+        if (warm_up_factor := self.warm_up_factor(now, worker)) is None:
             return True
-        over, _ = self._shares.divisors(now, worker_key(worker.entry.worker), self.gateway_count)
-        if self.subset.is_partial and over == self.gateway_count:  # only those send to it in whose arcs it is
-            over = max(1.0, over * self.subset.overlap())
-        cap = (self._s.overload_factor - 1) * warm * self.rate(now) * self._s.fall_time
-        alone = (self._s.overload_factor - 1) * warm * self._s.fall_time / self.shortest_usual_latency / over
-        if over > self.gateway_count:
-            cap *= self.gateway_count / over  # lent; what is borrowed only shortens the turns
-        spare = max(SPARE * cap, TOGETHER / over, alone)
-        if spare <= 0:
-            return False  # all of it is lent
-        if spare < 1:  # with many gateways even one each is too much: they take turns by chance
-            pause = self._s.fall_time / spare
+        divisor, _ = self._shares.divisors(now, worker_key(worker.entry.worker), self.gateway_count)
+        if self.subset.is_partial and divisor == self.gateway_count:  # only gateways of its subsets send to it
+            divisor = max(1.0, divisor * self.subset.overlap())
+        cap = (self._settings.overload_factor - 1) * warm_up_factor * self.rate(now) * self._settings.fall_time
+        single_core_cap = (
+            (self._settings.overload_factor - 1)
+            * warm_up_factor
+            * self._settings.fall_time
+            / self.shortest_usual_latency
+            / divisor
+        )
+        if divisor > self.gateway_count:
+            cap *= self.gateway_count / divisor  # part of the share is lent; a borrowed share only shortens the turns
+        headroom = max(SLOW_START_HEADROOM * cap, MIN_FLEET_ATTEMPTS_PER_WORKER / divisor, single_core_cap)
+        if headroom <= 0:
+            return False  # the whole share is lent
+        if headroom < 1:  # one attempt from each gateway is too much: they take turns at random
+            turn_interval = self._settings.fall_time / headroom
             if worker.next_turn_at is None:
-                worker.next_turn_at = now + pause * self._random.random()
-            elif worker.next_turn_at > now:  # what is left follows the pause: it shortens as the worker warms
-                worker.next_turn_at = now + (worker.next_turn_at - now) * min(1.0, pause / worker.turn_interval)
-            worker.turn_interval = pause
+                worker.next_turn_at = now + turn_interval * self._random.random()
+            elif worker.next_turn_at > now:  # the rest of the wait shortens as the worker warms up
+                worker.next_turn_at = now + (worker.next_turn_at - now) * min(1.0, turn_interval / worker.turn_interval)
+            worker.turn_interval = turn_interval
             if now < worker.next_turn_at:
                 return False
         while worker.held_slots_until and worker.held_slots_until[0] <= now:
@@ -171,289 +199,343 @@
         return len(worker.in_flight) + len(worker.held_slots_until) < max(1, int(cap))
 
     def rate(self, now: float) -> float:
-        """What a warm worker serves this gateway in a second."""
-        self._fade(now)
-        return self._done / RECENT / max(1, self.subset.fit if self.subset.is_partial else self.usable_count)
+        """Return the rate at which one warm worker serves this gateway, in responses a second."""
+        self._decay_throughput(now)
+        return (
+            self._done
+            / THROUGHPUT_WINDOW_SECONDS
+            / max(1, self.subset.fit if self.subset.is_partial else self.usable_count)
+        )
 
     def warm_up_factor(self, now: float, worker: Worker) -> float | None:
-        """The share of its capacity that a worker has which started lately; None for a warm one."""
+        """Return the share of its full capacity that a worker in slow start has; None for a warm worker."""
         started = worker.entry.started
-        if started is None or now - started >= self._s.slow_start_duration:
+        if started is None or now - started >= self._settings.slow_start_duration:
             return None
         return (
-            self._s.slow_start_min_factor
-            + (1 - self._s.slow_start_min_factor) * max(0.0, now - started) / self._s.slow_start_duration
+            self._settings.slow_start_min_factor
+            + (1 - self._settings.slow_start_min_factor) * max(0.0, now - started) / self._settings.slow_start_duration
         )
 
-    def _slow(self, now: float, worker: Worker) -> float:
-        """A worker's answer time over the usual, and what tells of it sooner where it is met seldom."""
-        slow = worker.slowness(now)
-        if self.subset.is_partial and (queued := self._queued(now, worker)):  # it tells before its answer
-            slow = max(slow, (now - queued[0]) / max(self._usual.values(), default=math.inf))
-        # What a cold one has left of its capacity is learned too late by who meets it seldom.
-        return slow / (self.warm_up_factor(now, worker) or 1.0) if self.subset.is_partial else slow
+    def _effective_latency(self, now: float, worker: Worker) -> float:
+        """Return a worker's latency relative to the usual one, as a factor of the expected wait.
 
-    def _fade(self, now: float) -> None:
-        self._done *= math.exp((self._done_at - now) / RECENT)
+        In a subset each worker gets few requests, so two earlier signs count too: the age of its oldest attempt in
+        flight, and the reduced capacity of slow start.
+        """
+        latency = worker.slowness(now)
+        if self.subset.is_partial and (send_times := self._outstanding_send_times(now, worker)):
+            latency = max(latency, (now - send_times[0]) / max(self._usual.values(), default=math.inf))
+        return latency / (self.warm_up_factor(now, worker) or 1.0) if self.subset.is_partial else latency
+
+    def _decay_throughput(self, now: float) -> None:
+        """Decay the count of responses to the present."""
+        self._done *= math.exp((self._done_at - now) / THROUGHPUT_WINDOW_SECONDS)
         self._done_at = now
 
-    def _pool(self, now: float) -> list[Worker]:
-        """The workers to choose from, as they were last looked at."""
-        if self._pooled is None or self._pooled[0] != now:
-            span = now if self.subset.is_partial else None
-            self._pooled = now, self._well(now, self._look(self.subset.size, now=span))
-        return self._pooled[1]
+    def _candidates(self, now: float) -> list[Worker]:
+        """Return the workers to choose from, cached until the time or the state changes."""
+        if self._cached_candidates is None or self._cached_candidates[0] != now:
+            healthy_at = now if self.subset.is_partial else None
+            self._cached_candidates = now, self._prefer_healthy(now, self._sample(self.subset.size, now=healthy_at))
+        return self._cached_candidates[1]
 
-    def _well(self, now: float, looked: list[Worker]) -> list[Worker]:
-        """Those that look well; if most look bad it is overload, the throttle's job: then all."""
-        good = [w for w in looked if self._healthy(now, w)]
-        return good if 2 * len(good) >= len(looked) else looked
+    def _prefer_healthy(self, now: float, sampled: list[Worker]) -> list[Worker]:
+        """Return the healthy workers, or all if fewer than half are healthy.
 
-    def _look(
-        self, span: int, zone: str | None = None, cell: int | None = None, now: float | None = None
+        If most look unhealthy the cause is overload, which the throttle handles.
+        """
+        healthy = [worker for worker in sampled if self._is_healthy(now, worker)]
+        return healthy if 2 * len(healthy) >= len(sampled) else sampled
+
+    def _sample(
+        self, count: int, zone: str | None = None, cell: int | None = None, now: float | None = None
     ) -> list[Worker]:
-        """Usable workers to look at: all of a small fleet, a few of the first `span` of a large one.
+        """Return usable workers to compare: all of a small fleet, a random sample of a large one.
 
-        Guards against requests that cost more the larger the fleet. They stand anywhere, any distance apart:
-        a few in a row would always meet the same others, and favour those with bad ones. Harm: the best of
-        all is missed.
+        The sample is drawn from the first `count` workers of the subset; with `now`, from as many warm and healthy
+        ones. `zone` and `cell` restrict it. It keeps the cost of a request independent of the size of the fleet.
+        Its workers stand at a random distance on the ring: neighbours would always be compared with the same
+        others, which favours those with slow neighbours. Trade-off: the best worker of all is often missed.
         """
-        ring = self.subset.members(
-            span, None if now is None else lambda w: (self.warm_up_factor(now, w) is None and self._healthy(now, w))
+        sample = self.subset.members(
+            count,
+            None
+            if now is None
+            else lambda worker: (self.warm_up_factor(now, worker) is None and self._is_healthy(now, worker)),
         )
         if zone is not None or cell is not None:
-            ring = [w for w in ring if zone in (None, w.entry.zone) and cell in (None, w.entry.cell)]
-        elif span == self.usable_count <= LOOK:
-            ring = [w for w in self.workers.values() if w.usable]
-        if (many := len(ring)) > LOOK:
-            begin, step = int(self._random.random() * many), 1 + int(self._random.random() * (many - 1))
-            ring = list(dict.fromkeys(ring[(begin + n * step) % many] for n in range(LOOK)))
-        return ring
-
-    def is_overloaded(self, now: float, room: float, part: float = 1.0) -> bool:
-        """Whether one more would likely miss its aim: then the gateway says the `full` that workers can't.
-
-        A class that has but a part of the bar is refused that much earlier.
-
-        Little's law: what is out over the pace of answers is the time a new one takes. The mean age of what
-        is out must be up as well, since a burst on idle workers has much out and no pace yet. Stalled
-        workers are left out, and one each (three for all gateways together) may always be out, so that the
-        pace can't choke itself. The bar is one for all classes (the shortest aim): with its own, the longest
-        aim takes all room.
-        Guards against every overload that time-outs tell of too late: slowing everywhere, lost capacity,
-        floods, retries. Harm: answers that are long by nature look like a backlog where aims are tight.
+            sample = [
+                worker for worker in sample if zone in (None, worker.entry.zone) and cell in (None, worker.entry.cell)
+            ]
+        elif count == self.usable_count <= SAMPLE_SIZE:
+            sample = [worker for worker in self.workers.values() if worker.usable]
+        if (available := len(sample)) > SAMPLE_SIZE:
+            start, step = int(self._random.random() * available), 1 + int(self._random.random() * (available - 1))
+            sample = list(dict.fromkeys(sample[(start + n * step) % available] for n in range(SAMPLE_SIZE)))
+        return sample
+
+    def is_overloaded(self, now: float, headroom: float, threshold_factor: float = 1.0) -> bool:
+        """Return whether one more request would likely miss its latency objective; the gateway then rejects it.
+
+        `headroom` lowers the probability of a rejection while there are few samples. `threshold_factor`, from 0 to
+        1, lowers the threshold, so that low-value classes are rejected earlier.
+
+        By Little's law, the attempts in flight over the rate of responses give the latency to expect. The mean age
+        of the attempts must be high as well, since a burst on idle workers has many in flight before the first
+        response. Attempts at stalled workers don't count, and one attempt at each worker (three of all gateways
+        together) is always allowed, since with none in flight the measured rate would fall to zero. All classes
+        have one threshold, by the shortest objective: with thresholds of their own, the class with the longest
+        objective would take all capacity.
+
+        It detects overload that timeouts report too late: slowdowns of all workers, lost capacity, floods and
+        retries. Trade-off: requests that take long by nature look like a backlog where objectives are tight.
         """
-        self._fade(now)
+        self._decay_throughput(now)
         if self.has_few_samples():
-            return self._slow_all_over(now) / (1 + room) > self._random.random()
-        pool = self._pool(now)
-        queued = [self._queued(now, w) for w in pool]
-        out = sum(map(len, queued))
-        done = self._done * min(1.0, LOOK / max(1, self.subset.size))  # of those that were looked at
-        if out <= len(pool) * min(1.0, TOGETHER / self._s.gateways):
+            return self._rejection_probability(now) / (1 + headroom) > self._random.random()
+        candidates = self._candidates(now)
+        send_times = [self._outstanding_send_times(now, worker) for worker in candidates]
+        in_flight = sum(map(len, send_times))
+        responses = self._done * min(1.0, SAMPLE_SIZE / max(1, self.subset.size))  # of the sampled workers
+        if in_flight <= len(candidates) * min(1.0, MIN_FLEET_ATTEMPTS_PER_WORKER / self._settings.gateways):
             return False
-        age = now - sum(map(sum, queued)) / out
-        return age > OLD_SHARE * self._aim and out > part * LATE_SHARE * self._aim * done / RECENT
+        mean_age = now - sum(map(sum, send_times)) / in_flight
+        return (
+            mean_age > OLD_SHARE * self._shortest_latency_objective
+            and in_flight
+            > threshold_factor
+            * MAX_EXPECTED_LATENCY_SHARE
+            * self._shortest_latency_objective
+            * responses
+            / THROUGHPUT_WINDOW_SECONDS
+        )
 
     def has_few_samples(self) -> bool:
-        """Whether too little is out and answered to measure a queue by."""
-        return len(self._waiting) + self._done < (KEEPS_ENOUGH if self.subset.is_partial else ENOUGH)
+        """Return whether too few attempts are in flight or were answered lately to estimate a queue."""
+        return len(self._waiting) + self._done < (MIN_SAMPLES_IN_SUBSET if self.subset.is_partial else MIN_SAMPLES)
+
+    def _rejection_probability(self, now: float) -> float:
+        """Return the share of requests to reject by the recent latencies of all workers together.
 
-    def _slow_all_over(self, now: float) -> float:
-        """The share to refuse, with too few out for Little's law: what the last answers say, pooled."""
-        waiting = [(sent, aim) for sent, aim, w in self._waiting.values() if not self._gone(now, w, sent)]
-        return self.recent.pressed(now, waiting, self._aim, self._answers < ENOUGH, self.subset.is_partial)
+        It replaces Little's law while there are few samples. 0 or less rejects none, 1 or more rejects all.
+        """
+        waiting = [
+            (sent_at, aim)
+            for sent_at, aim, worker in self._waiting.values()
+            if not self._is_probably_lost(now, worker, sent_at)
+        ]
+        return self.recent.pressed(
+            now, waiting, self._shortest_latency_objective, self._answers < MIN_SAMPLES, self.subset.is_partial
+        )
 
     def pick(
         self,
         now: float,
         klass: interface.RequestClass,
-        tried: set[str],
+        tried_workers: set[str],
         zone: str | None = None,
         cell: int | None = None,
     ) -> str | None:
-        """The worker with the least expected wait, or None.
+        """Return the name of the worker with the shortest expected wait, or None if none may be sent to.
 
-        A gateway among many meets each worker too seldom to know any, and all at once would agree on the
-        same favourite: so it keeps to a few of its own, which it meets often (subsetting).
+        `zone` and `cell` restrict the choice. With many gateways, one that used all workers would send to each too
+        seldom to learn its latency, and all would prefer the same worker at once. So each gateway uses a subset of
+        its own (`micagate/worker_subset.py`).
         """
-        if self.restored_at and zone is None and cell is None and (name := self._back(now, tried)):
+        if self.restored_at and zone is None and cell is None and (name := self._pick_restored(now, tried_workers)):
             return name
-        for look in range(LOOKS):
-            if look or zone is not None or cell is not None:
-                pool = self._well(now, self._look(self.usable_count, zone, cell))
-                if self.subset.is_partial:  # the room of cold ones is counted by arcs
-                    pool = [w for w in pool if self.warm_up_factor(now, w) is None]
+        for attempt in range(MAX_SAMPLES):
+            if attempt or zone is not None or cell is not None:
+                candidates = self._prefer_healthy(now, self._sample(self.usable_count, zone, cell))
+                if self.subset.is_partial:  # limits in slow start hold within subsets only
+                    candidates = [worker for worker in candidates if self.warm_up_factor(now, worker) is None]
             else:
-                pool = self._pool(now)
-            fit = [w for w in pool if w.entry.worker not in tried and self._has_room(now, w)]
-            if fit:
-                return self._best(now, klass, fit)
+                candidates = self._candidates(now)
+            eligible = [
+                worker
+                for worker in candidates
+                if worker.entry.worker not in tried_workers and self._has_room(now, worker)
+            ]
+            if eligible:
+                return self._pick_best(now, klass, eligible)
         return None
 
-    def _back(self, now: float, tried: set[str]) -> str | None:
-        """A worker that operators have put back and that is owed its first request; None where none is.
+    def _pick_restored(self, now: float, tried_workers: set[str]) -> str | None:
+        """Return a worker that was put back in service and has not responded since; None if there is none to use.
 
-        Guards against one that stands unused among many, or under control, since others look better. One
-        request at a time, by the cold guard's room, and after `OWED` without.
+        Such a worker could stay unused in a large fleet or during overload, since others look better. It gets one
+        request at a time, within its slow-start limit, and after `RESTORED_WORKER_MAX_WAIT_SECONDS` beyond it.
         """
-        for name, since in list(self.restored_at.items()):
+        for name, restored_at in list(self.restored_at.items()):
             worker = self.workers.get(name)
-            if worker is None or not worker.usable or now - since > 10 * OWED:
+            if worker is None or not worker.usable or now - restored_at > 10 * RESTORED_WORKER_MAX_WAIT_SECONDS:
                 del self.restored_at[name]
             elif (
-                name not in tried
-                and not self._queued(now, worker)
-                and self._healthy(now, worker)
-                and (self._has_room(now, worker) or now - since > OWED)
+                name not in tried_workers
+                and not self._outstanding_send_times(now, worker)
+                and self._is_healthy(now, worker)
+                and (self._has_room(now, worker) or now - restored_at > RESTORED_WORKER_MAX_WAIT_SECONDS)
             ):
                 return name
         return None
 
-    def _best(self, now: float, klass: interface.RequestClass, fit: list[Worker]) -> str:
-        """The worker with the least expected wait.
+    def _pick_best(self, now: float, klass: interface.RequestClass, eligible: list[Worker]) -> str:
+        """Return the name of the worker with the shortest expected wait.
 
-        To a wait belongs what a lost answer would cost: until it is missed where the request may be repeated,
-        the whole aim where it may not. Guards against ways and workers that lose requests or answers, of
-        whatever cause: what may be repeated goes there first, and all of it where the others are busy. Harm:
-        a few losses by chance make the load uneven for seconds.
+        The wait includes the cost of a lost response: the time until it is noticed if the request may be sent
+        again, the whole latency objective if not. So a worker or network path that loses requests or responses gets
+        mainly requests that may be sent again, and all kinds only while the other workers are busy. Trade-off: a
+        few random losses make the load uneven for seconds.
         """
-        once = klass.effect == interface.SIDE_EFFECT
-        lost = max(STALL, klass.aim / max(self.usual_latency(klass), 1e-6)) if once else STALL
-        waits = self._paced(now, klass, fit) if self._shares.worker_capacities else None
-        waits = waits or [self._slow(now, w) * (1 + len(self._queued(now, w))) * self._far(w) for w in fit]
+        must_run_once = klass.effect == interface.SIDE_EFFECT
+        loss_cost = max(STALL, klass.aim / max(self.usual_latency(klass), 1e-6)) if must_run_once else STALL
+        waits = self._paced(now, klass, eligible) if self._shares.worker_capacities else None
+        waits = waits or [
+            self._effective_latency(now, worker)
+            * (1 + len(self._outstanding_send_times(now, worker)))
+            * self._zone_factor(worker)
+            for worker in eligible
+        ]
         return min(
-            zip(waits, fit, strict=True),
-            key=lambda each: (each[0] + lost * each[1].loss_rate(now, klass.name))
+            zip(waits, eligible, strict=True),
+            key=lambda choice: (choice[0] + loss_cost * choice[1].loss_rate(now, klass.name))
             * (1.0 + 0.1 * self._random.random()),
         )[1].entry.worker
 
-    def _far(self, worker: Worker) -> float:
-        """What a wait elsewhere counts for next to one in the own zone."""
-        return 1.0 if worker.entry.zone == self._s.zone else FAR
+    def _zone_factor(self, worker: Worker) -> float:
+        """Return the factor of a worker's expected wait: above 1 in another zone."""
+        return 1.0 if worker.entry.zone == self._settings.zone else REMOTE_ZONE_PENALTY
 
-    def _paced(self, now: float, klass: interface.RequestClass, fit: list[Worker]) -> list[float] | None:
-        """The expected wait at each worker, over the usual answer time, by this gateway's part of its pace.
+    def _paced(self, now: float, klass: interface.RequestClass, eligible: list[Worker]) -> list[float] | None:
+        """Return the expected wait at each worker, over the usual latency, by its capacity as planners report it.
 
-        None unless the paces of all are known. What is out here over the part of the pace is the time that it
-        takes (Little), and all gateways' parts of a worker add up to one of it: so each sends in proportion
-        to what the workers can do, and knows what others use by what is left to it. Guards against many
-        gateways of which each learns late which workers are slow or small. Harm: answer times that differ
-        with no queue count for nothing.
+        None unless the capacity of every worker is known. By Little's law, the attempts in flight over this
+        gateway's share of the capacity give the wait, and the shares of all gateways add up to the capacity. So
+        each gateway sends in proportion to the capacities, and its share accounts for the use by others. Without
+        it, each of many gateways learns late which workers are slow or small. Trade-off: differences of latency
+        that no queue causes have no influence.
         """
         waits = []
-        for worker in fit:
+        for worker in eligible:
             key = worker_key(worker.entry.worker)
-            if not (pace := self._shares.worker_capacity(now, key)):
+            if not (capacity := self._shares.worker_capacity(now, key)):
                 return None
-            over, _ = self._shares.divisors(now, key, self._s.gateways)
-            out = 1.0 / self._s.gateways + len(self._queued(now, worker))
-            waits.append(self._far(worker) * out * over / pace / max(self.usual_latency(klass), 1e-6))
+            divisor, _ = self._shares.divisors(now, key, self._settings.gateways)
+            in_flight = 1.0 / self._settings.gateways + len(self._outstanding_send_times(now, worker))
+            waits.append(
+                self._zone_factor(worker) * in_flight * divisor / capacity / max(self.usual_latency(klass), 1e-6)
+            )
         return waits
 
     def record_no_response(self, now: float, name: str, klass: interface.RequestClass, lost: bool = True) -> None:
-        """An attempt at a worker goes without an answer, or has one.
+        """Record that a worker did not answer an attempt, or, with `lost` false, that it did.
 
-        Kept by class, since a worker may serve one well and lose another.
+        Loss is tracked by class, since a worker may serve one class well and lose another.
         """
         worker = self.workers.get(name)
         if worker is not None and (lost or klass.name in worker.loss_rates):
-            worker.record_loss(now, klass.name, lost, LEARN)
+            worker.record_loss(now, klass.name, lost, LEARNING_RATE)
 
     def record_sent(self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass) -> None:
-        """An attempt has gone to a worker."""
-        worker, self._pooled = self.workers[name], None
+        """Record that an attempt was sent to a worker."""
+        worker, self._cached_candidates = self.workers[name], None
         if self.workload is not None:
-            self.workload.sent(now, name, len(worker.in_flight))
+            self.workload.record_sent(now, name, len(worker.in_flight))
         worker.in_flight[key] = now
         self._waiting[key] = (now, klass.aim, worker)
         if worker.next_turn_at is not None:
             worker.next_turn_at = now + worker.turn_interval * (0.5 + self._random.random())
 
     def record_overdue(self, now: float, key: tuple[str, int]) -> None:
-        """An attempt is past its aim: it has told of its lateness, and may be lost rather than waiting."""
-        self._pooled = None
-        if (waited := self._waiting.pop(key, None)) is not None:
-            self.recent.missed(now, waited[1])
+        """Record that an attempt is past its latency objective: it may be lost and no longer counts as load."""
+        self._cached_candidates = None
+        if (waiting := self._waiting.pop(key, None)) is not None:
+            self.recent.missed(now, waiting[1])
 
     def record_response_start(self, now: float, name: str, key: tuple[str, int]) -> None:
-        """An answer has begun: the worker lives, and what follows is no wait for it."""
-        self._pooled = None
-        waited = self._waiting.pop(key, None)
-        if waited is not None and key in waited[2].in_flight:
-            waited[2].last_response_at, waited[2].latest_answered_sent_at = (
+        """Record that a response has begun: the worker is alive, and the attempt waits in its queue no longer."""
+        self._cached_candidates = None
+        waiting = self._waiting.pop(key, None)
+        if waiting is not None and key in waiting[2].in_flight:
+            waiting[2].last_response_at, waiting[2].latest_answered_sent_at = (
                 now,
-                max(waited[2].latest_answered_sent_at, waited[0]),
+                max(waiting[2].latest_answered_sent_at, waiting[0]),
             )
 
-    def has_answered_later(self, name: str, sent: float) -> bool:
-        """Whether the worker has answered something that was sent to it later."""
-        return (worker := self.workers.get(name)) is not None and sent <= worker.latest_answered_sent_at
+    def has_answered_later(self, name: str, sent_at: float) -> bool:
+        """Return whether a worker has answered an attempt that was sent at `sent_at` or later."""
+        return (worker := self.workers.get(name)) is not None and sent_at <= worker.latest_answered_sent_at
 
     def loses_class(self, now: float, name: str, klass: interface.RequestClass) -> bool:
-        """Whether a worker goes on losing much of a class where another loses little.
+        """Return whether a worker loses much of a class while another loses little.
 
-        Its silence then tells of lost answers, not of load. Guards against lossy ways and half-dead workers,
-        whose silence pressed the whole fleet's rate down and took the second chance from what they lost.
-        Harm: a worker that drowns alone is no longer heard by its silence, only by what it answers late or
-        turns away.
+        Its timeouts then indicate lost responses, not load. Otherwise a lossy network path or a half-dead worker
+        would lower the rate of the whole fleet, and the throttle would reject the retries of the lost requests.
+        Trade-off: a single overloaded worker is no longer detected by timeouts, only by late responses and by
+        rejections.
         """
         if (worker := self.workers.get(name)) is None:
             return False
-        least = min((w.loss_rate(now, klass.name) for w in self._look(self.usable_count)), default=0.0)
-        return worker.loss_rate(now, klass.name) > max(LOSSY, LOSSIER * least)
+        lowest_loss_rate = min(
+            (other.loss_rate(now, klass.name) for other in self._sample(self.usable_count)), default=0.0
+        )
+        return worker.loss_rate(now, klass.name) > max(MIN_LOSS_RATE, MIN_LOSS_RATIO * lowest_loss_rate)
 
     def record_outcome(
-        self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass, status: str, took: float
+        self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass, status: str, latency: float
     ) -> None:
-        """An attempt's outcome, whatever became of its request."""
+        """Record the outcome of an attempt; `latency` in seconds. Also called for attempts whose request has ended."""
         self._waiting.pop(key, None)
-        self._pooled = None
+        self._cached_candidates = None
         worker = self.workers.get(name)
-        sent = worker.in_flight.pop(key, None) if worker is not None else None
-        if worker is None or sent is None:
+        sent_at = worker.in_flight.pop(key, None) if worker is not None else None
+        if worker is None or sent_at is None:
             return
         if not worker.usable:
             self._leave(worker)
         if self.workload is not None:
-            self.workload.ended(
-                now, name, len(worker.in_flight) + 1, klass.name, self.usual_latency(klass), status, took
+            self.workload.record_ended(
+                now, name, len(worker.in_flight) + 1, klass.name, self.usual_latency(klass), status, latency
             )
         if status == interface.OVERLOADED and self.subset.is_partial:
             worker.record_overload(now)
         if status in (interface.TIMED_OUT, interface.OVERLOADED, interface.UNREACHABLE):
-            worker.held_slots_until.append(now + self._s.fall_time)
+            worker.held_slots_until.append(now + self._settings.fall_time)
         if status in (interface.CANCELLED, interface.NOT_SENT):
             return
         if status != interface.UNREACHABLE:
             self.restored_at.pop(name, None)
         if status in (interface.SUCCESS, interface.OVERLOADED, interface.FAILURE, interface.MALFORMED_RESPONSE):
-            worker.last_response_at, worker.latest_answered_sent_at = now, max(worker.latest_answered_sent_at, sent)
+            worker.last_response_at, worker.latest_answered_sent_at = now, max(worker.latest_answered_sent_at, sent_at)
             self.record_no_response(now, name, klass, lost=False)
         elif status == interface.CONNECTION_RESET:
             self.record_no_response(now, name, klass)
         if status == interface.SUCCESS:
-            self._fade(now)
+            self._decay_throughput(now)
             self._done += 1
-            usual = self._usual.setdefault(klass.name, took)
-            self.recent.answered(now, took, klass.aim)
+            usual_latency = self._usual.setdefault(klass.name, latency)
+            self.recent.answered(now, latency, klass.aim)
             worker.relative_latency = worker.slowness(now)
             worker.response_count += 1
-            learn = max(LEARN, 1 / (1 + worker.response_count)) if self.subset.is_partial else LEARN  # it is met seldom
-            worker.relative_latency += learn * (min(10.0, took / max(usual, 1e-6)) - worker.relative_latency)
+            # In a subset the first few responses weigh more, since each worker gets few requests.
+            learning_rate = (
+                max(LEARNING_RATE, 1 / (1 + worker.response_count)) if self.subset.is_partial else LEARNING_RATE
+            )
+            worker.relative_latency += learning_rate * (
+                min(10.0, latency / max(usual_latency, 1e-6)) - worker.relative_latency
+            )
             worker.latency_updated_at, worker.consecutive_failures, worker.consecutive_overloads = now, 0, 0
-            self._usual[klass.name] = usual + LEARN / 3 * (took - usual)
+            self._usual[klass.name] = usual_latency + LEARNING_RATE / 3 * (latency - usual_latency)
             self._answers += 1
-            if self._answers >= ENOUGH:
+            if self._answers >= MIN_SAMPLES:
                 self.shortest_usual_latency = min(self.shortest_usual_latency, max(self._usual.values()))
-        elif status not in (
-            interface.OVERLOADED,
-            interface.MALFORMED_RESPONSE,
-        ):  # answers spoilt by chance tell nothing of a worker's health
-            # Errors that come at once draw ever more; who meets a worker seldom sees too few in a row.
-            sudden = (
+        elif status not in (interface.OVERLOADED, interface.MALFORMED_RESPONSE):  # neither says that it is unhealthy
+            # A worker that fails fast looks idle and attracts more requests, so it backs off at once. A gateway with
+            # a subset sends to each worker too seldom to wait for several failures in a row.
+            immediate = (
                 status in (interface.UNREACHABLE, interface.CONNECTION_RESET)
                 or self.subset.is_partial
                 and status == interface.FAILURE
             )
-            worker.record_failure(now, sudden, self.subset.is_partial)
+            worker.record_failure(now, immediate, self.subset.is_partial)
--- a/micagate/settings_keys.py
+++ b/micagate/settings_keys.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
+class SettingKey:
     """One setting. `follows`: the decision that follows it, or, where `used` is false, why none does.
 
     `needed`: the decisions have no default for it. What the process alone follows is asked for where it is read.
@@ -26,12 +26,12 @@
     kind: str  # number, whole, flag or text; empty where nothing follows it, since then any value will do
     follows: str
     used: bool = True
-    needed: bool = True
-    least: float = 0.0
-    most: float = math.inf
-    among: tuple[str, ...] = ()
+    required: bool = True
+    minimum: float = 0.0
+    maximum: float = math.inf
+    choices: tuple[str, ...] = ()
 
-    def wrong(self, value: Any) -> str:
+    def problem(self, value: Any) -> str:
         """What is wrong with a value; empty where nothing is."""
         match self.kind:
             case "flag":
@@ -39,91 +39,95 @@
             case "text":
                 if not isinstance(value, str):
                     return "must be text"
-                return f"must be one of {', '.join(self.among)}" if self.among and value not in self.among else ""
+                return f"must be one of {', '.join(self.choices)}" if self.choices and value not in self.choices else ""
         if isinstance(value, bool) or not isinstance(value, int if self.kind == "whole" else int | float):
             return f"must be a {'whole ' if self.kind == 'whole' else ''}number"
-        if not (math.isfinite(value) and self.least <= value <= self.most):
-            return f"must be from {self.least:g}" + ("" if self.most == math.inf else f" to {self.most:g}")
+        if not (math.isfinite(value) and self.minimum <= value <= self.maximum):
+            return f"must be from {self.minimum:g}" + ("" if self.maximum == math.inf else f" to {self.maximum:g}")
         return ""
 
 
-def _left(why: str) -> Fact:
-    return Fact("", why, used=False, needed=False)
-
-
-NO_PEERS = "gateways don't talk to each other"
-NO_SCORE = "decisions go by aims, worth, quotas and rules, not by what is taken off a result"
-
-FACTS: Mapping[str, Fact] = {
-    "Caps.Cancel": Fact("flag", "a hedge may call an attempt off; what others ended is called off"),
-    "Caps.ConnectTimeoutUs": Fact("number", "when a connection that does not come up is given up", needed=False),
-    "Caps.CpuUsPerRequest": _left("bounds the process, not its decisions"),
-    "Caps.CpuUsPerS": _left("bounds the process, not its decisions"),
-    "Caps.IdleCloseUs": Fact("number", "how long an idle connection is used again", needed=False),
-    "Caps.MaxAttempts": Fact("whole", "further attempts, hedges", least=1),
-    "Caps.MaxOpen": _left("what is beyond it never comes here"),
-    "Caps.MaxRetryAfterUs": Fact("number", "the longest wait that a refusal advises"),
-    "Caps.MaxStreams": _left("a connection carries one request at a time"),
-    "Caps.PeerMessages": _left(NO_PEERS),
-    "Caps.Probes": _left("answers tell of health; nothing is probed"),
-    "Caps.RetryAfter": Fact("flag", "whether refusals advise a wait"),
-    "Caps.SecondCopies": Fact("flag", "a hedge may be a second attempt beside the first"),
-    "Classes[].AimStretch": _left("the aim is taken unstretched, which is the earlier one"),
-    "Classes[].DeadlineUs": Fact("number", "when a request ends"),
-    "Classes[].Effect": Fact("text", "whether a further attempt may go", among=interface.EFFECTS),
-    "Classes[].Group": Fact("text", "where a further attempt of a token may go", among=interface.GROUPS),
-    "Classes[].Importance": Fact(
-        "number", "under pressure: where the bucket is full, from when on one is late", needed=False
+def _unused(reason: str) -> SettingKey:
+    return SettingKey("", reason, used=False, required=False)
+
+
+NO_PEER_MESSAGES = "gateways don't talk to each other"
+NO_TARIFFS = "decisions go by aims, worth, quotas and rules, not by what is taken off a result"
+
+FACTS: Mapping[str, SettingKey] = {
+    "Caps.Cancel": SettingKey("flag", "a hedge may call an attempt off; what others ended is called off"),
+    "Caps.ConnectTimeoutUs": SettingKey(
+        "number", "when a connection that does not come up is given up", required=False
+    ),
+    "Caps.CpuUsPerRequest": _unused("bounds the process, not its decisions"),
+    "Caps.CpuUsPerS": _unused("bounds the process, not its decisions"),
+    "Caps.IdleCloseUs": SettingKey("number", "how long an idle connection is used again", required=False),
+    "Caps.MaxAttempts": SettingKey("whole", "further attempts, hedges", minimum=1),
+    "Caps.MaxOpen": _unused("what is beyond it never comes here"),
+    "Caps.MaxRetryAfterUs": SettingKey("number", "the longest wait that a refusal advises"),
+    "Caps.MaxStreams": _unused("a connection carries one request at a time"),
+    "Caps.PeerMessages": _unused(NO_PEER_MESSAGES),
+    "Caps.Probes": _unused("answers tell of health; nothing is probed"),
+    "Caps.RetryAfter": SettingKey("flag", "whether refusals advise a wait"),
+    "Caps.SecondCopies": SettingKey("flag", "a hedge may be a second attempt beside the first"),
+    "Classes[].AimStretch": _unused("the aim is taken unstretched, which is the earlier one"),
+    "Classes[].DeadlineUs": SettingKey("number", "when a request ends"),
+    "Classes[].Effect": SettingKey("text", "whether a further attempt may go", choices=interface.EFFECTS),
+    "Classes[].Group": SettingKey("text", "where a further attempt of a token may go", choices=interface.GROUPS),
+    "Classes[].Importance": SettingKey(
+        "number", "under pressure: where the bucket is full, from when on one is late", required=False
+    ),
+    "Classes[].LateWorth": SettingKey("number", "0: tries that come past the aim are refused"),
+    "Classes[].Name": SettingKey("text", "the class that a request names"),
+    "Classes[].SloUs": SettingKey("number", "the aim: signals, latecomers, hedges"),
+    "Classes[].Streaming": SettingKey("flag", "whether answers are streams"),
+    "Classes[].WindowUs": SettingKey("number", "how long a token may be sent again"),
+    "Clients.MarksRetry": _unused("each request's own mark is read"),
+    "Dcs": _unused("zones are read from the list of workers"),
+    "Discovery": SettingKey("text", "whether the list must be asked for", choices=("pushed", "on_request")),
+    "FamilyInfo.CountFee": _unused("what the counter bears bounds the calls, below what they cost"),
+    "FamilyInfo.CountLimitUs": SettingKey("number", "how long a try waits for its count", required=False),
+    "FamilyInfo.InboxPerS": _unused(NO_PEER_MESSAGES),
+    "FamilyInfo.MeterUs": SettingKey("number", "periods of the estimate of whole stores, smoothing; 0: parts alone"),
+    "FamilyInfo.PostPaid": _unused("an answer's own units are read where it has some"),
+    "FamilyInfo.SharedCounter": SettingKey("flag", "whether slivers of quotas are counted", required=False),
+    "FamilyInfo.UnitsTop": SettingKey("number", "requests of more units are turned down", required=False),
+    "Goal.Whole": _unused(NO_TARIFFS),
+    "Goal.WorstClass": _unused(NO_TARIFFS),
+    "Goal.WorstTenant": _unused(NO_TARIFFS),
+    "Goal.WorstWindow": _unused(NO_TARIFFS),
+    "Index": SettingKey("whole", "the gateway's place among the others: its arc of the ring", required=False),
+    "Kinds": _unused("what a worker can do is learned from its answers"),
+    "Layer": _unused("there is one tier"),
+    "MyZone": SettingKey("text", "workers of the own zone are preferred"),
+    "NInstances": SettingKey("whole", "parts of the cold guard, arcs, latecomers", minimum=1),
+    "Plans[].AtOnce": SettingKey("number", "places at once, by parts and by what others may have out"),
+    "Plans[].BeyondEarns": SettingKey("number", "beyond the quota only where that pays"),
+    "Plans[].CapDepth": SettingKey("number", "the ceiling's store"),
+    "Plans[].CapSlack": SettingKey("number", "how far the ceiling may be passed"),
+    "Plans[].ExcessCost": SettingKey("number", "how sure a part must be to run ahead"),
+    "Plans[].HardRate": SettingKey("number", "the ceiling's rate"),
+    "Plans[].MostAtOnce": SettingKey("number", "the quota's store"),
+    "Plans[].Name": SettingKey("text", "the plan that a request names"),
+    "Plans[].Price": SettingKey("number", "whose quotas are counted first", required=False),
+    "Plans[].Refill": SettingKey("number", "the quota's rate"),
+    "Report.Fields": _unused("load reports change no decision: they are older than most queues"),
+    "Report.How": _unused("load reports change no decision: they are older than most queues"),
+    "Rules.AskWithinUs": _unused("where the list must be asked for, it is subscribed to from the start"),
+    "Rules.ColdFrom": SettingKey("number", "what a worker can do right after its start", maximum=1.0),
+    "Rules.DrainGraceUs": SettingKey(
+        "number", "how long after news of a drain written requests may go out", required=False
     ),
-    "Classes[].LateWorth": Fact("number", "0: tries that come past the aim are refused"),
-    "Classes[].Name": Fact("text", "the class that a request names"),
-    "Classes[].SloUs": Fact("number", "the aim: signals, latecomers, hedges"),
-    "Classes[].Streaming": Fact("flag", "whether answers are streams"),
-    "Classes[].WindowUs": Fact("number", "how long a token may be sent again"),
-    "Clients.MarksRetry": _left("each request's own mark is read"),
-    "Dcs": _left("zones are read from the list of workers"),
-    "Discovery": Fact("text", "whether the list must be asked for", among=("pushed", "on_request")),
-    "FamilyInfo.CountFee": _left("what the counter bears bounds the calls, below what they cost"),
-    "FamilyInfo.CountLimitUs": Fact("number", "how long a try waits for its count", needed=False),
-    "FamilyInfo.InboxPerS": _left(NO_PEERS),
-    "FamilyInfo.MeterUs": Fact("number", "periods of the estimate of whole stores, smoothing; 0: parts alone"),
-    "FamilyInfo.PostPaid": _left("an answer's own units are read where it has some"),
-    "FamilyInfo.SharedCounter": Fact("flag", "whether slivers of quotas are counted", needed=False),
-    "FamilyInfo.UnitsTop": Fact("number", "requests of more units are turned down", needed=False),
-    "Goal.Whole": _left(NO_SCORE),
-    "Goal.WorstClass": _left(NO_SCORE),
-    "Goal.WorstTenant": _left(NO_SCORE),
-    "Goal.WorstWindow": _left(NO_SCORE),
-    "Index": Fact("whole", "the gateway's place among the others: its arc of the ring", needed=False),
-    "Kinds": _left("what a worker can do is learned from its answers"),
-    "Layer": _left("there is one tier"),
-    "MyZone": Fact("text", "workers of the own zone are preferred"),
-    "NInstances": Fact("whole", "parts of the cold guard, arcs, latecomers", least=1),
-    "Plans[].AtOnce": Fact("number", "places at once, by parts and by what others may have out"),
-    "Plans[].BeyondEarns": Fact("number", "beyond the quota only where that pays"),
-    "Plans[].CapDepth": Fact("number", "the ceiling's store"),
-    "Plans[].CapSlack": Fact("number", "how far the ceiling may be passed"),
-    "Plans[].ExcessCost": Fact("number", "how sure a part must be to run ahead"),
-    "Plans[].HardRate": Fact("number", "the ceiling's rate"),
-    "Plans[].MostAtOnce": Fact("number", "the quota's store"),
-    "Plans[].Name": Fact("text", "the plan that a request names"),
-    "Plans[].Price": Fact("number", "whose quotas are counted first", needed=False),
-    "Plans[].Refill": Fact("number", "the quota's rate"),
-    "Report.Fields": _left("load reports change no decision: they are older than most queues"),
-    "Report.How": _left("load reports change no decision: they are older than most queues"),
-    "Rules.AskWithinUs": _left("where the list must be asked for, it is subscribed to from the start"),
-    "Rules.ColdFrom": Fact("number", "what a worker can do right after its start", most=1.0),
-    "Rules.DrainGraceUs": Fact("number", "how long after news of a drain written requests may go out", needed=False),
-    "Rules.FallUs": Fact("number", "the cold guard's span"),
-    "Rules.GraceToAnswerUs": _left("requests end before their clients' time does"),
-    "Rules.OverloadFactor": Fact("number", "what a cold worker bears", least=1.0),
-    "Rules.RampTimeUs": Fact("number", "how long a worker counts as cold"),
-    "TickUs": Fact("number", "how long before its time a request is ended"),
-    "Tiers": _left("there is one tier"),
-    "WeightKind": _left("sizes are read next to the mean of their list, whatever they mean"),
-    "Workload": _left("a name"),
+    "Rules.FallUs": SettingKey("number", "the cold guard's span"),
+    "Rules.GraceToAnswerUs": _unused("requests end before their clients' time does"),
+    "Rules.OverloadFactor": SettingKey("number", "what a cold worker bears", minimum=1.0),
+    "Rules.RampTimeUs": SettingKey("number", "how long a worker counts as cold"),
+    "TickUs": SettingKey("number", "how long before its time a request is ended"),
+    "Tiers": _unused("there is one tier"),
+    "WeightKind": _unused("sizes are read next to the mean of their list, whatever they mean"),
+    "Workload": _unused("a name"),
     **{
-        f"Tariffs.{name}": _left(NO_SCORE)
+        f"Tariffs.{name}": _unused(NO_TARIFFS)
         for name in (
             "Connection",
             "CrossZone",
@@ -140,36 +144,38 @@
 }
 
 
-LISTS = tuple(dict.fromkeys(key.partition("[].")[0] for key in FACTS if "[]." in key))
+LIST_KEYS = tuple(dict.fromkeys(key.partition("[].")[0] for key in FACTS if "[]." in key))
 
 
-def stated(facts: Mapping[str, Any], under: str = "") -> Iterator[tuple[str, str, Any]]:
+def stated(settings: Mapping[str, Any], prefix: str = "") -> Iterator[tuple[str, str, Any]]:
     """What is stated: the key as it stands in `FACTS`, where it stands, and its value."""
-    for name, value in facts.items():
-        key = f"{under}{name}"
+    for name, value in settings.items():
+        key = f"{prefix}{name}"
         if isinstance(value, Mapping):
-            yield from ((known, f"{name}.{where}", inner) for known, where, inner in stated(value, f"{key}."))
-        elif isinstance(value, list) and value and all(isinstance(each, Mapping) for each in value):
-            for n, each in enumerate(value):
-                yield from ((known, f"{name}[{n}].{where}", inner) for known, where, inner in stated(each, f"{key}[]."))
+            yield from ((key, f"{name}.{path}", leaf) for key, path, leaf in stated(value, f"{key}."))
+        elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
+            for index, item in enumerate(value):
+                yield from ((key, f"{name}[{index}].{path}", leaf) for key, path, leaf in stated(item, f"{key}[]."))
         else:
             yield key, name, value
 
 
-def check(facts: Mapping[str, Any]) -> None:
+def check(settings: Mapping[str, Any]) -> None:
     """ValueError, naming the first key that is missing or whose value nothing could follow."""
-    for name in LISTS:
-        entries = facts.get(name, [])
-        if not isinstance(entries, list) or not all(isinstance(each, Mapping) for each in entries):
+    for name in LIST_KEYS:
+        entries = settings.get(name, [])
+        if not isinstance(entries, list) or not all(isinstance(item, Mapping) for item in entries):
             raise ValueError(f"{name}: must be a list of objects, not {entries!r}")
     seen: Counter[str] = Counter()
-    for key, where, value in stated(facts):
+    for key, path, value in stated(settings):
         seen[key] += 1
-        fact = FACTS.get(key)
-        if fact is not None and fact.used and (wrong := fact.wrong(value)):  # what nothing follows can't be wrong
-            raise ValueError(f"{where}: {wrong}, not {value!r}")
-    for key, fact in FACTS.items():
-        head, listed, _ = key.partition("[].")
-        there = len(facts.get(head, ())) if listed else 1
-        if fact.needed and seen[key] < there:
+        setting_key = FACTS.get(key)
+        if (
+            setting_key is not None and setting_key.used and (problem := setting_key.problem(value))
+        ):  # what nothing follows can't be wrong
+            raise ValueError(f"{path}: {problem}, not {value!r}")
+    for key, setting_key in FACTS.items():
+        head, separator, _ = key.partition("[].")
+        expected = len(settings.get(head, ())) if separator else 1
+        if setting_key.required and seen[key] < expected:
             raise ValueError(f"{key}: missing")
--- a/micagate/throttle.py
+++ b/micagate/throttle.py
@@ -1,147 +1,199 @@
-"""The leaky bucket under overload control, and the loop that drives overload signals to their target."""
+"""Limits the rate of admitted requests during overload, with a leaky bucket and a feedback loop.
+
+Rejections by workers, timeouts and late responses are overload signals. Once signals exceed their target rate, the
+throttle activates: a leaky bucket admits requests at the leak rate, and the loop adjusts that rate after each
+measurement period so that the signals meet the target. The algorithm follows BT's contribution C4-051699, "the paper"
+below.
+
+The base rate is the rate at which requests were admitted before activation, raised as traffic without signals grows.
+Rates are requests a second, times are seconds on the caller's clock.
+"""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 
-# (BT contribution C4-051699, "the paper"; "ours" where it gives no figure).
-PERIOD = 2.0  # seconds measured before an update of the leak rate (paper: 4)
-PAUSE = 0.5  # seconds ignored after it (paper: 1)
-MAX_FILL = 5.0  # the bucket's size and its fill at the start of control (paper)
-SPLASH = 1.0  # what a request let through adds (paper)
-SLOWEST, FASTEST = 0.1, 4.5  # leak rate's bounds over the rate before control (paper: 1 s, 22 ms over 0.1 s)
-TARGET_SHARE = 0.05  # target overload rate over the rate before control (paper: 1 of 11 a second)
-LEAST_SIGNALS = 3.0  # ... but never so low that so many in a period start control (ours: chance)
-MOST_DOWN, MOST_UP = 0.7, 1.25  # bounds of one step: signals of a backlog overstate the excess (ours)
-RISE = 0.4  # fixed rise when refusing without signals, over the rate before control (ours)
-QUIET = 10.0  # seconds without refusals or signals that end control (ours)
-SICK_SHARE = 3.0  # one worker in so many may signal all it can without starting control (ours)
-PLAN_SHARE = 2 / 3  # of the plans must signal before control starts (ours)
+# Brackets give the value in the paper (see above) where it differs. Constants that do not mention the paper are not
+# in it.
+MEASUREMENT_PERIOD_SECONDS = 2.0  # signals and requests are counted for this long before each update (paper: 4)
+SETTLING_SECONDS = 0.5  # ignored after each update, until its effect shows (paper: 1)
+BUCKET_CAPACITY = 5.0  # as in the paper, where the bucket is full at activation too
+REQUEST_COST = 1.0  # what an admitted request adds to the bucket level, as in the paper
+# Bounds of the leak rate, as multiples of the base rate. The paper bounds the interval between two requests to 1 s and
+# 22 ms, at a base of one in 0.1 s.
+MIN_LEAK_RATE_FACTOR, MAX_LEAK_RATE_FACTOR = 0.1, 4.5
+TARGET_SIGNAL_SHARE = 0.05  # target rate of overload signals, as a share of the base rate (paper: 1 in 11)
+# The target is at least this many signals in a measurement period, so that a few random ones don't activate it.
+MIN_SIGNALS_PER_PERIOD = 3.0
+# Bounds of the factor of one update: the signals of a backlog overstate the excess load.
+MIN_STEP_FACTOR, MAX_STEP_FACTOR = 0.7, 1.25
+# Fixed increase of the leak rate, as a share of the base rate, if requests were rejected and few signals came.
+RATE_INCREMENT_SHARE = 0.4
+DEACTIVATION_DELAY_SECONDS = 10.0  # without rejections or an excess of signals, before the throttle deactivates
+WORKERS_PER_UNHEALTHY_WORKER = 3.0  # all signals of one worker in this many are too few to activate the throttle
+MIN_PLAN_SHARE = 2 / 3  # share of the plans that must cause signals to activate the throttle
 
 
 class Throttle:
-    """The leaky bucket and the loop that drives overload signals to their target."""
+    """The leaky bucket, and the loop that adjusts its leak rate to the target rate of overload signals."""
 
-    def __init__(self, now: float, plans: int) -> None:
+    def __init__(self, now: float, plan_count: int) -> None:
         self.active = False
-        self.rate = self.base_rate = self.bucket_level = 0.0
-        self.worker_count, self.plan_count = 1, plans
-        self.min_signals = LEAST_SIGNALS
-        self.warm_share = 1.0  # the share of what warm workers do that the present ones can, as told
+        self.rate = self.base_rate = self.bucket_level = 0.0  # `rate` is the leak rate
+        self.worker_count, self.plan_count = 1, plan_count
+        self.min_signals = MIN_SIGNALS_PER_PERIOD
+        self.warm_up_factor = 1.0  # capacity of the present workers over that of warm ones
+        # In this order: the first request after a time without any, the last leak of the bucket, start and end of the
+        # measurement period, the last rejection or excess of signals, and the last update of the leak rate.
         self._born = self._leaked = self._since = self._due = self._quiet = self._changed = now
-        self._admits: deque[float] = deque()
-        self._refusals: deque[float] = deque()
-        self._signals: deque[tuple[float, str, str]] = deque()
+        self._admits: deque[float] = deque()  # times of the admitted requests
+        self._refusals: deque[float] = deque()  # times of the rejected requests
+        self._signals: deque[tuple[float, str, str]] = deque()  # time, worker and plan of each overload signal
 
-    def set_workers(self, workers: int, few: bool) -> None:
-        """How many workers signals may come from; `few`: the few of a large fleet that it keeps to.
+    def set_workers(self, worker_count: int, is_partial_subset: bool) -> None:
+        """Set the number of workers that signals may come from, which may be a subset of a large fleet.
 
-        Guards against control by chance where traffic is thin: one signal each of those that may be sick
-        would already be as many as start control.
+        With a subset and little traffic, one signal from each worker that may be unhealthy could reach the minimum
+        of signals and activate the throttle by chance, so the minimum is raised above that.
         """
-        self.worker_count = workers
-        self.min_signals = max(LEAST_SIGNALS, 1 + workers / SICK_SHARE) if few else LEAST_SIGNALS
-
-    def target_signal_rate(self, base: float) -> float:
-        """The target overload rate, signals a second."""
-        return max(self.min_signals / PERIOD, TARGET_SHARE * base)
-
-    def _measured(self, base: float) -> float:
-        """Signals of the window, none of a worker's or a plan's beyond its cap.
-
-        Guards against a few sick or cold workers, or one plan whose requests go wrong everywhere, strangling
-        the fleet: overload is felt all over. Harm: trouble confined to few workers or one plan is left to
-        `Fleet` and `Quotas`, and where one plan alone is in use of several the loop hears less.
+        self.worker_count = worker_count
+        self.min_signals = (
+            max(MIN_SIGNALS_PER_PERIOD, 1 + worker_count / WORKERS_PER_UNHEALTHY_WORKER)
+            if is_partial_subset
+            else MIN_SIGNALS_PER_PERIOD
+        )
+
+    def target_signal_rate(self, base_rate: float) -> float:
+        """Return the target rate of overload signals, in signals a second."""
+        return max(self.min_signals / MEASUREMENT_PERIOD_SECONDS, TARGET_SIGNAL_SHARE * base_rate)
+
+    def _count_capped_signals(self, base_rate: float) -> float:
+        """Return the number of signals in the window, with the signals of each worker and each plan capped.
+
+        Overload shows at all workers and plans. Without the caps, a few unhealthy workers or workers in slow start,
+        or one plan whose requests fail everywhere, would throttle the whole fleet. Trade-off: problems of few
+        workers or of one plan are left to `Fleet` and `Quotas`, and if only one of several plans is in use, the
+        loop counts fewer signals.
         """
-        whole = self.target_signal_rate(base) * PERIOD
+        target_count = self.target_signal_rate(base_rate) * MEASUREMENT_PERIOD_SECONDS
         totals = []
-        for place, number, share in ((1, self.worker_count, 1 / SICK_SHARE), (2, self.plan_count, PLAN_SHARE)):
+        for field, source_count, min_share in (
+            (1, self.worker_count, 1 / WORKERS_PER_UNHEALTHY_WORKER),
+            (2, self.plan_count, MIN_PLAN_SHARE),
+        ):
             counts: dict[str | float, int] = {}
             for signal in self._signals:
-                counts[signal[place]] = counts.get(signal[place], 0) + 1
-            # One alone is all there is: capped, it could start control but never press the rate down.
-            cap = max(1.0, whole / max(1.0, number * share)) if number > 1 else math.inf
+                counts[signal[field]] = counts.get(signal[field], 0) + 1
+            # A single worker or plan has no cap: with one, it could activate the throttle but never lower the rate.
+            cap = max(1.0, target_count / max(1.0, source_count * min_share)) if source_count > 1 else math.inf
             totals.append(sum(min(cap, count) for count in counts.values()))
         return min(totals)
 
-    def _prune(self, start: float) -> None:
+    def _discard_before(self, start: float) -> None:
+        """Discard the requests and signals before a time."""
         for times in (self._admits, self._refusals):
             while times and times[0] < start:
                 times.popleft()
         while self._signals and self._signals[0][0] < start:
             self._signals.popleft()
 
-    def record_signal(self, now: float, worker: str, plan: str, sent: float) -> None:
-        """An overload signal: a refusal as full, a time-out, latency past the aim.
+    def record_signal(self, now: float, worker: str, plan: str, sent_at: float) -> None:
+        """Record an overload signal: a rejection as overloaded, a timeout, or a latency above the objective.
 
-        Under control, what was sent before the last update tells nothing of the present leak rate: a backlog
-        would go on pressing the rate down long after it was cut enough.
+        While active, the throttle ignores signals of attempts sent before the last update, which say nothing about
+        the present leak rate: a backlog would lower it long after it was low enough.
         """
         self.advance(now)
-        if self.active and sent < self._changed:
+        if self.active and sent_at < self._changed:
             return
         self._signals.append((now, worker, plan))
         self.advance(now)
 
-    def activate_at(self, now: float, rate: float, warm: float) -> None:
-        """Begin under control, before workers cold together: `rate` is what they do once warm."""
-        self.active, self.base_rate, self.rate, self.warm_share, self.bucket_level = True, rate, rate * warm, warm, 0.0
+    def activate_at(self, now: float, rate: float, warm_up_factor: float) -> None:
+        """Activate at once, when all workers start together; `rate` is what they serve once warm."""
+        self.active, self.base_rate, self.rate, self.warm_up_factor, self.bucket_level = (
+            True,
+            rate,
+            rate * warm_up_factor,
+            warm_up_factor,
+            0.0,
+        )
         self._leaked = self._quiet = self._changed = now
-        self._begin(now + PAUSE)
+        self._start_measurement(now + SETTLING_SECONDS)
 
-    def update_warm_share(self, now: float, warm: float) -> None:
-        """The workers can do another share: so does the leak rate. Control by their cold ends with it."""
+    def update_warm_share(self, now: float, warm_up_factor: float) -> None:
+        """Scale the leak rate with the capacity of the present workers.
+
+        A throttle that was activated for slow start deactivates once they are warm, unless there are signals.
+        """
         if self.active:
-            self.rate *= warm / self.warm_share
-            self.active = warm < 1 or self.warm_share >= 1 or bool(self._signals)
-        self.warm_share = warm
+            self.rate *= warm_up_factor / self.warm_up_factor
+            self.active = warm_up_factor < 1 or self.warm_up_factor >= 1 or bool(self._signals)
+        self.warm_up_factor = warm_up_factor
 
     def advance(self, now: float) -> None:
-        """Start, update or end control as due."""
+        """Activate, update or deactivate the throttle if due. Every other method that needs the state calls it."""
         if not self.active:
-            self._prune(now - PERIOD)
-            span = max(0.1 * PERIOD, min(PERIOD, now - self._born))  # since requests come: else far too low
-            base = len(self._admits) / span
-            if self._signals and self._measured(base) >= self.target_signal_rate(base) * PERIOD:
-                self.active, self.base_rate, self.rate = True, max(base, 1.0 / PERIOD), max(base, 1.0 / PERIOD)
-                self.bucket_level, self._leaked, self._quiet, self._changed = MAX_FILL, now, now, now
-                self._begin(now)
+            self._discard_before(now - MEASUREMENT_PERIOD_SECONDS)
+            # Only the time since the first request counts: over a whole period the rate would be far too low.
+            elapsed = max(0.1 * MEASUREMENT_PERIOD_SECONDS, min(MEASUREMENT_PERIOD_SECONDS, now - self._born))
+            base_rate = len(self._admits) / elapsed
+            if (
+                self._signals
+                and self._count_capped_signals(base_rate)
+                >= self.target_signal_rate(base_rate) * MEASUREMENT_PERIOD_SECONDS
+            ):
+                self.active, self.base_rate, self.rate = (
+                    True,
+                    max(base_rate, 1.0 / MEASUREMENT_PERIOD_SECONDS),
+                    max(base_rate, 1.0 / MEASUREMENT_PERIOD_SECONDS),
+                )
+                self.bucket_level, self._leaked, self._quiet, self._changed = BUCKET_CAPACITY, now, now, now
+                self._start_measurement(now)
         elif now >= self._due:
-            span = now - self._since
-            self._prune(self._since)
-            measured = self._measured(self.base_rate) / span
-            if self._changed < self._born + PERIOD:  # control began with traffic: what is asked is the base
-                self.base_rate = max(self.base_rate, (len(self._admits) + len(self._refusals)) / span)
-            target = self.target_signal_rate(self.base_rate)
-            if 2 * measured > target:  # fewer are chance: they would hold a low rate down for long
-                rate = len(self._admits) / span * min(MOST_UP, max(MOST_DOWN, target / measured))
-            else:  # what went well is the base from now on: traffic may have grown since control began
-                self.base_rate = max(self.base_rate, len(self._admits) / span)
-                rate = self.rate + RISE * self.base_rate
-            if self._refusals or rate < self.rate:  # not raised while nothing is refused
-                self.rate = min(FASTEST * self.base_rate, max(SLOWEST * self.base_rate, rate))
-            if self._refusals or measured > self.target_signal_rate(self.base_rate):
+            elapsed = now - self._since
+            self._discard_before(self._since)
+            signal_rate = self._count_capped_signals(self.base_rate) / elapsed
+            # If the throttle activated as traffic began, few requests were admitted before: use the offered load.
+            if self._changed < self._born + MEASUREMENT_PERIOD_SECONDS:
+                self.base_rate = max(self.base_rate, (len(self._admits) + len(self._refusals)) / elapsed)
+            target_rate = self.target_signal_rate(self.base_rate)
+            if 2 * signal_rate > target_rate:  # fewer occur by chance, and would keep a low rate low for long
+                rate = (
+                    len(self._admits) / elapsed * min(MAX_STEP_FACTOR, max(MIN_STEP_FACTOR, target_rate / signal_rate))
+                )
+            else:  # the admitted rate is fine, so it becomes the base: traffic may have grown since activation
+                self.base_rate = max(self.base_rate, len(self._admits) / elapsed)
+                rate = self.rate + RATE_INCREMENT_SHARE * self.base_rate
+            if self._refusals or rate < self.rate:  # not raised unless requests were rejected
+                self.rate = min(MAX_LEAK_RATE_FACTOR * self.base_rate, max(MIN_LEAK_RATE_FACTOR * self.base_rate, rate))
+            if self._refusals or signal_rate > self.target_signal_rate(self.base_rate):
                 self._quiet = now
-            elif now - self._quiet >= QUIET:
+            elif now - self._quiet >= DEACTIVATION_DELAY_SECONDS:
                 self.active = False
             self._changed = now
-            self._begin(now + PAUSE)
+            self._start_measurement(now + SETTLING_SECONDS)
 
-    def _begin(self, now: float) -> None:
-        self._since, self._due = now, now + PERIOD
-        self._prune(now)
+    def _start_measurement(self, now: float) -> None:
+        """Start a measurement period, which may lie in the future."""
+        self._since, self._due = now, now + MEASUREMENT_PERIOD_SECONDS
+        self._discard_before(now)
 
-    def admit(self, now: float, part: float = 1.0) -> bool:
-        """Whether the bucket, full at this part of its size, lets a request through; counts it either way."""
+    def admit(self, now: float, capacity_share: float = 1.0) -> bool:
+        """Return whether to admit a request, and count it either way.
+
+        `capacity_share`, from 0 to 1, is the part of the bucket that the request may use: smaller for low-value
+        classes, which are rejected first.
+        """
         self.advance(now)
         if self.active:
             self.bucket_level = max(0.0, self.bucket_level - (now - self._leaked) * self.rate)
             self._leaked = now
-            if self.bucket_level + SPLASH > MAX_FILL * part:
+            if self.bucket_level + REQUEST_COST > BUCKET_CAPACITY * capacity_share:
                 self._refusals.append(now)
                 return False
-            self.bucket_level += SPLASH
+            self.bucket_level += REQUEST_COST
         elif not self._admits:
             self._born = now
         self._admits.append(now)
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -15,7 +15,7 @@
 
 # The written name of each class, which never changes. A field is written under its own name, or under that of its
 # metadata `WRITTEN`.
-_KINDS: dict[str, type[Any]] = {
+_CLASSES_BY_NAME: dict[str, type[Any]] = {
     "WorkerEntry": interface.WorkerEntry,
     "WorkerList": interface.WorkerList,
     "Request": interface.Request,
@@ -42,7 +42,9 @@
     "Pace": interface.WorkerCapacity,
     "Work": interface.WorkerLoad,
 }
-_NAMES = {kind: name for name, kind in _KINDS.items()} | {  # the last six are written, but not read back
+_NAMES_BY_CLASS = {
+    kind: name for name, kind in _CLASSES_BY_NAME.items()
+} | {  # the last six are written, but not read back
     interface.RequestComplete: "Whole",
     interface.StopRetrying: "Ending",
     interface.CounterAdd: "Count",
@@ -50,9 +52,9 @@
     interface.SetMaintenance: "Maintain",
     interface.MaintenanceResult: "Maintained",
 }
-_ATTRIBUTES = {
+_ATTRIBUTES_BY_CLASS = {
     kind: {field.metadata.get(interface.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
-    for kind in _KINDS.values()
+    for kind in _CLASSES_BY_NAME.values()
 }
 
 
@@ -71,7 +73,7 @@
         for field in dataclasses.fields(value)
         if getattr(value, field.name) != field.default
     }
-    return {"": _NAMES.get(type(value), type(value).__name__), **fields}
+    return {"": _NAMES_BY_CLASS.get(type(value), type(value).__name__), **fields}
 
 
 def unpack(raw: Any) -> Any:
@@ -80,11 +82,11 @@
         return tuple(unpack(item) for item in raw)
     if not isinstance(raw, dict):
         return raw
-    kind = _KINDS.get(raw.get("", ""))
-    if kind is None:
+    cls = _CLASSES_BY_NAME.get(raw.get("", ""))
+    if cls is None:
         raise ValueError(f"unknown kind {raw.get('')!r}")
-    attributes = _ATTRIBUTES[kind]
-    return kind(**{attributes.get(name, name): unpack(value) for name, value in raw.items() if name})
+    attributes = _ATTRIBUTES_BY_CLASS[cls]
+    return cls(**{attributes.get(name, name): unpack(value) for name, value in raw.items() if name})
 
 
 class Recorder:
--- a/micagate/worker.py
+++ b/micagate/worker.py
@@ -1,4 +1,7 @@
-"""A worker as a gateway knows it, and what fades of that. Decides nothing."""
+"""Holds what a gateway knows of one worker: its latency, losses, failures and attempts in flight.
+
+`micagate/fleet.py` decides by it. Times are seconds on the caller's clock.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +10,15 @@
 
 from micagate import interface
 
-FORGET = 10.0  # seconds in which an old judgement of a worker's speed, or of what it loses, fades (ours)
-
-BACKOFF, LONGEST_BACKOFF = 0.25, 4.0  # seconds before the first and any later trial of a failing worker (ours)
-SELDOM = 4.0  # times the longest where many gateways each meet a worker seldom: all of them try it
-FAILS = 3  # errors or time-outs in a row that make a worker suspect
+DECAY_SECONDS = 10.0  # time constant with which the estimates of a worker's latency and losses return to normal
+MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.25, 4.0  # wait before the first and any later probe of a failing worker
+# Factor of the longest backoff if gateways use subsets: many gateways probe each worker, each of them seldom.
+SUBSET_BACKOFF_FACTOR = 4.0
+FAILURES_BEFORE_BACKOFF = 3  # consecutive errors or timeouts after which a worker backs off
 
 
 class Worker:
-    """A worker as this gateway knows it."""
+    """The state of one worker as this gateway sees it."""
 
     __slots__ = (
         "entry",
@@ -36,55 +39,64 @@
         "consecutive_overloads",
     )
 
-    def __init__(self, entry: interface.WorkerEntry, slow: float, now: float, rank: float) -> None:
+    def __init__(self, entry: interface.WorkerEntry, relative_latency: float, now: float, rank: float) -> None:
         self.entry = entry
-        self.rank = rank  # drawn by chance: a gateway among many keeps to the first few
-        self.usable = False
-        self.relative_latency = slow  # answer time over the usual one
+        self.rank = rank  # random position on the ring of workers, from 0 to 1 (`micagate/worker_subset.py`)
+        self.usable = False  # it is listed, and healthy by the list
+        self.relative_latency = relative_latency  # latency over the usual one of the class
         self.latency_updated_at = now
-        self.in_flight: dict[tuple[str, int], float] = {}
-        self.last_response_at = self.latest_answered_sent_at = (
-            now  # the last answer; when the latest-sent of those answered was sent
-        )
-        self.loss_rates: dict[str, tuple[float, float]] = {}  # by class: share left unanswered, and as of when
+        self.in_flight: dict[tuple[str, int], float] = {}  # by request and attempt number: send time
+        # The time of the last response, and the latest send time of an answered attempt.
+        self.last_response_at = self.latest_answered_sent_at = now
+        self.loss_rates: dict[str, tuple[float, float]] = {}  # by class: share of lost responses, and its time
         self.consecutive_failures = 0
-        self.response_count = self.consecutive_overloads = 0  # answers ever; refusals as full since the last
+        # All successful responses, and the rejections as overloaded since the last one.
+        self.response_count = self.consecutive_overloads = 0
         self.backoff_until = 0.0
-        self.next_turn_at: float | None = None  # when this gateway may next send to it while it is too cold for all
-        self.turn_interval = 0.0
-        self.held_slots_until: deque[float] = deque()  # ends of the places that time-outs and refusals still hold
+        self.next_turn_at: float | None = None  # next turn of this gateway during slow start
+        self.turn_interval = 0.0  # seconds between two such turns
+        self.held_slots_until: deque[float] = deque()  # attempts that failed count as in flight until then
 
     def is_suspect(self) -> bool:
-        """Whether it failed last, or has turned away all lately."""
+        """Return whether its last attempt failed, or its last two or more were rejected as overloaded."""
         return bool(self.consecutive_failures) or self.consecutive_overloads > 1
 
-    def record_failure(self, now: float, sudden: bool, seldom: bool) -> None:
-        """An error or a time-out; a sudden one puts it out at once, others after some in a row."""
+    def record_failure(self, now: float, immediate: bool, in_partial_subset: bool) -> None:
+        """Record an error or a timeout.
+
+        An `immediate` failure starts the backoff at once, others after several in a row.
+        """
         self.consecutive_failures += 1
-        if sudden or self.consecutive_failures >= FAILS:
-            doublings = self.consecutive_failures - (1 if sudden else FAILS)
+        if immediate or self.consecutive_failures >= FAILURES_BEFORE_BACKOFF:
+            doublings = self.consecutive_failures - (1 if immediate else FAILURES_BEFORE_BACKOFF)
             self.backoff_until = now + min(
-                LONGEST_BACKOFF * (SELDOM if seldom else 1.0), BACKOFF * 2 ** min(doublings, 10)
+                MAX_BACKOFF_SECONDS * (SUBSET_BACKOFF_FACTOR if in_partial_subset else 1.0),
+                MIN_BACKOFF_SECONDS * 2 ** min(doublings, 10),
             )
 
     def record_overload(self, now: float) -> None:
-        """A refusal as full: after two with no answer between, as of one that drains unannounced, others go first."""
+        """Record a rejection as overloaded.
+
+        After two without a response between, the worker backs off: it may be draining without notice.
+        """
         self.consecutive_overloads += 1
         if self.consecutive_overloads > 1:
-            self.backoff_until = now + min(LONGEST_BACKOFF, BACKOFF * 2 ** min(self.consecutive_overloads - 2, 10))
+            self.backoff_until = now + min(
+                MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2 ** min(self.consecutive_overloads - 2, 10)
+            )
 
     def slowness(self, now: float) -> float:
-        """Its answer time over the usual; an old judgement fades, so that it is tried again."""
-        return 1.0 + (self.relative_latency - 1.0) * math.exp((self.latency_updated_at - now) / FORGET)
+        """Return its latency over the usual one. It decays towards 1, so that a slow worker is tried again."""
+        return 1.0 + (self.relative_latency - 1.0) * math.exp((self.latency_updated_at - now) / DECAY_SECONDS)
 
     def loss_rate(self, now: float, klass: str) -> float:
-        """The share of a class that it leaves unanswered; it fades, so that it is tried again."""
+        """Return its share of lost responses in a class. It decays towards 0, so that the worker is tried again."""
         if klass not in self.loss_rates:
             return 0.0
-        loss, at = self.loss_rates[klass]
-        return loss * math.exp((at - now) / FORGET)
+        loss_rate, updated_at = self.loss_rates[klass]
+        return loss_rate * math.exp((updated_at - now) / DECAY_SECONDS)
 
     def record_loss(self, now: float, klass: str, lost: bool, weight: float) -> None:
-        """One of a class went unanswered, or was answered."""
-        loss = self.loss_rate(now, klass)
-        self.loss_rates[klass] = loss + weight * (lost - loss), now
+        """Update the loss rate of a class with one attempt, lost or answered."""
+        loss_rate = self.loss_rate(now, klass)
+        self.loss_rates[klass] = loss_rate + weight * (lost - loss_rate), now
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -1,4 +1,7 @@
-"""What customers asked and what became of attempts at each worker, counted for planners. Decides nothing."""
+"""Counts the demand of customers and the outcomes of attempts at each worker, for the demand reports to planners.
+
+`Workload` counts attempts by worker. Times are seconds on the caller's clock.
+"""
 
 from __future__ import annotations
 
@@ -9,124 +12,140 @@
 from micagate.accounts import Account
 from micagate.resource_keys import worker_key
 
-KINDS = {
+# The attribute of `_WorkerCounts` that counts an unsuccessful outcome. All others count as failed, but for cancelled
+# attempts and those that were not sent.
+COUNTER_BY_STATUS = {
     interface.OVERLOADED: "refused",
     interface.TIMED_OUT: "missed",
-}  # all else that is no answer, and was not called off: failed
+}
+
 
+class _WorkerCounts:
+    """The counts of one worker since the last report; the fields are those of `interface.WorkerLoad`."""
 
-class _Counts:
-    __slots__ = ("asked", "answered", "load", "busy", "refused", "missed", "failed", "at")
+    __slots__ = ("sent", "answered", "load", "in_flight_seconds", "refused", "missed", "failed", "updated_at")
 
     def __init__(self, now: float) -> None:
-        self.asked = self.answered = self.refused = self.missed = self.failed = 0
-        self.load = self.busy = 0.0
-        self.at = now
+        self.sent = self.answered = self.refused = self.missed = self.failed = 0
+        self.load = self.in_flight_seconds = 0.0
+        self.updated_at = now
 
-    def tick(self, now: float, out: int) -> None:
-        """Add up what was out, before that changes."""
-        self.busy += out * (now - self.at)
-        self.at = now
+    def advance(self, now: float, in_flight: int) -> None:
+        """Add the time that attempts were in flight, before their number changes."""
+        self.in_flight_seconds += in_flight * (now - self.updated_at)
+        self.updated_at = now
 
 
 class Workload:
-    """The counts of all workers; what is out is told with each change, as it was before."""
+    """The counts of all workers. Each call gives the number of attempts in flight before the change it reports."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, _Counts] = {}
-        self._least: dict[str, float] = {}  # by class: the shortest usual answer time so far
+        self._counts: dict[str, _WorkerCounts] = {}
+        self._shortest_latencies: dict[str, float] = {}  # by class: lowest usual latency so far
 
-    def _ticked(self, now: float, worker: str, out: int) -> _Counts:
+    def _advanced_counts(self, now: float, worker: str, in_flight: int) -> _WorkerCounts:
         counts = self._counts.get(worker)
-        if counts is None:  # what was out before it was first counted is left out
-            counts = self._counts[worker] = _Counts(now)
-        counts.tick(now, out)
+        if counts is None:  # time in flight before its first count is ignored
+            counts = self._counts[worker] = _WorkerCounts(now)
+        counts.advance(now, in_flight)
         return counts
 
-    def sent(self, now: float, worker: str, out: int) -> None:
-        """An attempt goes to a worker that has so many out."""
-        self._ticked(now, worker, out).asked += 1
+    def record_sent(self, now: float, worker: str, in_flight: int) -> None:
+        """Count an attempt sent to a worker with so many in flight."""
+        self._advanced_counts(now, worker, in_flight).sent += 1
 
-    def ended(self, now: float, worker: str, out: int, klass: str, usual: float, status: str, took: float) -> None:
-        """One of so many out has ended; `usual` is the usual answer time of its class."""
-        counts = self._ticked(now, worker, out)
+    def record_ended(
+        self, now: float, worker: str, in_flight: int, klass: str, usual_latency: float, status: str, latency: float
+    ) -> None:
+        """Count the end of one of the attempts in flight; `usual_latency` is that of its class."""
+        counts = self._advanced_counts(now, worker, in_flight)
         if status == interface.SUCCESS:
-            least = self._least[klass] = min(self._least.get(klass, math.inf), usual)
+            shortest_latency = self._shortest_latencies[klass] = min(
+                self._shortest_latencies.get(klass, math.inf), usual_latency
+            )
             counts.answered += 1
-            counts.load += took / max(least, 1e-6)
+            counts.load += latency / max(shortest_latency, 1e-6)
         elif status not in (interface.CANCELLED, interface.NOT_SENT):
-            kind = KINDS.get(status, "failed")
-            setattr(counts, kind, getattr(counts, kind) + 1)
+            counter = COUNTER_BY_STATUS.get(status, "failed")
+            setattr(counts, counter, getattr(counts, counter) + 1)
 
-    def asked(self, worker: str) -> int:
-        """How many attempts have gone to a worker since the last survey."""
+    def sent_count(self, worker: str) -> int:
+        """Return the number of attempts sent to a worker since the last report."""
         counts = self._counts.get(worker)
-        return counts.asked if counts is not None else 0
-
-    def take(self, now: float, out: Mapping[str, int]) -> list[interface.WorkerLoad]:
-        """What was counted, and begin anew, for workers with so many out; others are forgotten."""
-        made = []
-        before, self._counts = self._counts, {}
-        for worker, many in out.items():
-            if (counts := before.get(worker)) is not None:
-                counts.tick(now, many)
-                work = interface.WorkerLoad(
+        return counts.sent if counts is not None else 0
+
+    def take_loads(self, now: float, in_flight: Mapping[str, int]) -> list[interface.WorkerLoad]:
+        """Return the loads since the last report and reset the counts.
+
+        `in_flight` gives the attempts in flight by worker; the counts of workers not in it are discarded.
+        """
+        loads = []
+        previous, self._counts = self._counts, {}
+        for worker, attempts in in_flight.items():
+            if (counts := previous.get(worker)) is not None:
+                counts.advance(now, attempts)
+                load = interface.WorkerLoad(
                     worker_key(worker),
                     counts.answered,
                     counts.load,
-                    counts.busy,
+                    counts.in_flight_seconds,
                     counts.refused,
                     counts.missed,
                     counts.failed,
                 )
-                if work.busy or work.answered or work.refused or work.missed or work.failed:
-                    made.append(work)
-            self._counts[worker] = _Counts(now)
-        return made
+                if load.busy or load.answered or load.refused or load.missed or load.failed:
+                    loads.append(load)
+            self._counts[worker] = _WorkerCounts(now)
+        return loads
 
 
 def asked_of(accounts: Iterable[Account]) -> list[interface.ResourceDemand]:
-    """What was asked of customers' quotas since the last survey, and begin anew."""
-    tallies = []
-    for a in accounts:
-        rates = [rate for rate in (a.plan.rate, a.plan.ceiling_rate) if rate]
-        if rates or a.plan.concurrency_limit:  # what binds first says how much of the whole is needed
+    """Return the demand for each customer's quota since the last report, and reset it."""
+    demands = []
+    for account in accounts:
+        rates = [rate for rate in (account.plan.rate, account.plan.ceiling_rate) if rate]
+        if rates or account.plan.concurrency_limit:  # the tightest limit determines the share that is needed
             bursts = (
-                a.plan.burst if a.plan.rate else math.inf,
-                a.plan.ceiling_capacity if a.plan.ceiling_rate else math.inf,
+                account.plan.burst if account.plan.rate else math.inf,
+                account.plan.ceiling_capacity if account.plan.ceiling_rate else math.inf,
             )
-            tallies.append(
+            demands.append(
                 interface.ResourceDemand(
-                    a.key,
-                    a.first_gateway,
-                    a.gateway_count,
-                    a.requested_units,
-                    a.peak_in_flight,
+                    account.key,
+                    account.first_gateway,
+                    account.gateway_count,
+                    account.requested_units,
+                    account.peak_in_flight,
                     min(rates, default=0.0),
                     min(bursts) if rates else 0.0,
-                    a.plan.concurrency_limit,
+                    account.plan.concurrency_limit,
                 )
             )
-        a.requested_units, a.peak_in_flight = 0.0, 0
-    return tallies
+        account.requested_units, account.peak_in_flight = 0.0, 0
+    return demands
 
 
-def sent_to(
-    standing: Mapping[str, tuple[float | None, float]],
+def resource_demands(
+    workers: Mapping[str, tuple[float | None, float]],
     workload: Workload | None,
-    usual: float,
-    core: float,
-    gateways: int,
+    warm_demand: float,
+    core_capacity: float,
+    gateway_count: int,
 ) -> list[interface.ResourceDemand]:
-    """What was sent to each warm worker of known pace; what would be to each cold one, were it warm.
+    """Return the attempts sent to each warm worker of known capacity, and the demand for each one in slow start.
 
-    `standing` gives a worker's warmth, if it is cold, and its pace, answers a second, if that is known. `usual`
-    attempts went to a warm one, and `core` answers a second is what one warm core can do.
+    `workers` gives the warm-up factor of each worker, None if it is warm, and its capacity in responses a second, 0 if
+    unknown. A worker in slow start would get `warm_demand` attempts if it were warm. `core_capacity` is what one warm
+    core serves, in responses a second.
     """
-    tallies = []
-    for name, (warm, pace) in standing.items():
-        asked: float = usual if warm is not None else workload.asked(name) if workload is not None else 0
-        whole = warm * core if warm is not None else pace
-        if whole:
-            tallies.append(interface.ResourceDemand(worker_key(name), 0, gateways, asked, 0.0, whole, 0.0, 0.0))
-    return tallies
+    demands = []
+    for name, (warm_up_factor, capacity) in workers.items():
+        demand: float = (
+            warm_demand if warm_up_factor is not None else workload.sent_count(name) if workload is not None else 0
+        )
+        total_capacity = warm_up_factor * core_capacity if warm_up_factor is not None else capacity
+        if total_capacity:
+            demands.append(
+                interface.ResourceDemand(worker_key(name), 0, gateway_count, demand, 0.0, total_capacity, 0.0, 0.0)
+            )
+    return demands
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -7,14 +7,14 @@
 from rig.driver import Driver, losing, sends, workers
 
 
-def serve(d: Driver, count: int, took: float = 0.1, slow: dict[str, float] | None = None) -> Counter[str]:
+def serve(d: Driver, count: int, took: float = 0.1, latency_by_worker: dict[str, float] | None = None) -> Counter[str]:
     """Requests one after another, each answered; where they went."""
     seen: Counter[str] = Counter()
     for _ in range(count):
         name, actions = d.ask(after=0.01)
         (worker,) = sends(actions)
         seen[worker] += 1
-        d.answer(name, worker, took=(slow or {}).get(worker, took), after=0.01)
+        d.answer(name, worker, took=(latency_by_worker or {}).get(worker, took), after=0.01)
     return seen
 
 
@@ -44,8 +44,8 @@
 def test_a_slow_worker_gets_less_and_is_found_again():
     d = Driver()
     serve(d, 60)
-    serve(d, 100, slow={"w0": 1.5})
-    assert serve(d, 60, slow={"w0": 1.5})["w0"] <= 4
+    serve(d, 100, latency_by_worker={"w0": 1.5})
+    assert serve(d, 60, latency_by_worker={"w0": 1.5})["w0"] <= 4
     d.now += 60.0
     assert serve(d, 100)["w0"] > 8
 
--- a/tests/decisions/test_large_fleets.py
+++ b/tests/decisions/test_large_fleets.py
@@ -5,7 +5,7 @@
 import pytest
 
 from micagate import Gateway, interface
-from micagate.fleet import LOOK, LOOKS, Fleet
+from micagate.fleet import MAX_SAMPLES, SAMPLE_SIZE, Fleet
 from micagate.shares import Shares
 from rig.worker_selection import Field, served
 
@@ -26,17 +26,17 @@
 
 def counted(monkeypatch) -> list[str]:
     looked: list[str] = []
-    healthy = Fleet._healthy
+    healthy = Fleet._is_healthy
 
     def count(self, now, worker):
         looked.append(worker.entry.worker)
         return healthy(self, now, worker)
 
-    monkeypatch.setattr(Fleet, "_healthy", count)
+    monkeypatch.setattr(Fleet, "_is_healthy", count)
     return looked
 
 
-@pytest.mark.parametrize("workers", [LOOK, 60, 1000])
+@pytest.mark.parametrize("workers", [SAMPLE_SIZE, 60, 1000])
 def test_a_request_looks_at_no_more_workers_the_more_there_are(workers, monkeypatch):
     gateway = Gateway(SETTINGS, 1, 0.0)
     gateway.handle(0.0, interface.WorkerList(entries(workers), whole=True))
@@ -49,7 +49,7 @@
             for a in gateway.handle(now, interface.Request(f"r{n}", "read", "free", "c", 1.0))
             if isinstance(a, interface.Send)
         ]
-        assert len(sends) == 1 and 0 < len(looked) <= LOOK
+        assert len(sends) == 1 and 0 < len(looked) <= SAMPLE_SIZE
         gateway.handle(now + 0.005, interface.Outcome(f"r{n}", 0, sends[0].worker, interface.SUCCESS, True, 0.005))
 
 
@@ -66,13 +66,13 @@
 
 
 def test_a_small_fleet_is_looked_at_whole():
-    f = fleet(LOOK)
-    for n in range(LOOK):
-        for m in range(LOOK):  # all others have something out
+    f = fleet(SAMPLE_SIZE)
+    for n in range(SAMPLE_SIZE):
+        for m in range(SAMPLE_SIZE):  # all others have something out
             if m != n:
                 f.record_sent(0.0, f"w{m}", (f"r{m}", n), READ)
         assert f.pick(0.0, READ, set()) == f"w{n}"
-        for m in range(LOOK):
+        for m in range(SAMPLE_SIZE):
             if m != n:
                 f.record_outcome(0.0, f"w{m}", (f"r{m}", n), READ, interface.CANCELLED, 0.0)
 
@@ -89,7 +89,7 @@
 def test_the_looks_are_bounded_where_none_can_take_it(monkeypatch):
     f, looked = fleet(1000), counted(monkeypatch)
     assert f.pick(0.0, READ, {f"w{n}" for n in range(1000)}) is None
-    assert len(looked) <= LOOKS * LOOK
+    assert len(looked) <= MAX_SAMPLES * SAMPLE_SIZE
 
 
 def test_a_repeat_that_must_stay_in_its_zone_finds_one_there():
--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -11,9 +11,9 @@
 from micagate.fleet import Fleet
 from micagate.quotas import Quotas
 from micagate.shares import Shares
-from micagate.throttle import LEAST_SIGNALS, PERIOD, Throttle
-from micagate.worker import LONGEST_BACKOFF, Worker
-from micagate.worker_subset import NEAR, WorkerSubset
+from micagate.throttle import MEASUREMENT_PERIOD_SECONDS, MIN_SIGNALS_PER_PERIOD, Throttle
+from micagate.worker import MAX_BACKOFF_SECONDS, Worker
+from micagate.worker_subset import MIN_SUBSET_SIZE, WorkerSubset
 from rig.capacity import Capacity
 from rig.cluster import Cluster
 
@@ -38,11 +38,15 @@
     arcs = WorkerSubset(3, 40)
     for n in range(60):
         arcs.add(Worker(interface.WorkerEntry(f"w{n}"), 1.0, 0.0, n / 60))
-    assert arcs.is_partial and arcs.reachable_count == arcs.size == NEAR and len(arcs.members(NEAR)) == NEAR
-    arc = arcs.members(NEAR, lambda w: int(w.entry.worker[1:]) % 3 > 0)  # two in three
-    assert arcs.fit == NEAR and len(arc) in (11, 12) and arcs.overlap() == len(arc) / 60
+    assert (
+        arcs.is_partial
+        and arcs.reachable_count == arcs.size == MIN_SUBSET_SIZE
+        and len(arcs.members(MIN_SUBSET_SIZE)) == MIN_SUBSET_SIZE
+    )
+    arc = arcs.members(MIN_SUBSET_SIZE, lambda w: int(w.entry.worker[1:]) % 3 > 0)  # two in three
+    assert arcs.fit == MIN_SUBSET_SIZE and len(arc) in (11, 12) and arcs.overlap() == len(arc) / 60
     assert [w.entry.worker for w in arc[:2]] == ["w4", "w5"]  # from its own place on
-    assert arcs.members(NEAR, lambda w: False) == arcs.ring[4:] + arcs.ring[:4] and arcs.overlap() == 1.0
+    assert arcs.members(MIN_SUBSET_SIZE, lambda w: False) == arcs.ring[4:] + arcs.ring[:4] and arcs.overlap() == 1.0
     assert not WorkerSubset(None, 40).is_partial and WorkerSubset(0, 3).reachable_count == 0
 
 
@@ -52,8 +56,8 @@
     for number in range(0, 40, 7):
         fleet = gateway(number, entries)
         fleet.pick(0.1, READ, set())
-        looked = fleet.subset.members(NEAR, lambda w, f=fleet: f.warm_up_factor(0.1, w) is None)
-        assert sum(w.entry.started is None for w in looked) == NEAR
+        looked = fleet.subset.members(MIN_SUBSET_SIZE, lambda w, f=fleet: f.warm_up_factor(0.1, w) is None)
+        assert sum(w.entry.started is None for w in looked) == MIN_SUBSET_SIZE
 
 
 def test_cold_workers_are_used_by_those_in_whose_arcs_they_are_and_never_pushed_over():
@@ -75,7 +79,9 @@
     assert part > 0.08  # not left to the others
     # No cold worker is sent to from beyond the arc, where its room is not counted.
     fleet = cluster.gates[0].fleet
-    arc = {w.entry.worker for w in fleet.subset.members(NEAR, lambda w: fleet.warm_up_factor(6.1, w) is None)}
+    arc = {
+        w.entry.worker for w in fleet.subset.members(MIN_SUBSET_SIZE, lambda w: fleet.warm_up_factor(6.1, w) is None)
+    }
     assert fleet.pick(6.1, READ, arc | {f"w{n:02}" for n in range(36, 60)}) is None
 
 
@@ -84,14 +90,14 @@
     worker.record_overload(1.0)
     assert not worker.is_suspect()
     worker.record_overload(1.1)
-    assert worker.is_suspect() and 1.1 < worker.backoff_until <= 1.1 + LONGEST_BACKOFF
+    assert worker.is_suspect() and 1.1 < worker.backoff_until <= 1.1 + MAX_BACKOFF_SECONDS
     fleet = gateway(0, [interface.WorkerEntry(f"w{n}") for n in range(60)])
     name = fleet.subset.ring[0].entry.worker
     for now in (1.0, 1.5):
         serve(fleet, now, name, status=interface.OVERLOADED)
-    assert not fleet._healthy(1.65, fleet.workers[name])
+    assert not fleet._is_healthy(1.65, fleet.workers[name])
     serve(fleet, 3.0, name)
-    assert fleet._healthy(3.2, fleet.workers[name])
+    assert fleet._is_healthy(3.2, fleet.workers[name])
 
 
 def test_one_error_puts_a_worker_out_for_who_meets_it_seldom_and_three_for_who_meets_it_often():
@@ -100,7 +106,7 @@
     few.update(0.0, interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(6)), whole=True))
     for fleet in (many, few):
         serve(fleet, 1.0, "w1", status=interface.FAILURE)
-    assert not many._healthy(1.15, many.workers["w1"]) and not many.workers["w1"].backoff_until < 1.2
+    assert not many._is_healthy(1.15, many.workers["w1"]) and not many.workers["w1"].backoff_until < 1.2
     assert few.workers["w1"].backoff_until == 0.0
 
 
@@ -111,14 +117,14 @@
         for name in (one, other):
             serve(fleet, step / 5, name)
     fleet.record_sent(3.0, one, ("slow", 0), READ)
-    assert fleet._slow(3.05, fleet.workers[one]) < 1.1
-    assert fleet._slow(3.35, fleet.workers[one]) > 3 > fleet._slow(3.35, fleet.workers[other])
+    assert fleet._effective_latency(3.05, fleet.workers[one]) < 1.1
+    assert fleet._effective_latency(3.35, fleet.workers[one]) > 3 > fleet._effective_latency(3.35, fleet.workers[other])
 
 
 def test_one_signal_each_of_a_third_of_the_few_workers_met_starts_no_control_and_one_more_does():
     throttle = Throttle(0.0, 1)
     throttle.set_workers(8, True)
-    assert throttle.min_signals > LEAST_SIGNALS
+    assert throttle.min_signals > MIN_SIGNALS_PER_PERIOD
     for n in range(14):
         throttle.admit(n / 7)
     for n in range(3):
@@ -127,7 +133,7 @@
     throttle.record_signal(1.95, "w3", "p", 1.0)
     assert throttle.active
     throttle.set_workers(8, False)
-    assert throttle.target_signal_rate(0.0) == LEAST_SIGNALS / PERIOD
+    assert throttle.target_signal_rate(0.0) == MIN_SIGNALS_PER_PERIOD / MEASUREMENT_PERIOD_SECONDS
 
 
 def test_a_few_out_by_chance_are_no_queue_where_traffic_is_thin_and_slow_answers_are():
--- a/tests/decisions/test_throttle.py
+++ b/tests/decisions/test_throttle.py
@@ -47,7 +47,7 @@
     loaded(signals=4, seconds=6, throttle=t, start=4.0)
     assert t.active and t.rate < 0.8 * t.base_rate
     loaded(signals=20, seconds=60, throttle=t, start=10.0)
-    assert t.rate == throttle.SLOWEST * t.base_rate
+    assert t.rate == throttle.MIN_LEAK_RATE_FACTOR * t.base_rate
 
 
 def test_the_rate_rises_by_a_fixed_step_when_refusing_without_signals():
@@ -59,7 +59,7 @@
     while t._due == due:
         loaded(rate=40, signals=0, seconds=1, throttle=t, start=start)
         start += 1
-    assert abs(t.rate - low - throttle.RISE * t.base_rate) < 1e-9
+    assert abs(t.rate - low - throttle.RATE_INCREMENT_SHARE * t.base_rate) < 1e-9
 
 
 def test_the_rate_is_not_raised_while_nothing_is_refused_and_control_ends_when_quiet():
@@ -314,7 +314,7 @@
 def test_the_guard_refuses_only_what_the_bucket_let_through():
     d = seldom()
     throttle = d.gateway.throttle
-    d.gateway.fleet._slow_all_over = lambda now: 1.0  # it would refuse all
+    d.gateway.fleet._rejection_probability = lambda now: 1.0  # it would refuse all
     seen = len(throttle._signals)
     d.ask("write")
     assert len(throttle._signals) == seen + 1  # a signal, like a worker's full
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -21,8 +21,8 @@
     raw = json.loads(EXAMPLE.read_text())
     for key, fact in FACTS.items():
         head, listed, rest = key.partition("[].")
-        value = fact.among[0] if fact.among else USUAL[fact.kind]
-        value = max(value, fact.least) if fact.kind in ("number", "whole") else value
+        value = fact.choices[0] if fact.choices else USUAL[fact.kind]
+        value = max(value, fact.minimum) if fact.kind in ("number", "whole") else value
         value = STATED.get(key, value)
         if listed:
             for each in raw["settings"][head]:
@@ -50,8 +50,8 @@
 
 def another(key, value):
     fact = FACTS[key]
-    if fact.among:
-        return next(each for each in fact.among if each != value)
+    if fact.choices:
+        return next(each for each in fact.choices if each != value)
     if fact.kind == "number":
         return value / 2 if value else 1.5
     return {"flag": lambda: not value, "whole": lambda: value + 1, "text": lambda: value + "y", "": lambda: [value]}[
@@ -99,7 +99,7 @@
         parse(raw)
 
 
-@pytest.mark.parametrize("key", [key for key, fact in FACTS.items() if fact.needed])
+@pytest.mark.parametrize("key", [key for key, fact in FACTS.items() if fact.required])
 def test_what_is_missing_is_named(key):
     raw = example()
     head, listed, rest = key.partition("[].")
