--- a/micagate/adapter.py
+++ b/micagate/adapter.py
@@ -1,4 +1,8 @@
-"""The simulator's wire: translates its lines to events and actions to its lines. It decides nothing."""
+"""Connects gateways to the simulator: translates the lines of its protocol to events, and actions to lines.
+
+The simulator writes batches to standard input. A batch begins with CLOCK and ends with FLUSH; the answer holds the
+lines of the resulting actions and ends with YIELD. All decisions are made by `micagate/gateway.py`.
+"""
 
 from __future__ import annotations
 
@@ -23,55 +27,55 @@
     "withdrawn": interface.CANCELLED,
     "void": interface.NOT_SENT,
 }
-CLIENT_RETRY_FLAG = 2  # bit of `Options`
+CLIENT_RETRY_FLAG = 2  # bit of `Options` in SUBMIT
 
 
 class MalformedInputError(Exception):
-    """Input that the wire does not allow; the text says what is wrong."""
+    """A line violates the protocol; the message says how."""
 
 
 def seconds(text: str) -> float:
-    """Seconds from a whole number of microseconds; absent is 0."""
+    """Convert a whole number of microseconds to seconds; `-`, for an absent value, is 0."""
     return 0.0 if text == "-" else int(text) / MICROSECONDS_PER_SECOND
 
 
 def microseconds(value: float) -> int:
-    """Microseconds, rounded."""
+    """Convert seconds to microseconds, rounded."""
     return round(value * MICROSECONDS_PER_SECOND)
 
 
 def settings(facts: dict[str, Any]) -> interface.Settings:
-    """Settings from the `Facts` of a `LAUNCH`; unknown keys are skipped, what can't be followed is a ValueError."""
+    """Return the settings from the `Facts` of a LAUNCH. Ignores unknown keys; raises ValueError for invalid values."""
     check(facts)
     caps, rules, family = facts["Caps"], facts["Rules"], facts["FamilyInfo"]
     classes = tuple(
         interface.RequestClass(
-            name=c["Name"],
-            aim=c["SloUs"] / MICROSECONDS_PER_SECOND,
-            deadline=c["DeadlineUs"] / MICROSECONDS_PER_SECOND,
-            effect=c["Effect"],
-            group=c["Group"],
-            window=c["WindowUs"] / MICROSECONDS_PER_SECOND,
-            streaming=c["Streaming"],
-            late_value=c["LateWorth"],
-            importance=c.get("Importance", 1.0),
+            name=request_class["Name"],
+            aim=request_class["SloUs"] / MICROSECONDS_PER_SECOND,
+            deadline=request_class["DeadlineUs"] / MICROSECONDS_PER_SECOND,
+            effect=request_class["Effect"],
+            group=request_class["Group"],
+            window=request_class["WindowUs"] / MICROSECONDS_PER_SECOND,
+            streaming=request_class["Streaming"],
+            late_value=request_class["LateWorth"],
+            importance=request_class.get("Importance", 1.0),
         )
-        for c in facts["Classes"]
+        for request_class in facts["Classes"]
     )
     plans = tuple(
         interface.Plan(
-            name=p["Name"],
-            rate=p["Refill"],
-            burst=p["MostAtOnce"],
-            concurrency_limit=p["AtOnce"],
-            ceiling_rate=p["HardRate"],
-            ceiling_capacity=p["CapDepth"],
-            ceiling_slack=p["CapSlack"],
-            excess_revenue=p["BeyondEarns"],
-            excess_cost=p["ExcessCost"],
-            price=p.get("Price", 1.0),
+            name=plan["Name"],
+            rate=plan["Refill"],
+            burst=plan["MostAtOnce"],
+            concurrency_limit=plan["AtOnce"],
+            ceiling_rate=plan["HardRate"],
+            ceiling_capacity=plan["CapDepth"],
+            ceiling_slack=plan["CapSlack"],
+            excess_revenue=plan["BeyondEarns"],
+            excess_cost=plan["ExcessCost"],
+            price=plan.get("Price", 1.0),
         )
-        for p in facts["Plans"]
+        for plan in facts["Plans"]
     )
     return interface.Settings(
         classes=classes,
@@ -95,25 +99,25 @@
 
 
 def parse_worker_entry(line: str) -> interface.WorkerEntry:
-    """A line of a workers list."""
-    word, worker, area, _kind, cohort, state, hint, boot = line.split(" ")[:8]
-    if word != "ENTRY":
-        raise MalformedInputError(f"expected an ENTRY, found {word!r}")
+    """Parse an ENTRY line of a list of workers."""
+    keyword, worker, zone, _kind, cell, state, size, boot_time = line.split(" ")[:8]
+    if keyword != "ENTRY":
+        raise MalformedInputError(f"expected an ENTRY, found {keyword!r}")
     if state not in STATES:
         raise MalformedInputError(f"unknown state {state!r}")
-    started = seconds(boot)
+    started = seconds(boot_time)
     return interface.WorkerEntry(
         worker=worker,
-        zone=area,
-        cell=int(cohort),
+        zone=zone,
+        cell=int(cell),
         state=STATES[state],
-        size=1.0 if hint == "-" else float(hint),
+        size=1.0 if size == "-" else float(size),
         started=started or None,
     )
 
 
 def parse_submit(values: list[str]) -> interface.Event:
-    """SUBMIT: OpId Class Tariff Account TimeLeftUs PriceUnits Spread Base Options."""
+    """Parse SUBMIT: OpId Class Tariff Account TimeLeftUs PriceUnits Spread Base Options."""
     options = 0 if values[8] == "-" else int(values[8])
     return interface.Request(
         request=values[0],
@@ -129,7 +133,7 @@
 
 
 def parse_response(values: list[str]) -> interface.Event:
-    """RESPONSE: OpId Shot FinalUnits Worker Terminal Status SpentUs Used Metrics."""
+    """Parse RESPONSE: OpId Shot FinalUnits Worker Terminal Status SpentUs Used Metrics."""
     if values[5] not in STATUSES:
         raise MalformedInputError(f"unknown status {values[5]!r}")
     used = 0 if values[7] == "-" else int(values[7])
@@ -146,7 +150,7 @@
 
 
 def parse_sum(values: list[str]) -> interface.Event:
-    """SUM: Status Reading SlotName SpentUs."""
+    """Parse SUM: Status Reading SlotName SpentUs."""
     if values[0] not in STATUSES:
         raise MalformedInputError(f"unknown status {values[0]!r}")
     return interface.CounterResult(
@@ -157,22 +161,22 @@
     )
 
 
-# Events of an instance: how many values follow the instance, and what they become. The module asks for no
-# probes or messages, so answers to these are read and left.
+# Events of an instance: the number of values after the instance, and their parser. Gateways request no probes and
+# exchange no messages, so SAMPLED and MAIL are read and ignored.
 EVENT_PARSERS: dict[str, tuple[int, Callable[[list[str]], interface.Event | None]]] = {
     "SUBMIT": (9, parse_submit),
     "RESPONSE": (9, parse_response),
-    "STARTED": (4, lambda v: interface.StreamStarted(v[0], int(v[3]), v[2], seconds(v[1]))),
-    "WAKE": (1, lambda v: interface.TimerFired(int(v[0]))),
-    "ABANDONED": (1, lambda v: interface.ClientDisconnected(v[0])),
+    "STARTED": (4, lambda values: interface.StreamStarted(values[0], int(values[3]), values[2], seconds(values[1]))),
+    "WAKE": (1, lambda values: interface.TimerFired(int(values[0]))),
+    "ABANDONED": (1, lambda values: interface.ClientDisconnected(values[0])),
     "SUM": (4, parse_sum),
-    "SAMPLED": (4, lambda v: None),
-    "MAIL": (2, lambda v: None),
+    "SAMPLED": (4, lambda values: None),
+    "MAIL": (2, lambda values: None),
 }
 
 
 def action_line(instance: int, action: interface.Action) -> str:
-    """The wire's line for an action."""
+    """Return the protocol line of an action."""
     match action:
         case interface.Send(request, worker, within):
             return f"SUBMIT_TO {instance} {request} {worker} {microseconds(within)}"
@@ -189,106 +193,113 @@
         case interface.CounterAdd(name, amount, life):
             return f"ADD {instance} {name} {amount:.7g} {microseconds(life)}"
         case interface.DemandReport() | interface.ReleasedLevels() | interface.MaintenanceResult():
-            raise ValueError("the wire has no planners or operators")  # nor an event that calls for these
+            # No event of the protocol leads to these.
+            raise ValueError("the simulator's protocol has no planners or operators")
 
 
 class Adapter:
-    """Hosts the gateways of one process."""
+    """Runs the gateways that the simulator launches in this process."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._lines = self._count_lines(source)
         self._sink = sink
         self._gateways: dict[int, Gateway] = {}
         self._worker_lists: dict[int, tuple[interface.WorkerEntry, ...]] = {}
-        self._number = 0
+        self._line_number = 0
         self._line = ""
 
     def _count_lines(self, source: TextIO) -> Iterator[str]:
+        """Yield the lines without their ends, and keep the last one and its number for error messages."""
         for line in source:
-            self._number += 1
+            self._line_number += 1
             self._line = line.rstrip("\n")
             yield self._line
 
     def _next_line(self) -> str:
+        """Return the next line of the current batch."""
         line = next(self._lines, None)
         if line is None:
             raise MalformedInputError("input ended inside a batch")
         return line
 
     def run(self) -> int:
-        """Serve batches until the input ends; the exit status."""
+        """Serve batches until the input ends, and return the exit status."""
         try:
             for line in self._lines:
                 if line:
                     self._process_batch(line)
         except (MalformedInputError, ValueError, KeyError, IndexError, TypeError, UnicodeError) as error:
             message = f"missing setting {error}" if isinstance(error, KeyError) else str(error)
-            print(f"micagate: line {self._number}: {message}: {self._line[:120]!r}", file=sys.stderr)
+            print(f"micagate: line {self._line_number}: {message}: {self._line[:120]!r}", file=sys.stderr)
             return 1
         return 0
 
     def _process_batch(self, line: str) -> None:
+        """Process a batch, whose first line is `line`, and write the answer."""
         parts = line.split(" ")
         if parts[0] != "CLOCK" or len(parts) < 3:
             raise MalformedInputError("expected CLOCK, a time and a batch number")
         now, batch = int(parts[1]) / MICROSECONDS_PER_SECOND, int(parts[2])
-        out: list[str] = []
+        output: list[str] = []
         while (line := self._next_line()) != "FLUSH":
-            self._process_line(now, line, out)
-        out.append(f"YIELD {batch}\n")
-        self._sink.write("\n".join(out))
+            self._process_line(now, line, output)
+        output.append(f"YIELD {batch}\n")
+        self._sink.write("\n".join(output))
         self._sink.flush()
 
-    def _process_line(self, now: float, line: str, out: list[str]) -> None:
-        word, _, rest = line.partition(" ")
+    def _process_line(self, now: float, line: str, output: list[str]) -> None:
+        """Process one line of a batch and append the resulting lines to `output`."""
+        command, _, rest = line.partition(" ")
         values = rest.split(" ")
-        if word == "DIRECTORY":
+        if command == "DIRECTORY":
             self._worker_lists[int(values[0])] = tuple(
                 parse_worker_entry(self._next_line()) for _ in range(int(values[1]))
             )
-        elif word == "LAUNCH":
-            number, seed, facts = rest.split(" ", 2)
-            self._gateways[int(number)] = Gateway(settings(json.loads(facts)), int(seed), now)
-        elif word == "DOWN":
+        elif command == "LAUNCH":
+            instance, seed, facts = rest.split(" ", 2)
+            self._gateways[int(instance)] = Gateway(settings(json.loads(facts)), int(seed), now)
+        elif command == "DOWN":
             self._gateways.pop(int(values[0]), None)
-        elif word == "UPDATE":
-            self._handle_event(now, int(values[0]), self._parse_update(values), out)
-        elif word in EVENT_PARSERS:
-            count, parse = EVENT_PARSERS[word]
+        elif command == "UPDATE":
+            self._handle_event(now, int(values[0]), self._parse_update(values), output)
+        elif command in EVENT_PARSERS:
+            count, parse = EVENT_PARSERS[command]
             if len(values) <= count:
-                raise MalformedInputError(f"{word} has too few values")
+                raise MalformedInputError(f"{command} has too few values")
             event = parse(values[1:])
             if event is not None:
-                self._handle_event(now, int(values[0]), event, out)
+                self._handle_event(now, int(values[0]), event, output)
         else:
-            raise MalformedInputError(f"unknown message {word!r}")
+            raise MalformedInputError(f"unknown message {command!r}")
 
     def _parse_update(self, values: list[str]) -> interface.Event:
+        """Parse UPDATE, which refers to an earlier DIRECTORY by its number."""
         scope = values[1]
         if scope == "unavailable":
             return interface.WorkerList(failed=True)
         if scope not in ("update", "replace", "restored"):
             raise MalformedInputError(f"unknown scope {scope!r}")
-        table = int(values[3])
-        if table not in self._worker_lists:
-            raise MalformedInputError(f"no DIRECTORY {table}")
-        return interface.WorkerList(self._worker_lists[table], whole=scope != "update")
+        list_number = int(values[3])
+        if list_number not in self._worker_lists:
+            raise MalformedInputError(f"no DIRECTORY {list_number}")
+        return interface.WorkerList(self._worker_lists[list_number], whole=scope != "update")
 
-    def _handle_event(self, now: float, instance: int, event: interface.Event, out: list[str]) -> None:
+    def _handle_event(self, now: float, instance: int, event: interface.Event, output: list[str]) -> None:
+        """Pass an event to a gateway and append the lines of its actions."""
         gateway = self._gateways.get(instance)
         if gateway is None:
             raise MalformedInputError(f"no instance {instance}")
         try:
             actions = gateway.handle(now, event)
-        except Exception as error:  # a fault in the decisions goes out on the wire, not as a traceback
+        except Exception as error:  # reported to the simulator in place of a traceback
             message = " ".join(f"{type(error).__name__}: {error}".split())
-            out.append(f"BAIL_OUT {instance} {message}")
+            output.append(f"BAIL_OUT {instance} {message}")
             return
-        out.extend(action_line(instance, action) for action in actions)
+        output.extend(action_line(instance, action) for action in actions)
 
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Run on standard input and output, and return the exit status."""
     return Adapter(sys.stdin, sys.stdout).run()
 
 
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -74,7 +74,7 @@
             listed_names = {entry.worker for entry in update.entries}
             for worker in [worker for name, worker in self.workers.items() if name not in listed_names]:
                 self._leave(worker)
-        sizes = [entry.size for entry in update.entries if entry.size > 0] or [1.0]
+        sizes = [listed.size for listed in update.entries if listed.size > 0] or [1.0]
         mean_size = sum(sizes) / len(sizes)
         for entry in update.entries:
             known = self.workers.get(entry.worker)
@@ -100,6 +100,7 @@
         self._cached_candidates = None
 
     def _mark_unusable(self, worker: Worker) -> None:
+        """Remove a worker from the ring of usable ones."""
         if worker.usable:
             worker.usable = False
             self.subset.remove(worker)
@@ -153,6 +154,7 @@
         return sent_at <= worker.latest_answered_sent_at and now - sent_at > self._stall_timeout(worker)
 
     def _is_healthy(self, now: float, worker: Worker) -> bool:
+        """Return whether a worker may be sent to: not stalled, and not in backoff after failures."""
         if not worker.in_flight:
             return not worker.is_suspect() or now >= worker.backoff_until
         if worker.is_suspect() and (now < worker.backoff_until or self._outstanding_send_times(now, worker)):
--- a/micagate/invariants.py
+++ b/micagate/invariants.py
@@ -1,8 +1,8 @@
-"""The rules on sending, repeating, replying and closing, as checks of one step each.
+"""Checks the rules for sending a request, sending it again, replying and closing a connection, one step each.
 
-Nothing here does I/O, keeps state or reads a clock: the caller says where a request, its attempts and the endpoint
-stand, and hears the reason why a step must not be taken. The rules are those of the protocol page, in their strict
-form, without its slack.
+The functions do no I/O, keep no state and read no clock. The caller passes the state of a request, of its attempts and
+of the endpoint, and gets the reason why the step is not allowed, or None. The rules are those of the protocol in their
+strict form, without its tolerances. `oliveloft/guard.py` reports the violations.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 
 
 class Reason(enum.Enum):
-    """Why a step is refused; the same in logs, metrics and tests."""
+    """Why a step is not allowed; the same value in logs, metrics and tests."""
 
-    ENDPOINT_NOT_READY = "endpoint_not_ready"  # it drains, is cordoned, or is on no list
-    REQUEST_OVER = "request_over"  # it was answered, or its client has gone
+    ENDPOINT_NOT_READY = "endpoint_not_ready"  # it is draining, cordoned or not listed
+    REQUEST_OVER = "request_over"  # it was answered, or its client disconnected
     DEADLINE_PASSED = "deadline_passed"
     TOO_MANY_ATTEMPTS = "too_many_attempts"
     HEDGE_NOT_ALLOWED = "hedge_not_allowed"
     REPEAT_MAY_RUN_TWICE = "repeat_may_run_twice"
-    SENT_TWICE = "sent_twice"  # one attempt is written once
+    SENT_TWICE = "sent_twice"  # an attempt may be written only once
     REPLIED_TWICE = "replied_twice"
     CLOSED_WITHOUT_REPLY = "closed_without_reply"
 
 
 class RequestState(enum.Enum):
-    """Where a client's request stands."""
+    """The state of a client's request."""
 
-    ARRIVING = "arriving"  # its last byte has not come, and its time not begun
-    PENDING = "pending"  # it is owed a reply
-    STREAMING = "streaming"  # its reply has begun
+    ARRIVING = "arriving"  # not received completely, so its time has not begun
+    PENDING = "pending"  # received, without a reply yet
+    STREAMING = "streaming"  # a part of the reply was sent
     REPLIED = "replied"
-    CLIENT_GONE = "client_gone"
+    CLIENT_GONE = "client_gone"  # the client disconnected
 
     @property
     def owed(self) -> bool:
-        """Whether a final reply is still owed."""
+        """Whether the client still awaits a final reply."""
         return self in (RequestState.ARRIVING, RequestState.PENDING)
 
 
 class AttemptState(enum.Enum):
-    """Where one send of a request stands."""
+    """The state of an attempt."""
 
-    CONNECTING = "connecting"  # nothing is written
-    WRITTEN = "written"  # all or a part of it
-    OVER = "over"
+    CONNECTING = "connecting"  # nothing is written yet
+    WRITTEN = "written"  # written in full or in part
+    OVER = "over"  # ended
 
 
 class EndpointState(enum.Enum):
-    """Where an endpoint stands, as far as discovery has notified and operators have said."""
+    """The state of an endpoint, by the latest discovery update and the calls of operators."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -61,20 +61,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """What is known of an attempt when a further one is to be sent."""
+    """An earlier attempt of a request that is about to be sent again."""
 
     sent_at: float  # seconds on the caller's clock
-    status: str | None  # of `interface`; None while it is out
+    status: str | None  # a status of `interface`; None while in flight
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an endpoint may have run it, or may yet."""
+        """Whether an endpoint may have executed it, or still may."""
         return self.status not in interface.NOT_EXECUTED_STATUSES
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimits:
-    """What the settings allow."""
+    """The limits of the settings: attempts of a request, and whether hedges are allowed."""
 
     attempts: int
     hedges: bool
@@ -89,9 +89,9 @@
     earlier: Sequence[EarlierAttempt],
     limits: AttemptLimits,
 ) -> Reason | None:
-    """Why a request must not be sent, or sent again; None where it may be.
+    """Return why a request must not be sent, or sent again; None if it may be.
 
-    `deadline` is None while the request's time has not begun.
+    `deadline` is None before the request is received completely.
     """
     if not state.owed:
         return Reason.REQUEST_OVER
@@ -107,7 +107,11 @@
 
 
 def _repeat_refusal(now: float, effect: str, window_seconds: float, earlier: Sequence[EarlierAttempt]) -> Reason | None:
-    """A request with an effect is repeated only where nothing can have run, or where duplicates are discarded."""
+    """Return why a request must not be sent again; None if it may be.
+
+    A request with side effects may be sent again only if no attempt can have been executed, or while the workers
+    discard duplicates by its token.
+    """
     if effect == interface.PURE:
         return None
     first = next((attempt for attempt in earlier if attempt.may_have_run), None)
@@ -117,7 +121,7 @@
 
 
 def write_refusal(attempt: AttemptState, endpoint: EndpointState) -> Reason | None:
-    """Why an attempt must not be written to a connection of an endpoint; None where it may be."""
+    """Return why an attempt must not be written to a connection of an endpoint; None if it may be."""
     if attempt is AttemptState.OVER:
         return Reason.REQUEST_OVER
     if attempt is AttemptState.WRITTEN:
@@ -126,10 +130,10 @@
 
 
 def reply_refusal(state: RequestState) -> Reason | None:
-    """Why a request must not get a final reply; None where it may."""
+    """Return why a request must not get a final reply; None if it may."""
     return None if state.owed else Reason.REPLIED_TWICE
 
 
 def close_refusal(owed_reply: bool) -> Reason | None:
-    """Why this side must not close a client's connection; None where it may."""
+    """Return why this process must not close a client's connection; None if it may."""
     return Reason.CLOSED_WITHOUT_REPLY if owed_reply else None
--- a/micagate/settings_keys.py
+++ b/micagate/settings_keys.py
@@ -1,8 +1,8 @@
-"""The settings that a platform states: what each is, and which decision follows it, or why none does.
+"""Lists the keys of a platform's settings: the type of each value, and what it affects or why it has no effect.
 
-`check` turns down what nothing here could follow, by the key's name: a flag that is text counts as set, a mode of
-discovery that is not known as the usual one, and both show only when it matters. Keys that are not known
-are left alone, since platforms add some, and so is what nothing follows.
+`check` rejects a missing or invalid value with an error that names the key. Unchecked, a flag given as text would
+count as true and an unknown discovery mode as the default, and both would show only in operation. Unknown keys are
+accepted, since platforms add some, and so are any values of keys that have no effect.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingKey:
-    """One setting. `follows`: the decision that follows it, or, where `used` is false, why none does.
+    """The type of a setting and its bounds.
 
-    `needed`: the decisions have no default for it. What the process alone follows is asked for where it is read.
+    `follows` says what the setting affects or, if `used` is false, why it has no effect. `required`: it has no default
+    here. Settings that only the process reads are checked where they are read, in `oliveloft/config/`.
     """
 
-    kind: str  # number, whole, flag or text; empty where nothing follows it, since then any value will do
+    kind: str  # number, whole, flag or text; empty if unused, and then any value is valid
     follows: str
     used: bool = True
     required: bool = True
@@ -32,7 +33,7 @@
     choices: tuple[str, ...] = ()
 
     def problem(self, value: Any) -> str:
-        """What is wrong with a value; empty where nothing is."""
+        """Return what is wrong with a value; empty if it is valid."""
         match self.kind:
             case "flag":
                 return "" if isinstance(value, bool) else "must be true or false"
@@ -48,84 +49,99 @@
 
 
 def _unused(reason: str) -> SettingKey:
+    """Return the entry of a key that has no effect."""
     return SettingKey("", reason, used=False, required=False)
 
 
-NO_PEER_MESSAGES = "gateways don't talk to each other"
-NO_TARIFFS = "decisions go by aims, worth, quotas and rules, not by what is taken off a result"
+NO_PEER_MESSAGES = "gateways exchange no messages"
+NO_TARIFFS = "decisions depend on latency objectives, importance, quotas and rules, not on tariffs"
 
 FACTS: Mapping[str, SettingKey] = {
-    "Caps.Cancel": SettingKey("flag", "a hedge may call an attempt off; what others ended is called off"),
-    "Caps.ConnectTimeoutUs": SettingKey(
-        "number", "when a connection that does not come up is given up", required=False
-    ),
+    "Caps.Cancel": SettingKey("flag", "whether attempts that are no longer needed are cancelled, also by hedges"),
+    "Caps.ConnectTimeoutUs": SettingKey("number", "timeout of a connection attempt", required=False),
     "Caps.CpuUsPerRequest": _unused("bounds the process, not its decisions"),
     "Caps.CpuUsPerS": _unused("bounds the process, not its decisions"),
-    "Caps.IdleCloseUs": SettingKey("number", "how long an idle connection is used again", required=False),
-    "Caps.MaxAttempts": SettingKey("whole", "further attempts, hedges", minimum=1),
-    "Caps.MaxOpen": _unused("what is beyond it never comes here"),
-    "Caps.MaxRetryAfterUs": SettingKey("number", "the longest wait that a refusal advises"),
+    "Caps.IdleCloseUs": SettingKey("number", "how long an idle connection is reused", required=False),
+    "Caps.MaxAttempts": SettingKey("whole", "the most attempts of a request, hedges included", minimum=1),
+    "Caps.MaxOpen": _unused("requests beyond it do not reach the gateway"),
+    "Caps.MaxRetryAfterUs": SettingKey("number", "the longest wait that a rejection advises"),
     "Caps.MaxStreams": _unused("a connection carries one request at a time"),
     "Caps.PeerMessages": _unused(NO_PEER_MESSAGES),
-    "Caps.Probes": _unused("answers tell of health; nothing is probed"),
-    "Caps.RetryAfter": SettingKey("flag", "whether refusals advise a wait"),
-    "Caps.SecondCopies": SettingKey("flag", "a hedge may be a second attempt beside the first"),
-    "Classes[].AimStretch": _unused("the aim is taken unstretched, which is the earlier one"),
-    "Classes[].DeadlineUs": SettingKey("number", "when a request ends"),
-    "Classes[].Effect": SettingKey("text", "whether a further attempt may go", choices=interface.EFFECTS),
-    "Classes[].Group": SettingKey("text", "where a further attempt of a token may go", choices=interface.GROUPS),
+    "Caps.Probes": _unused("health is learned from responses; workers are not probed"),
+    "Caps.RetryAfter": SettingKey("flag", "whether rejections advise a wait"),
+    "Caps.SecondCopies": SettingKey("flag", "whether a hedge may run beside the first attempt"),
+    "Classes[].AimStretch": _unused("the latency objective is used unstretched, which is the earlier one"),
+    "Classes[].DeadlineUs": SettingKey("number", "the deadline of a request"),
+    "Classes[].Effect": SettingKey("text", "whether a further attempt may be sent", choices=interface.EFFECTS),
+    "Classes[].Group": SettingKey("text", "where a further attempt with a token may be sent", choices=interface.GROUPS),
     "Classes[].Importance": SettingKey(
-        "number", "under pressure: where the bucket is full, from when on one is late", required=False
+        "number",
+        "during overload: the part of the throttle's bucket, and when a request counts as late",
+        required=False,
     ),
-    "Classes[].LateWorth": SettingKey("number", "0: tries that come past the aim are refused"),
+    "Classes[].LateWorth": SettingKey("number", "0: client retries past the latency objective are rejected"),
     "Classes[].Name": SettingKey("text", "the class that a request names"),
-    "Classes[].SloUs": SettingKey("number", "the aim: signals, latecomers, hedges"),
-    "Classes[].Streaming": SettingKey("flag", "whether answers are streams"),
-    "Classes[].WindowUs": SettingKey("number", "how long a token may be sent again"),
-    "Clients.MarksRetry": _unused("each request's own mark is read"),
+    "Classes[].SloUs": SettingKey(
+        "number", "the latency objective: overload signals, rejection of late requests, hedges"
+    ),
+    "Classes[].Streaming": SettingKey("flag", "whether responses are streamed"),
+    "Classes[].WindowUs": SettingKey("number", "how long a request with a token may be sent again"),
+    "Clients.MarksRetry": _unused("the mark of each request is read instead"),
     "Dcs": _unused("zones are read from the list of workers"),
-    "Discovery": SettingKey("text", "whether the list must be asked for", choices=("pushed", "on_request")),
-    "FamilyInfo.CountFee": _unused("what the counter bears bounds the calls, below what they cost"),
-    "FamilyInfo.CountLimitUs": SettingKey("number", "how long a try waits for its count", required=False),
+    "Discovery": SettingKey(
+        "text", "whether the list of workers must be subscribed to", choices=("pushed", "on_request")
+    ),
+    "FamilyInfo.CountFee": _unused("the calls are limited by what the counter can serve, which is below their cost"),
+    "FamilyInfo.CountLimitUs": SettingKey("number", "how long a request waits for the shared counter", required=False),
     "FamilyInfo.InboxPerS": _unused(NO_PEER_MESSAGES),
-    "FamilyInfo.MeterUs": SettingKey("number", "periods of the estimate of whole stores, smoothing; 0: parts alone"),
-    "FamilyInfo.PostPaid": _unused("an answer's own units are read where it has some"),
-    "FamilyInfo.SharedCounter": SettingKey("flag", "whether slivers of quotas are counted", required=False),
-    "FamilyInfo.UnitsTop": SettingKey("number", "requests of more units are turned down", required=False),
+    "FamilyInfo.MeterUs": SettingKey(
+        "number", "the meter's period: estimates of quota balances and their smoothing; 0: local shares only"
+    ),
+    "FamilyInfo.PostPaid": _unused("the units of each response are read if it has any"),
+    "FamilyInfo.SharedCounter": SettingKey(
+        "flag", "whether minimum shares of quotas are counted by the shared counter", required=False
+    ),
+    "FamilyInfo.UnitsTop": SettingKey("number", "requests of more units are rejected", required=False),
     "Goal.Whole": _unused(NO_TARIFFS),
     "Goal.WorstClass": _unused(NO_TARIFFS),
     "Goal.WorstTenant": _unused(NO_TARIFFS),
     "Goal.WorstWindow": _unused(NO_TARIFFS),
-    "Index": SettingKey("whole", "the gateway's place among the others: its arc of the ring", required=False),
-    "Kinds": _unused("what a worker can do is learned from its answers"),
+    "Index": SettingKey("whole", "the gateway's number, which determines its subset of the workers", required=False),
+    "Kinds": _unused("the capacity of a worker is learned from its responses"),
     "Layer": _unused("there is one tier"),
-    "MyZone": SettingKey("text", "workers of the own zone are preferred"),
-    "NInstances": SettingKey("whole", "parts of the cold guard, arcs, latecomers", minimum=1),
-    "Plans[].AtOnce": SettingKey("number", "places at once, by parts and by what others may have out"),
-    "Plans[].BeyondEarns": SettingKey("number", "beyond the quota only where that pays"),
-    "Plans[].CapDepth": SettingKey("number", "the ceiling's store"),
-    "Plans[].CapSlack": SettingKey("number", "how far the ceiling may be passed"),
-    "Plans[].ExcessCost": SettingKey("number", "how sure a part must be to run ahead"),
-    "Plans[].HardRate": SettingKey("number", "the ceiling's rate"),
-    "Plans[].MostAtOnce": SettingKey("number", "the quota's store"),
+    "MyZone": SettingKey("text", "workers of the same zone are preferred"),
+    "NInstances": SettingKey(
+        "whole", "the number of gateways: slow-start limits, worker subsets, rejection of late requests", minimum=1
+    ),
+    "Plans[].AtOnce": SettingKey("number", "the concurrency limit, by local shares and the use of other gateways"),
+    "Plans[].BeyondEarns": SettingKey("number", "requests beyond the quota are admitted only if it is above the cost"),
+    "Plans[].CapDepth": SettingKey("number", "the capacity of the ceiling's bucket"),
+    "Plans[].CapSlack": SettingKey("number", "how far the ceiling may be exceeded"),
+    "Plans[].ExcessCost": SettingKey("number", "how certain a local share must be before it spends in advance"),
+    "Plans[].HardRate": SettingKey("number", "the refill rate of the ceiling"),
+    "Plans[].MostAtOnce": SettingKey("number", "the capacity of the quota's bucket"),
     "Plans[].Name": SettingKey("text", "the plan that a request names"),
-    "Plans[].Price": SettingKey("number", "whose quotas are counted first", required=False),
-    "Plans[].Refill": SettingKey("number", "the quota's rate"),
+    "Plans[].Price": SettingKey("number", "which quotas the shared counter counts first", required=False),
+    "Plans[].Refill": SettingKey("number", "the refill rate of the quota"),
     "Report.Fields": _unused("load reports change no decision: they are older than most queues"),
     "Report.How": _unused("load reports change no decision: they are older than most queues"),
-    "Rules.AskWithinUs": _unused("where the list must be asked for, it is subscribed to from the start"),
-    "Rules.ColdFrom": SettingKey("number", "what a worker can do right after its start", maximum=1.0),
+    "Rules.AskWithinUs": _unused("a list that must be requested is subscribed to from the start"),
+    "Rules.ColdFrom": SettingKey(
+        "number", "share of its capacity that a worker has right after its start", maximum=1.0
+    ),
     "Rules.DrainGraceUs": SettingKey(
-        "number", "how long after news of a drain written requests may go out", required=False
+        "number", "how long requests may still be written after a worker starts to drain", required=False
+    ),
+    "Rules.FallUs": SettingKey("number", "the time span of the slow-start limit"),
+    "Rules.GraceToAnswerUs": _unused("requests end before the timeout of their clients"),
+    "Rules.OverloadFactor": SettingKey(
+        "number", "the load that a worker in slow start can take, over its capacity", minimum=1.0
     ),
-    "Rules.FallUs": SettingKey("number", "the cold guard's span"),
-    "Rules.GraceToAnswerUs": _unused("requests end before their clients' time does"),
-    "Rules.OverloadFactor": SettingKey("number", "what a cold worker bears", minimum=1.0),
-    "Rules.RampTimeUs": SettingKey("number", "how long a worker counts as cold"),
-    "TickUs": SettingKey("number", "how long before its time a request is ended"),
+    "Rules.RampTimeUs": SettingKey("number", "the duration of slow start"),
+    "TickUs": SettingKey("number", "how long before its deadline a request is ended"),
     "Tiers": _unused("there is one tier"),
-    "WeightKind": _unused("sizes are read next to the mean of their list, whatever they mean"),
-    "Workload": _unused("a name"),
+    "WeightKind": _unused("sizes are used relative to the mean of the list, whatever their unit"),
+    "Workload": _unused("a name only"),
     **{
         f"Tariffs.{name}": _unused(NO_TARIFFS)
         for name in (
@@ -148,20 +164,22 @@
 
 
 def stated(settings: Mapping[str, Any], prefix: str = "") -> Iterator[tuple[str, str, Any]]:
-    """What is stated: the key as it stands in `FACTS`, where it stands, and its value."""
+    """Yield each setting: its key as in `FACTS`, its path with list indices, and its value."""
     for name, value in settings.items():
         key = f"{prefix}{name}"
         if isinstance(value, Mapping):
-            yield from ((key, f"{name}.{path}", leaf) for key, path, leaf in stated(value, f"{key}."))
+            yield from ((leaf_key, f"{name}.{path}", leaf) for leaf_key, path, leaf in stated(value, f"{key}."))
         elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
             for index, item in enumerate(value):
-                yield from ((key, f"{name}[{index}].{path}", leaf) for key, path, leaf in stated(item, f"{key}[]."))
+                yield from (
+                    (leaf_key, f"{name}[{index}].{path}", leaf) for leaf_key, path, leaf in stated(item, f"{key}[].")
+                )
         else:
             yield key, name, value
 
 
 def check(settings: Mapping[str, Any]) -> None:
-    """ValueError, naming the first key that is missing or whose value nothing could follow."""
+    """Raise ValueError for the first invalid value or missing key, with its name."""
     for name in LIST_KEYS:
         entries = settings.get(name, [])
         if not isinstance(entries, list) or not all(isinstance(item, Mapping) for item in entries):
@@ -170,12 +188,11 @@
     for key, path, value in stated(settings):
         seen[key] += 1
         setting_key = FACTS.get(key)
-        if (
-            setting_key is not None and setting_key.used and (problem := setting_key.problem(value))
-        ):  # what nothing follows can't be wrong
+        # Any value of an unused key is valid.
+        if setting_key is not None and setting_key.used and (problem := setting_key.problem(value)):
             raise ValueError(f"{path}: {problem}, not {value!r}")
     for key, setting_key in FACTS.items():
-        head, separator, _ = key.partition("[].")
-        expected = len(settings.get(head, ())) if separator else 1
+        list_key, separator, _ = key.partition("[].")
+        expected = len(settings.get(list_key, ())) if separator else 1
         if setting_key.required and seen[key] < expected:
             raise ValueError(f"{key}: missing")
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -1,7 +1,8 @@
-"""Events and actions of the module as lines of text, so that what it decided can be recorded and repeated.
+"""Records the events and actions of a gateway as lines of JSON, so that its decisions can be replayed.
 
-A trace is one line with the settings and the seed, then a line an event: when, the event, and the actions it
-called for. Floats are written so that they read back exactly. No I/O here: a trace is an iterable of lines.
+The first line of a trace holds the settings, the seed and the start time. Each further line holds one event: its time,
+the event, and the actions that it led to. Floats are written so that they read back exactly. The module does no I/O:
+a trace is an iterable of lines.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 
 from micagate import interface
 
-# The written name of each class, which never changes. A field is written under its own name, or under that of its
-# metadata `WRITTEN`.
+# The name under which each class is written. It never changes, so that old traces stay readable. A field is written
+# under its own name, or under the name in its metadata entry `WRITTEN`.
 _CLASSES_BY_NAME: dict[str, type[Any]] = {
     "WorkerEntry": interface.WorkerEntry,
     "WorkerList": interface.WorkerList,
@@ -42,9 +43,7 @@
     "Pace": interface.WorkerCapacity,
     "Work": interface.WorkerLoad,
 }
-_NAMES_BY_CLASS = {
-    kind: name for name, kind in _CLASSES_BY_NAME.items()
-} | {  # the last six are written, but not read back
+_NAMES_BY_CLASS = {kind: name for name, kind in _CLASSES_BY_NAME.items()} | {  # these are written but not read back
     interface.RequestComplete: "Whole",
     interface.StopRetrying: "Ending",
     interface.CounterAdd: "Count",
@@ -59,11 +58,11 @@
 
 
 class TraceError(ValueError):
-    """A trace that cannot be read; the text names the line, counted from 1."""
+    """A trace cannot be read; the message names the line, counted from 1."""
 
 
 def pack(value: object) -> Any:
-    """A value of the interface as JSON can hold it; fields that have their default are left out."""
+    """Convert a value of the interface to one that JSON can hold; fields with their default value are left out."""
     if isinstance(value, tuple):
         return [pack(item) for item in value]
     if not dataclasses.is_dataclass(value):
@@ -77,7 +76,7 @@
 
 
 def unpack(raw: Any) -> Any:
-    """What `pack` made into JSON; ValueError or TypeError where it is nothing of the interface."""
+    """Convert back what `pack` returned. Raises ValueError or TypeError if it is no value of the interface."""
     if isinstance(raw, list):
         return tuple(unpack(item) for item in raw)
     if not isinstance(raw, dict):
@@ -90,7 +89,7 @@
 
 
 class Recorder:
-    """Stands in for a gateway's `handle` and tells `write` each line of its trace."""
+    """Wraps the `handle` method of a gateway and passes each line of the trace to `write`."""
 
     def __init__(
         self,
@@ -104,7 +103,7 @@
         write(json.dumps({"settings": pack(settings), "seed": seed, "now": now}))
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """Handle an event and record it with what it called for."""
+        """Handle an event, and record it with the resulting actions."""
         actions = self._handle(now, event)
         self._write(json.dumps([now, pack(event), [pack(action) for action in actions]], separators=(",", ":")))
         return actions
@@ -112,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """A recorded event: its line, when it came, and the actions that were decided on."""
+    """A recorded event: its line number, its time, and the resulting actions."""
 
     line: int
     now: float
@@ -121,10 +120,10 @@
 
 
 def read(lines: Iterable[str]) -> tuple[interface.Settings, int, float, Iterator[Step]]:
-    """Settings, seed and start of a trace, and its steps; TraceError names the line that is wrong."""
+    """Return the settings, the seed, the start time and the steps of a trace. Raises TraceError on a malformed line."""
     numbered = enumerate(lines, 1)
 
-    def head() -> tuple[interface.Settings, int, float]:
+    def read_header() -> tuple[interface.Settings, int, float]:
         for number, line in numbered:
             try:
                 raw = json.loads(line)
@@ -133,7 +132,7 @@
                 raise TraceError(f"line {number}: {error}") from error
         raise TraceError("line 1: missing")
 
-    def steps() -> Iterator[Step]:
+    def read_steps() -> Iterator[Step]:
         for number, line in numbered:
             try:
                 now, event, actions = json.loads(line)
@@ -141,4 +140,4 @@
             except (ValueError, TypeError, AttributeError) as error:
                 raise TraceError(f"line {number}: {error}") from error
 
-    return *head(), steps()
+    return *read_header(), read_steps()
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -44,6 +44,7 @@
         self._shortest_latencies: dict[str, float] = {}  # by class: lowest usual latency so far
 
     def _advanced_counts(self, now: float, worker: str, in_flight: int) -> _WorkerCounts:
+        """Return the counts of a worker, advanced to the present."""
         counts = self._counts.get(worker)
         if counts is None:  # time in flight before its first count is ignored
             counts = self._counts[worker] = _WorkerCounts(now)
