--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -3,6 +3,10 @@
 `Fleet` follows the list of workers, judges their health from responses and timeouts, limits the attempts at workers
 in slow start, and detects overload of the whole fleet. It does no I/O; the time is an argument of its methods, in
 seconds on the caller's clock. `micagate/gateway.py` calls it, and `micagate/throttle.py` limits the request rate.
+
+A worker is in slow start, with less than its full capacity, for some time after its start, and warm from then on. The
+usual latency of a class is the moving average of its latency at all workers. One of many gateways sends to only a
+subset of the workers (`micagate/worker_subset.py`).
 """
 
 from __future__ import annotations
@@ -154,11 +158,11 @@
         return sent_at <= worker.latest_answered_sent_at and now - sent_at > self._stall_timeout(worker)
 
     def _is_healthy(self, now: float, worker: Worker) -> bool:
-        """Return whether a worker may be sent to: not stalled, and not in backoff after failures."""
+        """Return whether a worker is not stalled and not in backoff; after a backoff it gets one probe at a time."""
         if not worker.in_flight:
             return not worker.is_suspect() or now >= worker.backoff_until
         if worker.is_suspect() and (now < worker.backoff_until or self._outstanding_send_times(now, worker)):
-            return False  # one probe at a time
+            return False
         return not self._is_stalled(now, worker)
 
     def _has_room(self, now: float, worker: Worker) -> bool:
@@ -219,8 +223,8 @@
             + (1 - self._settings.slow_start_min_factor) * max(0.0, now - started) / self._settings.slow_start_duration
         )
 
-    def _effective_latency(self, now: float, worker: Worker) -> float:
-        """Return a worker's latency relative to the usual one, as a factor of the expected wait.
+    def _latency_factor(self, now: float, worker: Worker) -> float:
+        """Return a worker's latency over the usual one, which scales its expected wait.
 
         In a subset each worker gets few requests, so two earlier signs count too: the age of its oldest attempt in
         flight, and the reduced capacity of slow start.
@@ -286,9 +290,9 @@
         By Little's law, the attempts in flight over the rate of responses give the latency to expect. The mean age
         of the attempts must be high as well, since a burst on idle workers has many in flight before the first
         response. Attempts at stalled workers don't count, and one attempt at each worker (three of all gateways
-        together) is always allowed, since with none in flight the measured rate would fall to zero. All classes
-        have one threshold, by the shortest objective: with thresholds of their own, the class with the longest
-        objective would take all capacity.
+        together) is always allowed, since otherwise rejections would lower the measured rate and so cause further
+        rejections. All classes have one threshold, by the shortest objective: with thresholds of their own, the
+        class with the longest objective would take all capacity.
 
         It detects overload that timeouts report too late: slowdowns of all workers, lost capacity, floods and
         retries. Trade-off: requests that take long by nature look like a backlog where objectives are tight.
@@ -343,12 +347,12 @@
 
         `zone` and `cell` restrict the choice. With many gateways, one that used all workers would send to each too
         seldom to learn its latency, and all would prefer the same worker at once. So each gateway uses a subset of
-        its own (`micagate/worker_subset.py`).
+        its own.
         """
         if self.restored_at and zone is None and cell is None and (name := self._pick_restored(now, tried_workers)):
             return name
-        for attempt in range(MAX_SAMPLES):
-            if attempt or zone is not None or cell is not None:
+        for sample_number in range(MAX_SAMPLES):
+            if sample_number or zone is not None or cell is not None:
                 candidates = self._prefer_healthy(now, self._sample(self.usable_count, zone, cell))
                 if self.subset.is_partial:  # limits in slow start hold within subsets only
                     candidates = [worker for worker in candidates if self.warm_up_factor(now, worker) is None]
@@ -364,7 +368,7 @@
         return None
 
     def _pick_restored(self, now: float, tried_workers: set[str]) -> str | None:
-        """Return a worker that was put back in service and has not responded since; None if there is none to use.
+        """Return the name of a worker put back in service that has not responded since; None if there is none to use.
 
         Such a worker could stay unused in a large fleet or during overload, since others look better. It gets one
         request at a time, within its slow-start limit, and after `RESTORED_WORKER_MAX_WAIT_SECONDS` beyond it.
@@ -394,7 +398,7 @@
         loss_cost = max(STALL, klass.aim / max(self.usual_latency(klass), 1e-6)) if must_run_once else STALL
         waits = self._paced(now, klass, eligible) if self._shares.worker_capacities else None
         waits = waits or [
-            self._effective_latency(now, worker)
+            self._latency_factor(now, worker)
             * (1 + len(self._outstanding_send_times(now, worker)))
             * self._zone_factor(worker)
             for worker in eligible
@@ -472,7 +476,7 @@
     def loses_class(self, now: float, name: str, klass: interface.RequestClass) -> bool:
         """Return whether a worker loses much of a class while another loses little.
 
-        Its timeouts then indicate lost responses, not load. Otherwise a lossy network path or a half-dead worker
+        Its timeouts then indicate lost responses, not load. Otherwise a lossy network path or a failing worker
         would lower the rate of the whole fleet, and the throttle would reject the retries of the lost requests.
         Trade-off: a single overloaded worker is no longer detected by timeouts, only by late responses and by
         rejections.
--- a/micagate/settings_keys.py
+++ b/micagate/settings_keys.py
@@ -56,6 +56,7 @@
 NO_PEER_MESSAGES = "gateways exchange no messages"
 NO_TARIFFS = "decisions depend on latency objectives, importance, quotas and rules, not on tariffs"
 
+# By key; `[]` stands for each item of a list.
 FACTS: Mapping[str, SettingKey] = {
     "Caps.Cancel": SettingKey("flag", "whether attempts that are no longer needed are cancelled, also by hedges"),
     "Caps.ConnectTimeoutUs": SettingKey("number", "timeout of a connection attempt", required=False),
--- a/micagate/throttle.py
+++ b/micagate/throttle.py
@@ -133,7 +133,7 @@
         self.warm_up_factor = warm_up_factor
 
     def advance(self, now: float) -> None:
-        """Activate, update or deactivate the throttle if due. Every other method that needs the state calls it."""
+        """Activate or deactivate the throttle, or update its leak rate, if due."""
         if not self.active:
             self._discard_before(now - MEASUREMENT_PERIOD_SECONDS)
             # Only the time since the first request counts: over a whole period the rate would be far too low.
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -21,7 +21,7 @@
 
 
 class _WorkerCounts:
-    """The counts of one worker since the last report; the fields are those of `interface.WorkerLoad`."""
+    """The counts of one worker since the last report; `in_flight_seconds` is `busy` in `interface.WorkerLoad`."""
 
     __slots__ = ("sent", "answered", "load", "in_flight_seconds", "refused", "missed", "failed", "updated_at")
 
--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -54,9 +54,9 @@
     assert not WorkerSubset(None, 40).is_partial and WorkerSubset(0, 3).reachable_count == 0
 
 
-@pytest.mark.parametrize("cold", [0, 36])
-def test_subsets_keep_their_warm_workers_in_a_mass_replacement(cold):
-    entries = [interface.WorkerEntry(f"w{n}", started=0.0 if n < cold else None) for n in range(60)]
+@pytest.mark.parametrize("restarted_count", [0, 36])
+def test_subsets_keep_their_warm_workers_in_a_mass_replacement(restarted_count):
+    entries = [interface.WorkerEntry(f"w{n}", started=0.0 if n < restarted_count else None) for n in range(60)]
     for number in range(0, 40, 7):
         fleet = gateway(number, entries)
         fleet.pick(0.1, READ, set())
@@ -73,14 +73,14 @@
     for n in range(36):
         cluster.restart(f"w{n:02}")
     cluster.clock.run(16.0)
-    cold = [f"w{n:02}" for n in range(36)]
-    for name in cold:
+    restarted = [f"w{n:02}" for n in range(36)]
+    for name in restarted:
         times = [(now, work / warm.speed) for now, where, work in cluster.sent if where == name]
         for begin, _ in times:
             share = 0.25 + 0.75 * (begin - 6.0) / 10.0
             assert sum(w for t, w in times if begin <= t < begin + 3.0) <= 2 * share * 2 * 3.0
-    cold_share = sum(where in cold for _, where, _ in cluster.sent) / len(cluster.sent)
-    assert cold_share > 0.08  # the replaced workers get a part of the traffic
+    restarted_share = sum(where in restarted for _, where, _ in cluster.sent) / len(cluster.sent)
+    assert restarted_share > 0.08  # the replaced workers get a part of the traffic
     # Workers in slow start outside the subset get no requests, since no slow-start limit counts these.
     fleet = cluster.gates[0].fleet
     members = {
@@ -124,8 +124,8 @@
         for name in (one, other):
             serve(fleet, step / 5, name)
     fleet.record_sent(3.0, one, ("slow", 0), READ)
-    assert fleet._effective_latency(3.05, fleet.workers[one]) < 1.1
-    assert fleet._effective_latency(3.35, fleet.workers[one]) > 3 > fleet._effective_latency(3.35, fleet.workers[other])
+    assert fleet._latency_factor(3.05, fleet.workers[one]) < 1.1
+    assert fleet._latency_factor(3.35, fleet.workers[one]) > 3 > fleet._latency_factor(3.35, fleet.workers[other])
 
 
 def test_signals_of_a_third_of_a_subset_do_not_activate_the_throttle_and_one_more_does():
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -97,7 +97,7 @@
         (listed.add if is_healthy else listed.discard)(name)
         assert gateway_fleet.pick(step / 100, READ, set()) in listed
     ranks = [worker.rank for worker in gateway_fleet.subset.ring]
-    assert ranks == sorted(ranks) and {worker.entry.worker for worker in gateway_fleet.subset.ring} == listed
+    assert ranks == sorted(ranks) and {usable.entry.worker for usable in gateway_fleet.subset.ring} == listed
 
 
 def test_deterministic_subsets_are_more_even_than_random_ones():
