--- a/micagate/bodies/__init__.py
+++ b/micagate/bodies/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept of long bodies, and what may follow of an attempt that had but a part of one. Pure."""
+"""Buffering of long bodies, and whether a request with such a body can have a further attempt. No I/O."""
--- a/micagate/bodies/buffering.py
+++ b/micagate/bodies/buffering.py
@@ -1,69 +1,71 @@
-"""One bound on the memory of all long bodies, and what is decided by it.
+"""A common memory limit for all long bodies, and the decisions that depend on it.
 
-A long body is passed on while it comes. What has been passed on is kept as well, for a further attempt, as far as
-there is room: then the body behaves like a short one. Where there is none it flows through a window of its own, and
-what has gone by is gone: the attempt that had it is the only one.
+A long body is forwarded while it arrives. As long as there is memory, the forwarded part is also buffered for a further
+attempt, and the body behaves like a short one. Without memory it streams through a window of its own, and the forwarded
+part is dropped: the attempt that got it is the only one. When a further attempt is allowed depends on how far the last
+one got and on the effect of the request:
 
-| of the attempt is known | safe | keyed | unsafe |
+| state of the attempt | `PURE` | `TOKEN` | `SIDE_EFFECT` |
 | --- | --- | --- | --- |
-| not begun | goes | goes | goes |
-| not written whole | again, where all is kept | the same | the same: it never ran |
-| written whole, turned away | again, where all is kept | the same | the same |
-| written whole, may have run | again, where all is kept | in its window, where all is kept | never |
-| its answer has begun | never | never | never |
-
-The last row but one is the module's own rule for all requests; this adds `kept` to it, and the last row.
+| not begun | yes | yes | yes |
+| not written completely | if all is buffered | the same | the same: it never ran |
+| written completely, rejected | if all is buffered | the same | the same |
+| written completely, may have run | if all is buffered | in its window, if all is buffered | never |
+| response has begun | never | never | never |
+
+The row "may have run" is the gateway's rule for all requests; this module adds that the body must be buffered, and the
+last row.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-LONGEST = 48 * 1024 * 1024  # bytes of a body, unless set otherwise
-HELD = 24 * 1024 * 1024  # bytes that all long bodies hold beyond their windows, unless set otherwise
-WINDOW = 128 * 1024  # bytes of a body that may wait to go on where nothing more can be kept
-FIRST = 1024 * 1024  # bytes that are gathered before a body that still comes is passed on, while there is room
+LONGEST = 48 * 1024 * 1024  # default limit of a body in bytes
+HELD = 24 * 1024 * 1024  # default limit, in bytes, of what all long bodies buffer beyond their windows
+WINDOW_BYTES = 128 * 1024  # bytes of a body that may wait to be forwarded when nothing more can be buffered
+MIN_GATHERED_BYTES = 1024 * 1024  # bytes gathered before an incomplete body is forwarded, while there is memory
 
 
 class Budget:
-    """The bytes that all long bodies together may hold beyond their windows.
+    """The bytes that all long bodies together may buffer beyond their windows.
 
-    `waits` are called, each once, when some are given back: those who could take none.
+    Callers that got none can register a callback for when some are released; each is called once.
     """
 
     def __init__(self, most: int) -> None:
         self.most, self.held = most, 0
-        self._waits: list[Callable[[], None]] = []
+        self._waiters: list[Callable[[], None]] = []
 
     def take(self, size: int) -> bool:
-        """Take so many, or none."""
+        """Acquire `size` bytes; return False, and acquire none, if they are not available."""
         if self.held + size > self.most:
             return False
         self.held += size
         return True
 
     def give(self, size: int) -> None:
-        """Give so many back."""
+        """Release `size` bytes and call the waiting callbacks."""
         self.held -= size
-        if size and self._waits:
-            waits, self._waits = self._waits, []
-            for wait in waits:
-                wait()
+        if size and self._waiters:
+            waiters, self._waiters = self._waiters, []
+            for waiter in waiters:
+                waiter()
 
-    def wait(self, call: Callable[[], None]) -> None:
-        """Be called once there is more."""
-        self._waits.append(call)
+    def wait(self, callback: Callable[[], None]) -> None:
+        """Register a callback for the next release."""
+        self._waiters.append(callback)
 
 
 def begins(size: int, whole: bool, scarce: bool) -> bool:
-    """Whether a body of which `size` bytes have come is to be passed on now.
+    """Return whether to start forwarding a body of which `size` bytes have arrived.
 
-    Sooner where memory is scarce: what flows holds a window only. Later is better for the rest: a worker's
-    connection and a customer's place are not held by a slow sender.
+    Earlier when memory is scarce, since a streaming body holds only a window. Otherwise later is better: a slow sender
+    then occupies neither a connection to a worker nor a concurrency slot of the customer.
     """
-    return whole or size >= FIRST or scarce
+    return whole or size >= MIN_GATHERED_BYTES or scarce
 
 
 def reads_on(waiting: int, scarce: bool) -> bool:
-    """Whether more of a body is read, with so many bytes waiting to go on."""
-    return not scarce or waiting < WINDOW
+    """Return whether to read more of a body of which `waiting` bytes wait to be forwarded."""
+    return not scarce or waiting < WINDOW_BYTES
--- a/micagate/counting/__init__.py
+++ b/micagate/counting/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas counted on a service that all gateways share: whom to count, the stores on it, what it bears. No I/O."""
+"""Quotas counted on a counter service that all gateways share. No I/O."""
--- a/micagate/counting/budget.py
+++ b/micagate/counting/budget.py
@@ -1,13 +1,14 @@
-"""How much one gateway may ask of a counter that all share and that bears few calls, learned from its answers.
+"""Limit on one gateway's calls to the shared counter, which has little capacity, adapted to its latency.
 
-The level says whom to count: customers stand in one order that all gateways reckon alike, and those below it are
-counted. A customer that some gateways count and others do not is worse off than one that none counts, so that what
-matters most is that all have one level. It follows the time that answers take, on average over the last ones: all
-gateways see one line, and what each saw before is soon forgotten. (A level that each raises by steps and lowers by a
-factor, as congestion windows are, drifted apart by a fifth of itself within 20 s: no gateway sees enough answers.)
+The level decides which customers are counted: customers have an order that is the same at all gateways, and those below
+the level are counted. A customer that only some gateways count is worse off than one that none counts, so the levels of
+all gateways have to agree. The level therefore follows the average latency of the latest responses: all gateways see
+the same queue, and earlier observations are soon forgotten. (A level with additive increase and multiplicative
+decrease, as in congestion control, diverged between gateways by a fifth of itself within 20 s, because no gateway
+sees enough responses.)
 
-A counter that answers nothing at all, not even late, is silent, not crowded: the level stays, and only now and then
-a call looks whether it is back.
+A counter that answers nothing at all, not even late, is unresponsive rather than overloaded: the level stays, and only
+an occasional call probes whether it is back.
 """
 
 from __future__ import annotations
@@ -17,58 +18,73 @@
 
 from micagate import interface
 
-LAST = 20  # answers that the average goes back (ours)
-EASY, LEAST = 0.33, 0.02  # of the wait: what answers take while the level is full; what is left of that at least (ours)
-STEEP = 0.25  # waits by which the average is longer where the level is down to a third (ours)
-MISSED = 2.0  # waits: what counts for an answer that did not come in time
-SLOW = 0.5  # of the wait: an answer that takes longer is late
-HOLD, ROW = 0.1, 3  # seconds, and up to thrice that, without calls after so many in a row that were late (ours)
-SILENT, UNHEARD = 0.25, 3  # seconds without an answer, and calls: then it is silent
-LOOK = 0.4  # seconds between looks at a silent counter, at random up to twice that
+AVERAGING_RESPONSE_COUNT = 20  # number of responses over which the latency is averaged
+# Mean latency, relative to the timeout, up to which the level is full, and the smallest fraction of the full level.
+FULL_LEVEL_LATENCY_RATIO, MIN_LEVEL_RATIO = 0.33, 0.02
+LEVEL_DECAY_LATENCY_RATIO = 0.25  # increase of the mean latency, relative to the timeout, that divides the level by e
+TIMEOUT_LATENCY_RATIO = 2.0  # latency, relative to the timeout, that a call without a response in time counts as
+SLOW_RESPONSE_RATIO = 0.5  # latency, relative to the timeout, above which a response is slow
+# Shortest pause between calls in seconds (the longest is three times that), and after how many slow responses in a row.
+MIN_PAUSE_SECONDS, PAUSE_AFTER_SLOW_COUNT = 0.1, 3
+# Seconds and number of calls without a response after which the counter is unresponsive.
+UNRESPONSIVE_SECONDS, UNRESPONSIVE_CALL_COUNT = 0.25, 3
+MIN_PROBE_INTERVAL_SECONDS = 0.4  # between probes of an unresponsive counter; random, up to twice that
 
 
 class Budget:
-    """One gateway's level: up to `most`."""
+    """One gateway's level, from near 0 to `most`; `timeout` is that of a call in seconds."""
 
-    def __init__(self, now: float, most: float, wait: float, random: Random) -> None:
-        self.most, self._wait, self._random = most, wait, random
-        self._took = 0.0  # the average, in waits
-        self._heard, self._unheard, self._look = now, 0, now
-        self._row, self._held = 0, now
+    def __init__(self, now: float, most: float, timeout: float, random: Random) -> None:
+        self.most, self._timeout, self._random = most, timeout, random
+        self._mean_latency_ratio = 0.0  # mean latency relative to the timeout
+        self._last_response_at, self._unanswered_count, self._next_probe_at = now, 0, now
+        self._consecutive_slow_count, self._paused_until = 0, now
 
     @property
     def level(self) -> float:
-        """Which customers are counted: those below it in their order."""
-        return self.most * min(1.0, max(LEAST, math.exp((EASY - self._took) / STEEP)))
+        """Customers whose rank is below this are counted."""
+        return self.most * min(
+            1.0,
+            max(
+                MIN_LEVEL_RATIO,
+                math.exp((FULL_LEVEL_LATENCY_RATIO - self._mean_latency_ratio) / LEVEL_DECAY_LATENCY_RATIO),
+            ),
+        )
 
     def heard(self, now: float, status: str, took: float) -> None:
-        """An answer, or that none came in time."""
+        """Record a response and its latency in seconds, or that none arrived in time."""
         if status == interface.LATE_RESPONSE:
-            self._heard, self._unheard = now, 0
-            return  # it counted when it had timed out
-        bad = status != interface.SUCCESS or took > SLOW * self._wait
-        self._row = self._row + 1 if bad else 0
-        if self._row >= ROW:
-            # Guards against a line that stays as long as callers wait, where each call is worked off too late.
-            self._row, self._held = 0, now + HOLD * (1 + 2 * self._random.random())
+            self._last_response_at, self._unanswered_count = now, 0
+            return  # its latency was counted when it timed out
+        slow = status != interface.SUCCESS or took > SLOW_RESPONSE_RATIO * self._timeout
+        self._consecutive_slow_count = self._consecutive_slow_count + 1 if slow else 0
+        if self._consecutive_slow_count >= PAUSE_AFTER_SLOW_COUNT:
+            # Without a pause a queue as long as the timeout would persist, in which each call is served too late.
+            self._consecutive_slow_count, self._paused_until = (
+                0,
+                now + MIN_PAUSE_SECONDS * (1 + 2 * self._random.random()),
+            )
         if status in (interface.TIMED_OUT, interface.UNREACHABLE):
-            self._unheard += 1
+            self._unanswered_count += 1
         else:
-            self._heard, self._unheard = now, 0
-        if not self.silent(now):
-            self._took += ((took / self._wait if status == interface.SUCCESS else MISSED) - self._took) / LAST
+            self._last_response_at, self._unanswered_count = now, 0
+        if not self.is_unresponsive(now):
+            self._mean_latency_ratio += (
+                (took / self._timeout if status == interface.SUCCESS else TIMEOUT_LATENCY_RATIO)
+                - self._mean_latency_ratio
+            ) / AVERAGING_RESPONSE_COUNT
 
-    def silent(self, now: float) -> bool:
-        """Whether nothing has been answered lately."""
-        return self._unheard >= UNHEARD and now - self._heard > SILENT
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether the counter has answered nothing lately."""
+        return self._unanswered_count >= UNRESPONSIVE_CALL_COUNT and now - self._last_response_at > UNRESPONSIVE_SECONDS
 
     def may(self, now: float) -> bool:
-        """Whether a call may be made now; of a silent counter only a look."""
-        if now < self._held:
+        """Return whether a call may be made now; to an unresponsive counter only a probe may."""
+        if now < self._paused_until:
             return False
-        if not self.silent(now):
+        if not self.is_unresponsive(now):
             return True
-        if now < self._look:
+        if now < self._next_probe_at:
             return False
-        self._look = now + LOOK * (1 + self._random.random())
+        self._next_probe_at = now + MIN_PROBE_INTERVAL_SECONDS * (1 + self._random.random())
         return True
--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -1,4 +1,4 @@
-"""One gateway's calls to the counter: what is asked of it, and what its answers say of tries that wait for them."""
+"""Calls of one gateway to the shared counter, and what the results mean for the requests that wait for them."""
 
 from __future__ import annotations
 
@@ -11,206 +11,247 @@
 from micagate.accounts import Account
 from micagate.counting.budget import Budget
 from micagate.counting.stores import (
-    EPOCH,
-    LAG,
-    LIFE,
-    PLACE,
-    ROUNDED,
-    Place,
-    before,
-    doubled,
-    fraction,
-    judge,
-    place,
-    split,
+    CORRECTION_LAG_RATIO,
+    COUNTER_TTL_SECONDS,
+    EPOCH_SECONDS,
+    ROUNDING_ERROR_SECONDS,
+    SLOT_AMOUNT,
+    CounterEpoch,
+    duplicate_correction,
+    epoch_at,
+    evaluate_total,
+    previous_epoch,
+    rank_fraction,
+    split_total,
 )
 
-ASKED = 2 / 3  # of all that may be counted: the most that is (ours)
-MOST = 1000  # names of which calls are remembered that have timed out
-TRY, KEPT, RIGHT, BACK, OLD = "try", "kept", "right", "back", "old"
+MAX_COUNTED_RATIO = 2 / 3  # largest counted fraction of the plans that qualify
+MAX_TIMED_OUT_COUNTERS = 1000  # counter names whose timed out calls are kept
+# Kinds of calls: a request that waits for the result, one that does not, a correction of a number, a refund of an
+# earlier addition, and a read of the number of the previous epoch.
+ADMISSION_CALL, RECORD_CALL, CORRECTION_CALL, REFUND_CALL, PREVIOUS_EPOCH_CALL = "try", "kept", "right", "back", "old"
 
 
 @dataclass(slots=True)
 class Call:
-    """A call until its answer: of a try that waits or does not, to put a number right, to take back, or to
-    read the number that stood before."""
+    """A call to the counter that awaits its result; `kind` is one of the constants above."""
 
     kind: str
     account: Account
-    where: Place
+    epoch: CounterEpoch
     amount: float
     request: str = ""
-    sent: bool = False  # the try went on, whatever was said of the call
+    sent: bool = False  # the request was sent to a worker, whatever the result of the call
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the counter says of a try that waited: whether it is inside its quota; None: it said nothing."""
+    """Whether a request that waited for the counter is within its quota; `inside` is None if there is no answer."""
 
     call: Call
     inside: bool | None
 
 
 class Counting:
-    """The calls that are out, and what they become."""
+    """Decides which requests are counted, makes the calls and interprets their results."""
 
     def __init__(self, settings: interface.Settings, now: float, offset: float, random: Random) -> None:
-        self._offset, self._number = offset, settings.number
-        self._gateways = settings.gateways
-        self._longest = max(c.deadline for c in settings.classes)
-        order = self._order(settings.plans) if settings.counter_timeout else []
+        self._offset, self._gateway_number = offset, settings.number
+        self._gateway_count = settings.gateways
+        self._longest_deadline = max(c.deadline for c in settings.classes)
+        order = self._rank_plans(settings.plans) if settings.counter_timeout else []
         self.ranks = {name: rank for rank, name in enumerate(order)}
-        self.budget = Budget(now, ASKED * len(order), settings.counter_timeout or 1.0, random)
-        self._out: dict[int, deque[Call]] = {}  # by name: answers for one come in the order of the calls
-        self._late: OrderedDict[int, deque[Call]] = OrderedDict()  # those that have timed out, in their order
-        self._again: list[Call] = []
-        self.actions: list[interface.CounterAdd] = []  # asked for since they were last taken
+        self.budget = Budget(now, MAX_COUNTED_RATIO * len(order), settings.counter_timeout or 1.0, random)
+        self._in_flight: dict[
+            int, deque[Call]
+        ] = {}  # by counter name; results for one name arrive in the order of the calls
+        self._timed_out: OrderedDict[int, deque[Call]] = OrderedDict()  # timed out calls, oldest name first
+        self._retry_queue: list[Call] = []
+        self.actions: list[interface.CounterAdd] = []  # calls to make, collected by the gateway
 
     def clock(self, offset: float) -> None:
-        """The clock's offset to Unix time, as the process that this one follows has it: epochs stay the same."""
+        """Set the offset of the clock to Unix time to that of the predecessor, so that epochs stay the same."""
         self._offset = offset
 
     @staticmethod
-    def _order(plans: Sequence[interface.Plan]) -> list[str]:
-        """The plans whose tries beyond the quota cost more than they earn, those first that cost most.
+    def _rank_plans(plans: Sequence[interface.Plan]) -> list[str]:
+        """Return the plans to count: excess requests cost more than they earn; the most costly plans come first.
 
-        Under a ceiling only where that leaves room for what the counter may lose: what is counted stays within the
-        quota, once more where the counter has forgotten it, and what is not has the rest of the rate.
+        A plan with a ceiling qualifies only if the ceiling leaves room for a counter that loses its state: counted
+        requests stay within the quota, or within twice that if the counter was reset, and those that are not counted
+        use the rest of the ceiling's rate.
         """
-        asked = [
-            p
-            for p in plans
-            if p.rate
-            and p.excess_cost > p.excess_revenue
+        counted_plans = [
+            plan
+            for plan in plans
+            if plan.rate
+            and plan.excess_cost > plan.excess_revenue
             and (
-                not p.ceiling_rate
-                or p.ceiling_rate >= 2 * p.rate
-                and p.ceiling_capacity + p.ceiling_slack >= 2 * p.burst
+                not plan.ceiling_rate
+                or plan.ceiling_rate >= 2 * plan.rate
+                and plan.ceiling_capacity + plan.ceiling_slack >= 2 * plan.burst
             )
         ]
-        asked.sort(key=lambda p: -p.price * p.excess_cost)
-        return [p.name for p in asked]
+        counted_plans.sort(key=lambda plan: -plan.price * plan.excess_cost)
+        return [plan.name for plan in counted_plans]
 
-    def counts(self, now: float, a: Account, first: int = 0) -> bool:
-        """Whether a try is counted: all sends of its customer, by all gateways, or none.
+    def counts(self, now: float, account: Account, first: int = 0) -> bool:
+        """Return whether a request is counted; either all gateways count a customer's requests or none does.
 
-        Under a ceiling its part here is empty as long as it is counted, and fills only from where it isn't, or its
-        counts have no answer, with what the ceiling's rate is above the quota's: with what others count meanwhile
-        that makes no more than the ceiling. All parts together hold what the ceiling's store has beyond two bursts of
-        the quota, one of them for a counter that forgets; where that is less than a request for each gateway, whole
-        requests for the first of them. `first` is the number of the first gateway of the customer's set.
+        Under a ceiling the local balance is empty while the customer is counted. While it is not counted, or its calls
+        get no answer, the balance refills at the difference between the ceiling's rate and the quota's: together with
+        what other gateways count meanwhile this stays within the ceiling. All local balances together hold the
+        ceiling's capacity minus two bursts of the quota, one of which allows for a counter that was reset. If that is
+        less than a request per gateway, the first gateways of the customer's set get whole requests. `first` is the
+        number of the first of them.
         """
-        rank = self.ranks.get(a.plan.name)
-        # Guards against starving: with a counter that bears little most of such customers are left to these parts.
-        left = a.plan.ceiling_capacity + a.plan.ceiling_slack - 2 * a.plan.burst
-        bears = not a.plan.ceiling_rate or left >= a.gateway_count
-        a.uses_counter = (
-            rank is not None and bears and a.quota_estimate.has_thin_share() and a.rate_divisor == a.gateway_count
+        rank = self.ranks.get(account.plan.name)
+        # Avoids starvation: if the counter has little capacity, most such customers depend on their local balances.
+        spare_capacity = account.plan.ceiling_capacity + account.plan.ceiling_slack - 2 * account.plan.burst
+        has_spare_ceiling = not account.plan.ceiling_rate or spare_capacity >= account.gateway_count
+        account.uses_counter = (
+            rank is not None
+            and has_spare_ceiling
+            and account.quota_estimate.has_thin_share()
+            and account.rate_divisor == account.gateway_count
         )
-        if rank is None or not a.uses_counter:
+        if rank is None or not account.uses_counter:
             return False
-        asks = rank + fraction(a.key) < self.budget.level and self.budget.may(now)
-        if not asks and a.counter_unresponsive_since is None:
-            a.counter_unresponsive_since = now
-        if a.plan.ceiling_rate:
-            if a.counter_unresponsive_since is None or a.ceiling_filled_until < a.counter_unresponsive_since:
-                a.ceiling_balance = 0.0
-            if a.counter_unresponsive_since is not None:
-                holders = min(a.gateway_count, int(left / max(1.0, a.largest_request)))
-                if self._number is not None and (self._number - first) % self._gateways < holders:
+        calls_counter = rank + rank_fraction(account.key) < self.budget.level and self.budget.may(now)
+        if not calls_counter and account.counter_unresponsive_since is None:
+            account.counter_unresponsive_since = now
+        if account.plan.ceiling_rate:
+            if (
+                account.counter_unresponsive_since is None
+                or account.ceiling_filled_until < account.counter_unresponsive_since
+            ):
+                account.ceiling_balance = 0.0
+            if account.counter_unresponsive_since is not None:
+                holders = min(account.gateway_count, int(spare_capacity / max(1.0, account.largest_request)))
+                if self._gateway_number is not None and (self._gateway_number - first) % self._gateway_count < holders:
                     rate, since = (
-                        a.plan.ceiling_rate - a.plan.rate,
-                        max(a.ceiling_filled_until, a.counter_unresponsive_since),
+                        account.plan.ceiling_rate - account.plan.rate,
+                        max(account.ceiling_filled_until, account.counter_unresponsive_since),
                     )
-                    a.ceiling_balance = min(left / holders, a.ceiling_balance + (now - since) * rate / holders)
-            a.ceiling_filled_until = now
-        return asks
+                    account.ceiling_balance = min(
+                        spare_capacity / holders, account.ceiling_balance + (now - since) * rate / holders
+                    )
+            account.ceiling_filled_until = now
+        return calls_counter
 
-    def ask(self, now: float, a: Account, units: float, request: str = "") -> None:
-        """Count a try; one that waits for the answer names its request."""
-        amount = units / a.plan.rate + (PLACE if a.plan.concurrency_limit else 0.0)
-        self._call(Call(TRY if request else KEPT, a, place(now, self._offset, a.key), amount, request))
+    def ask(self, now: float, account: Account, units: float, request: str = "") -> None:
+        """Count a request; `request` is the name of one that waits for the result."""
+        amount = units / account.plan.rate + (SLOT_AMOUNT if account.plan.concurrency_limit else 0.0)
+        self._call(
+            Call(
+                ADMISSION_CALL if request else RECORD_CALL,
+                account,
+                epoch_at(now, self._offset, account.key),
+                amount,
+                request,
+            )
+        )
 
     def leave(self, call: Call) -> None:
-        """A try that was counted and sent on is out no more."""
+        """Release the concurrency slot of a counted request that has ended."""
         if call.account.plan.concurrency_limit:
-            self._call(Call(BACK, call.account, call.where, -PLACE))
+            self._call(Call(REFUND_CALL, call.account, call.epoch, -SLOT_AMOUNT))
 
     def give_back(self, call: Call) -> None:
-        """A try that was counted is not sent on."""
-        self._call(Call(BACK, call.account, call.where, -call.amount))
+        """Refund a counted request that is not sent."""
+        self._call(Call(REFUND_CALL, call.account, call.epoch, -call.amount))
 
     def retry(self) -> None:
-        """Make calls again that were turned away and that something stays taken without; a few at a time."""
-        for call in self._again[:2]:
+        """Repeat up to two calls that were rejected and without which units or slots would stay taken."""
+        for call in self._retry_queue[:2]:
             self._call(call)
-        del self._again[:2]
+        del self._retry_queue[:2]
 
     def _call(self, call: Call) -> None:
-        self._out.setdefault(call.where.name, deque()).append(call)
-        self.actions.append(interface.CounterAdd(call.where.name, call.amount, LIFE))
+        self._in_flight.setdefault(call.epoch.name, deque()).append(call)
+        self.actions.append(interface.CounterAdd(call.epoch.name, call.amount, COUNTER_TTL_SECONDS))
 
     def answered(self, now: float, event: interface.CounterResult) -> Verdict | None:
-        """Follow an answer; the verdict on the try that waited for it, if one did."""
-        table = self._late if event.status == interface.LATE_RESPONSE else self._out
+        """Process a result; return the verdict on the request that waited for it, if any."""
+        table = self._timed_out if event.status == interface.LATE_RESPONSE else self._in_flight
         calls = table.get(event.name)
         if not calls:
             return None
         call = calls.popleft()
         if not calls:
             del table[event.name]
-        a = call.account
+        account = call.account
         self.budget.heard(now, event.status, event.took)
         if event.status == interface.SUCCESS:
-            a.counter_unresponsive_since = None
-        elif a.counter_unresponsive_since is None:
-            a.counter_unresponsive_since = now
-        if event.status == interface.LATE_RESPONSE and call.kind == TRY and not call.sent:
-            self.give_back(call)  # guards against places and units that stay taken for a try that was refused
+            account.counter_unresponsive_since = None
+        elif account.counter_unresponsive_since is None:
+            account.counter_unresponsive_since = now
+        if event.status == interface.LATE_RESPONSE and call.kind == ADMISSION_CALL and not call.sent:
+            self.give_back(call)  # the request was refused: frees its slot and units
         elif event.status == interface.TIMED_OUT:
-            self._late.setdefault(event.name, deque()).append(call)
-            if len(self._late) > MOST:  # where none is told late they would pile up
-                self._late.popitem(last=False)
-            if call.kind == TRY and now - call.where.begin < a.plan.burst / a.plan.rate:
-                # Guards against an epoch whose first call was this one: nobody would hand over. Harm: it is done twice.
-                self._call(Call(OLD, a, before(call.where, self._offset, a.key), 0.0))
+            self._timed_out.setdefault(event.name, deque()).append(call)
+            if len(self._timed_out) > MAX_TIMED_OUT_COUNTERS:  # bounds the table if late results are never reported
+                self._timed_out.popitem(last=False)
+            if call.kind == ADMISSION_CALL and now - call.epoch.started_at < account.plan.burst / account.plan.rate:
+                # This may have been the first call of the epoch, and then nobody would carry over the number of the
+                # previous one. Trade-off: it may be carried over twice.
+                self._call(
+                    Call(PREVIOUS_EPOCH_CALL, account, previous_epoch(call.epoch, self._offset, account.key), 0.0)
+                )
         elif (
             event.status in (interface.OVERLOADED, interface.UNREACHABLE)
-            and call.kind == BACK
-            and now < call.where.begin + LIFE
+            and call.kind == REFUND_CALL
+            and now < call.epoch.started_at + COUNTER_TTL_SECONDS
         ):
-            self._again.append(call)
+            self._retry_queue.append(call)
         if event.status != interface.SUCCESS:
-            return Verdict(call, None) if call.kind == TRY and event.status != interface.LATE_RESPONSE else None
+            return (
+                Verdict(call, None) if call.kind == ADMISSION_CALL and event.status != interface.LATE_RESPONSE else None
+            )
         self.retry()
-        elapsed, depth = now - call.where.begin, a.plan.burst / a.plan.rate
-        if call.kind == BACK:
+        elapsed, burst_seconds = now - call.epoch.started_at, account.plan.burst / account.plan.rate
+        if call.kind == REFUND_CALL:
             return None
-        places, stands = split(event.total)
-        if call.kind == OLD:
-            if (ahead := stands - EPOCH) > ROUNDED:
-                self._call(Call(BACK, a, place(now, self._offset, a.key), ahead))
+        total_slots, total_seconds = split_total(event.total)
+        if call.kind == PREVIOUS_EPOCH_CALL:
+            if (ahead := total_seconds - EPOCH_SECONDS) > ROUNDING_ERROR_SECONDS:
+                self._call(Call(REFUND_CALL, account, epoch_at(now, self._offset, account.key), ahead))
             return None
-        if call.kind == RIGHT:
-            if wrong := doubled(event.total, call.amount, elapsed, depth):
-                self._call(Call(BACK, a, call.where, -wrong))
+        if call.kind == CORRECTION_CALL:
+            if duplicate := duplicate_correction(event.total, call.amount, elapsed, burst_seconds):
+                self._call(Call(REFUND_CALL, account, call.epoch, -duplicate))
             return None
-        taken, amount = split(call.amount)
-        stood, others = stands - amount, places - taken
-        early, behind = judge(stood, amount, elapsed, depth)
-        if stood <= ROUNDED and not others and elapsed < depth:
-            # Guards against a new epoch's number being taken for a full store: whoever is first hands over.
-            self._call(Call(OLD, a, before(call.where, self._offset, a.key), 0.0))
-        # Guards against places that gateways which died have left taken, where nothing was sent on for so long; and
-        # against those that were given back to a counter which had forgotten that they were taken.
-        gone = others if others < 0 or behind > self._longest + depth * LAG else 0
-        if gone or behind > depth * LAG:
-            self._call(Call(RIGHT, a, call.where, (behind if behind > depth * LAG else 0.0) - gone * PLACE))
-        if early > 0:
-            a.ceiling_full_until = now + early
-        if call.kind == KEPT:
+        call_slots, call_seconds = split_total(call.amount)
+        previous_seconds, other_slots = total_seconds - call_seconds, total_slots - call_slots
+        excess_seconds, lag_seconds = evaluate_total(previous_seconds, call_seconds, elapsed, burst_seconds)
+        if previous_seconds <= ROUNDING_ERROR_SECONDS and not other_slots and elapsed < burst_seconds:
+            # The first call of an epoch carries over the previous number; otherwise a new epoch would look like a full
+            # bucket.
+            self._call(Call(PREVIOUS_EPOCH_CALL, account, previous_epoch(call.epoch, self._offset, account.key), 0.0))
+        # Corrects slots that crashed gateways left occupied, seen by nothing having been sent for long, and slots that
+        # were released on a counter which had lost their acquisition.
+        leaked_slots = (
+            other_slots
+            if other_slots < 0 or lag_seconds > self._longest_deadline + burst_seconds * CORRECTION_LAG_RATIO
+            else 0
+        )
+        if leaked_slots or lag_seconds > burst_seconds * CORRECTION_LAG_RATIO:
+            self._call(
+                Call(
+                    CORRECTION_CALL,
+                    account,
+                    call.epoch,
+                    (lag_seconds if lag_seconds > burst_seconds * CORRECTION_LAG_RATIO else 0.0)
+                    - leaked_slots * SLOT_AMOUNT,
+                )
+            )
+        if excess_seconds > 0:
+            account.ceiling_full_until = now + excess_seconds
+        if call.kind == RECORD_CALL:
             return None
-        inside = early <= 0 and (not taken or others - gone < int(a.plan.concurrency_limit))
+        inside = excess_seconds <= 0 and (
+            not call_slots or other_slots - leaked_slots < int(account.plan.concurrency_limit)
+        )
         if not inside:
             self.give_back(call)
         return Verdict(call, inside)
--- a/micagate/counting/stores.py
+++ b/micagate/counting/stores.py
@@ -1,13 +1,13 @@
-"""A customer's whole store of units as one number on a counter that only adds.
+"""A customer's token bucket as a single number on a shared counter that can only add.
 
-The number is the theoretical arrival time of GCRA (ITU-T I.371, annex A), in seconds since the beginning of an
-epoch that all gateways reckon alike: each try adds what it takes the rate to give its units. Where the number is
-ahead of the clock, that much has to fill; where it is behind, the store is full, and it is put right by a second
-call. The counter gives each call its total, in one order for all, so that each of two gateways that put the same
-number right sees whether it was the first.
+The number is the theoretical arrival time of GCRA (ITU-T I.371, annex A), in seconds since the start of an epoch that
+is the same at all gateways: each request adds the time in which the rate refills its units. If the number is ahead of
+the clock, that much is missing from the bucket; if it is behind, the bucket is full, and a second call corrects the
+number. The counter returns the new total for each call, in one order for all gateways, so that two gateways that
+correct the same number both see which of them was first.
 
-Where a plan caps what is out at once, each try that is out adds `PLACE` to the same number and takes it off at its
-end, so that one call asks for both.
+If the plan has a concurrency limit, each request in flight also adds `SLOT_AMOUNT` to the number and subtracts it when
+it ends, so that one call checks both limits.
 """
 
 from __future__ import annotations
@@ -16,63 +16,74 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-EPOCH, LIFE = 20.0, 50.0  # seconds: how long a number is added to, and how long the counter keeps it (60 at most)
-ROUNDED = 5e-3  # seconds by which totals of seven digits may be wrong, and more
-PLACE = 1000.0  # what a place at once adds to a number, whose seconds stay well below
-BELOW = 200.0  # how far below nothing those seconds may be, after what was taken back
-LAG = 0.5  # of the burst: how far a number may be behind the clock; putting it right costs a call (ours)
+# How long a number is added to, and how long the counter keeps it (at most 60), both in seconds.
+EPOCH_SECONDS, COUNTER_TTL_SECONDS = 20.0, 50.0
+ROUNDING_ERROR_SECONDS = 5e-3  # exceeds the rounding error of totals, which have seven digits
+SLOT_AMOUNT = 1000.0  # what one concurrency slot adds to a number; its seconds stay well below that
+MAX_NEGATIVE_SECONDS = 200.0  # how far below 0 the seconds of a number may be after refunds
+CORRECTION_LAG_RATIO = 0.5  # lag behind the clock, as a fraction of the burst, that is worth a call to correct
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a customer's number is now: its name, and when its epoch began, on the gateway's clock."""
+class CounterEpoch:
+    """Name of a customer's number in one epoch, and the start of the epoch on the gateway's clock."""
 
     name: int
-    begin: float
+    started_at: float
 
 
-def place(now: float, offset: float, key: str) -> Place:
-    """The number of a customer at `now`; `offset` turns the gateway's clock into the one that all share.
+def epoch_at(now: float, clock_offset: float, key: str) -> CounterEpoch:
+    """Return a customer's epoch at `now`; `clock_offset` added to the gateway's clock gives the shared clock.
 
-    Each customer's epochs begin at a moment of its own. Guards against all numbers of all customers starting
-    anew together, which would let each burst once more at one instant.
+    The epochs of each customer start at a different time. Otherwise the numbers of all customers would be reset
+    together, and each could burst once more at that instant.
     """
     digest = int.from_bytes(blake2b(key.encode(), digest_size=6).digest(), "big")
-    phase = digest % 4096 / 4096 * EPOCH
-    epoch = (now + offset - phase) // EPOCH
+    phase = digest % 4096 / 4096 * EPOCH_SECONDS
+    epoch = (now + clock_offset - phase) // EPOCH_SECONDS
     name = int.from_bytes(blake2b(f"{epoch:.0f}/{key}".encode(), digest_size=6).digest(), "big")
-    return Place(name, epoch * EPOCH + phase - offset)
+    return CounterEpoch(name, epoch * EPOCH_SECONDS + phase - clock_offset)
 
 
-def fraction(key: str) -> float:
-    """Where a customer stands among those of its plan, from 0 to 1, for all gateways alike."""
+def rank_fraction(key: str) -> float:
+    """Return a customer's position within its plan, from 0 to 1, which is the same at all gateways."""
     return int.from_bytes(blake2b(key.encode(), digest_size=6, person=b"order").digest(), "big") / 2**48
 
 
-def before(where: Place, offset: float, key: str) -> Place:
-    """The number that stood before this one."""
-    return place(where.begin - EPOCH / 2, offset, key)
+def previous_epoch(epoch: CounterEpoch, clock_offset: float, key: str) -> CounterEpoch:
+    """Return the epoch before this one."""
+    return epoch_at(epoch.started_at - EPOCH_SECONDS / 2, clock_offset, key)
 
 
-def split(total: float) -> tuple[int, float]:
-    """The places taken and the arrival time in a number."""
-    places = math.floor((total + BELOW) / PLACE)
-    return places, total - places * PLACE
+def split_total(total: float) -> tuple[int, float]:
+    """Split a number into the occupied concurrency slots and the arrival time in seconds."""
+    slots = math.floor((total + MAX_NEGATIVE_SECONDS) / SLOT_AMOUNT)
+    return slots, total - slots * SLOT_AMOUNT
 
 
-def judge(stood: float, amount: float, elapsed: float, depth: float) -> tuple[float, float]:
-    """What a number says: by how long a try came too early (0 or less: it is inside), and how far the number was
-    behind the clock.
+def evaluate_total(previous_seconds: float, amount: float, elapsed: float, burst_seconds: float) -> tuple[float, float]:
+    """Return by how much a request exceeds the quota, and how far the number lagged behind the clock.
 
-    `stood` is the arrival time before the try, `amount` what the try adds to it, `elapsed` the time since the epoch
-    began, `depth` the burst; all seconds.
+    The excess is 0 or less within the quota. `previous_seconds` is the arrival time before the request, `amount` what
+    the request adds to it, `elapsed` the time since the start of the epoch. All values are seconds.
     """
-    return max(stood, elapsed) + amount - elapsed - depth - ROUNDED, elapsed - stood
-
-
-def doubled(total: float, amount: float, elapsed: float, depth: float) -> float:
-    """What of `amount`, which was to put a number right, is to be taken back: another had done it already."""
-    places, stood = split(total - amount)
-    more, seconds = split(amount)
-    wrong = seconds if seconds > ROUNDED and stood > elapsed - depth * LAG / 2 else 0.0
-    return wrong + (more * PLACE if more > 0 and places >= 0 or more < 0 and places < -more else 0.0)
+    return max(
+        previous_seconds, elapsed
+    ) + amount - elapsed - burst_seconds - ROUNDING_ERROR_SECONDS, elapsed - previous_seconds
+
+
+def duplicate_correction(total: float, amount: float, elapsed: float, burst_seconds: float) -> float:
+    """Return the part of the correction `amount` to take back because another gateway had already made it."""
+    previous_slots, previous_seconds = split_total(total - amount)
+    corrected_slots, corrected_seconds = split_total(amount)
+    duplicate = (
+        corrected_seconds
+        if corrected_seconds > ROUNDING_ERROR_SECONDS
+        and previous_seconds > elapsed - burst_seconds * CORRECTION_LAG_RATIO / 2
+        else 0.0
+    )
+    return duplicate + (
+        corrected_slots * SLOT_AMOUNT
+        if corrected_slots > 0 and previous_slots >= 0 or corrected_slots < 0 and previous_slots < -corrected_slots
+        else 0.0
+    )
--- a/micagate/estimates/__init__.py
+++ b/micagate/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""Estimates of what a gateway cannot see, from what it is told late and what it does itself. They decide nothing."""
+"""Estimates of state that a gateway cannot observe directly. They are inputs to decisions and make none."""
--- a/micagate/estimates/metering.py
+++ b/micagate/estimates/metering.py
@@ -1,12 +1,12 @@
-"""When the meter's periods end and how late it tells of them, learned from its readings and the own sends.
+"""Estimates of a customer's quota over all gateways, from delayed meter readings and this gateway's own sends.
 
-A meter adds up each customer's use over whole periods, and tells of the last one that it has finished. Its period
-is in the settings, its phase and its lateness are not. Both show:
+The meter adds up each customer's use over fixed periods and publishes the use of the last completed period. The
+period is configured; its phase and the publication delay (the lateness) are not. Both are inferred:
 
-- a reading that differs from the one before came out between the two looks at it, so that many customers'
-  readings vote on the moment in a period at which they come out;
-- the use over a period is never less than what this gateway itself sent on in it, so that a lateness under which
-  it would be cannot be right. With many readings only the true one is left.
+- A reading that differs from the previous one was published between the two reads. The readings of many customers
+  together show at which point in the period publication happens.
+- The use in a period is never less than what this gateway itself sent in it. A candidate lateness that contradicts
+  this is wrong; with enough readings only the true one remains.
 """
 
 from __future__ import annotations
@@ -16,138 +16,158 @@
 from collections.abc import Iterator, Sequence
 from statistics import NormalDist
 
-BINS = 32  # moments of a period that are told apart
-GUESSES = 32  # latenesses that are weighed against each other
-STEP, LONGEST = 1 / 8, 3.2  # between two of them, of the period; and the longest of them, seconds
-ROUNDED = 0.006  # of the rate: readings are rounded to whole percents
-NEARLY = 0.2  # of how far the mean is above the least: what still counts as it
-WELL = 0.3  # of the mean: the most that the best may be ruled out
-FIRM = 6  # readings that had something of the own sends in them, before a lateness is believed
-FRESH, PAST = 1.0, 0.5  # seconds of own sends that tell of a customer's rate now, and what the past weighs
-STEADY, USUAL = 3.0, 20.0  # seconds over which its rate, and its usual rate, are averaged
-RUMOUR = 6.0  # seconds in which the latter is forgotten where nothing more is heard and the part is a sliver
-UNSEEN, FIRST = 0.5, 2.0  # of the quota: the use taken for granted before any reading, for so many seconds
-REMEMBER = 8.0  # seconds of metered periods over which a gateway's share is averaged
-CROWD = 0.4  # attempts' times that the past weighs in how many are out now
-EVEN = 0.29  # of the burst: the deviation of a level of which nothing is known
-LITTLE = 3.0  # tries: with no more than that in the store, the others hold back too ...
-TELLING = 4.0  # ... as far as so many gateways do; more of them, each with a sliver, know too little to
-SLIVER, FEW = 2.0, 3  # requests: a part with less says little by itself, but among so few gateways
-STALE = 8.0  # seconds after which a reading tells no more of what a store holds
-LATENESS = 0.8  # seconds by which readings are taken to be late where that is not known and must do
-UNIT_LEARN = 0.1  # weight of a try in the average units
-UNSURE = 0.5  # of what the others are expected to have sent: its deviation beside chance
-SAMPLED = 4  # once it is believed, one reading in so many goes on to weigh it
-# By twentieths of how sure it must be: so many deviations.
-DOUBTS = tuple(NormalDist().inv_cdf(min(0.95, max(0.05, n / 20))) for n in range(21))
+BINS = 32  # intervals into which a period is divided to locate its phase
+LATENESS_CANDIDATE_COUNT = 32  # candidate publication delays that are compared
+# Distance between two candidates as a fraction of the period, and the longest candidate in seconds.
+LATENESS_STEP_RATIO, MAX_LATENESS_SECONDS = 1 / 8, 3.2
+READING_ROUNDING_ERROR = 0.006  # as a fraction of the rate; readings are rounded to whole percents
+NEAR_BEST_TOLERANCE = 0.2  # fraction of the distance from the lowest misfit to the mean that still counts as lowest
+MAX_BEST_MISFIT_RATIO = 0.3  # highest misfit of the best candidate, as a fraction of the mean
+MIN_INFORMATIVE_READINGS = 6  # readings of periods with own sends that are required before a lateness is accepted
+# Time constant of the rate of own sends, and the weight of the usual rate against it, both in seconds.
+OWN_RATE_DECAY_SECONDS, USUAL_RATE_WEIGHT_SECONDS = 1.0, 0.5
+# Time constants over which a customer's metered rate and its usual rate are averaged.
+RATE_DECAY_SECONDS, USUAL_RATE_DECAY_SECONDS = 3.0, 20.0
+# Time constant with which the usual rate returns to its initial value while a thin share gets no readings.
+THIN_SHARE_DECAY_SECONDS = 6.0
+# Use that is assumed before any reading, as a fraction of the quota, and for how many seconds of use it counts.
+UNSEEN, INITIAL_USE_SECONDS = 0.5, 2.0
+SHARE_DECAY_SECONDS = 8.0  # time constant over which a gateway's share of the metered use is averaged
+IN_FLIGHT_PRIOR_WEIGHT = (
+    0.4  # weight of the past rate, in mean attempt durations, in the estimate of in-flight attempts
+)
+MAX_DEVIATION_RATIO = 0.29  # standard deviation of a level of which nothing is known, as a fraction of the burst
+# Requests left in the token bucket below which the other gateways are assumed to send no more than their share.
+LOW_LEVEL_REQUESTS = 3.0
+# Gateways up to which that holds in full; with more, each having a thin share, they know too little to hold back.
+LOW_LEVEL_GATEWAY_COUNT = 4.0
+# A share of less than so many requests is thin: it holds too little to decide by. It never is among few gateways.
+SLIVER, MAX_GATEWAYS_FOR_FULL_SHARE = 2.0, 3
+STALE = 8.0  # age in seconds at which a reading no longer says anything about the current level
+ASSUMED_LATENESS_SECONDS = 0.8  # used for a thin share while the lateness is unknown
+MEAN_UNITS_LEARNING_RATE = 0.1  # weight of a new request in the moving averages per request
+OTHERS_RELATIVE_DEVIATION = 0.5  # standard deviation of the others' expected use relative to it, beside Poisson noise
+WEIGH_EVERY_NTH_READING = 4  # once the lateness is known, only one of so many readings is used to refine it
+# Standard deviations of a normal distribution by confidence, in steps of 1/20.
+CONFIDENCE_DEVIATIONS = tuple(NormalDist().inv_cdf(min(0.95, max(0.05, n / 20))) for n in range(21))
 
 
 class Meter:
-    """One gateway's knowledge of when the meter tells of what.
+    """Phase and lateness of the meter as far as one gateway has inferred them.
 
-    `period` is the meter's, in seconds; 0 where there is no meter, and then nothing is ever known.
+    `period` is the meter's period in seconds. With 0 there is no meter, and nothing is ever inferred.
     """
 
     def __init__(self, period: float) -> None:
         self.period = period
-        self._missed = [0.0] * BINS  # by moment of a period: readings that did not come out there
+        self._phase_misfits = [0.0] * BINS  # by interval of the period: changes that were not published in it
         self._phase: float | None = None
-        self._step = min(period * STEP, LONGEST / GUESSES)
-        self._misfits = [0.0] * GUESSES
-        self._weighed = self._skipped = 0
-        self.late: float | None = None  # from the end of a period to its first reading; None: not known yet
+        self._lateness_step = min(period * LATENESS_STEP_RATIO, MAX_LATENESS_SECONDS / LATENESS_CANDIDATE_COUNT)
+        self._lateness_misfits = [0.0] * LATENESS_CANDIDATE_COUNT
+        self._weighed_count = self._skipped_count = 0
+        self.late: float | None = None  # seconds from the end of a period to its publication; None: unknown
 
-    def changed(self, before: float, now: float) -> None:
-        """A reading that was looked at before and now has changed in between: it came out there.
+    def record_change(self, previous_read_at: float, read_at: float) -> None:
+        """Narrow down the phase: a reading changed between two reads, so it was published between them.
 
-        Looks a period apart tell nothing. What was told fades, so that a meter that starts anew with another
-        phase is followed after some hundred readings.
+        Reads about a period or more apart carry no information. Old evidence decays, so that a meter that restarts
+        with another phase is followed after about a hundred readings.
         """
-        width, size = now - before, self.period / BINS
+        width, size = read_at - previous_read_at, self.period / BINS
         if not 0 < width < self.period - 2 * size:
             return
-        first = int(before / size)
-        count = int(now / size) - first + 1
-        self._missed = [
-            0.99 * missed + ((moment - first) % BINS >= count) for moment, missed in enumerate(self._missed)
+        first = int(previous_read_at / size)
+        count = int(read_at / size) - first + 1
+        self._phase_misfits = [
+            0.99 * missed + ((moment - first) % BINS >= count) for moment, missed in enumerate(self._phase_misfits)
         ]
-        near = _near(self._missed, BINS // 6)
-        self._phase = None if near is None else (near[-1] + 1) * size
+        cluster = _best_cluster(self._phase_misfits, BINS // 6)
+        self._phase = None if cluster is None else (cluster[-1] + 1) * size
 
     def known(self) -> bool:
-        """Whether phase and lateness are both known."""
+        """Return whether phase and lateness are both known."""
         return self.late is not None and self._phase is not None
 
     def out(self, now: float) -> float | None:
-        """When what is read now came out; None while the phase is not known."""
+        """Return when the reading visible at `now` was published; None while the phase is unknown."""
         return None if self._phase is None else now - (now - self._phase) % self.period
 
     def end(self, now: float) -> float | None:
-        """The end of the period that a reading read now tells of; None while that is not known."""
-        out = self.out(now)
-        return None if out is None or self.late is None else out - self.late
-
-    def weigh(self, now: float, used: float, rate: float, times: Sequence[float], sums: Sequence[float]) -> None:
-        """Hold each lateness against a reading and the own sends.
-
-        `times` are those of the own sends, rising; `sums` the units sent up to and with each, in the same
-        places. Those that are needed go back by two periods and `LONGEST`.
+        """Return the end of the period that a reading taken at `now` covers; None while that is unknown."""
+        published_at = self.out(now)
+        return None if published_at is None or self.late is None else published_at - self.late
+
+    def weigh_lateness(
+        self, now: float, used: float, rate: float, sent_times: Sequence[float], cumulative_units: Sequence[float]
+    ) -> None:
+        """Compare each candidate lateness with a reading and this gateway's own sends.
+
+        `used` is the reading as a fraction of `rate`. `sent_times` are the ascending times of the own sends, and
+        `cumulative_units` holds, at the same indexes, the units sent up to and including each. They have to cover the
+        last two periods plus `MAX_LATENESS_SECONDS`.
         """
-        if not times or (out := self.out(now)) is None:
+        if not sent_times or (published_at := self.out(now)) is None:
             return
         if self.late is not None:
-            self._skipped += 1
-            if self._skipped % SAMPLED:
+            self._skipped_count += 1
+            if self._skipped_count % WEIGH_EVERY_NTH_READING:
                 return
-        most = (used + ROUNDED) * rate * self.period
+        max_used_units = (used + READING_ROUNDING_ERROR) * rate * self.period
         scale = max(rate * self.period, 1.0)
-        misfits, told = [], False
-        for guess in range(GUESSES):
-            end = out - guess * self._step
-            own = _between(times, sums, end - self.period, end)
-            told = told or own > 0
-            misfits.append(min(1.0, max(0.0, own - most) / scale))
-        if not told:
+        misfits, informative = [], False
+        for candidate in range(LATENESS_CANDIDATE_COUNT):
+            end = published_at - candidate * self._lateness_step
+            own_units = _units_between(sent_times, cumulative_units, end - self.period, end)
+            informative = informative or own_units > 0
+            misfits.append(min(1.0, max(0.0, own_units - max_used_units) / scale))
+        if not informative:
             return
-        self._weighed += 1
-        keep = 1 - 1 / 200 if self._weighed > 200 else 1.0
-        self._misfits = [old * keep + new for old, new in zip(self._misfits, misfits, strict=True)]
-        near = _near(self._misfits, GUESSES // 4) if self._weighed >= FIRM else None
-        if near is not None:
-            self.late = self._step * sum(near) / len(near)
-
-
-def _between(times: Sequence[float], sums: Sequence[float], begin: float, end: float) -> float:
-    """Units sent on after `begin` and up to `end`, of sends told as to `Meter.weigh`."""
-    upto, since = bisect_right(times, end), bisect_right(times, begin)
-    return (sums[upto - 1] if upto else 0.0) - (sums[since - 1] if since else 0.0)
+        self._weighed_count += 1
+        keep = 1 - 1 / 200 if self._weighed_count > 200 else 1.0
+        self._lateness_misfits = [old * keep + new for old, new in zip(self._lateness_misfits, misfits, strict=True)]
+        cluster = (
+            _best_cluster(self._lateness_misfits, LATENESS_CANDIDATE_COUNT // 4)
+            if self._weighed_count >= MIN_INFORMATIVE_READINGS
+            else None
+        )
+        if cluster is not None:
+            self.late = self._lateness_step * sum(cluster) / len(cluster)
+
+
+def _units_between(times: Sequence[float], sums: Sequence[float], begin: float, end: float) -> float:
+    """Return the units sent after `begin` and up to `end`; `times` and `sums` as for `Meter.weigh_lateness`."""
+    count_until_end, count_until_begin = bisect_right(times, end), bisect_right(times, begin)
+    return (sums[count_until_end - 1] if count_until_end else 0.0) - (
+        sums[count_until_begin - 1] if count_until_begin else 0.0
+    )
 
 
-def _near(misfits: Sequence[float], most: int) -> range | None:
-    """The places next to each other, counted round, that fit nearly as well as the best; None if not so few.
+def _best_cluster(misfits: Sequence[float], max_size: int) -> range | None:
+    """Return the one run of adjacent indexes, cyclically, that fit nearly as well as the best.
 
-    Nearly as well: above the least by less than a fifth of what the mean is above it. The best has to fit well
-    itself: readings that have nothing to do with what is asked of them rule out each place as often as another.
+    Nearly means within `NEAR_BEST_TOLERANCE` of the distance from the lowest misfit to the mean. Returns None if there
+    are several runs or more than `max_size` such indexes, or if the best one does not fit well itself: readings that
+    are unrelated to the sends contradict all candidates about equally often.
     """
-    size, least = len(misfits), min(misfits)
+    size, lowest = len(misfits), min(misfits)
     mean = sum(misfits) / size
-    if least > WELL * mean:
+    if lowest > MAX_BEST_MISFIT_RATIO * mean:
         return None
-    bound = least + NEARLY * (mean - least)
+    bound = lowest + NEAR_BEST_TOLERANCE * (mean - lowest)
     fits = [misfit <= bound for misfit in misfits]
-    begins = [n for n in range(size) if fits[n] and not fits[n - 1]]
-    if len(begins) != 1 or sum(fits) > most:
+    starts = [n for n in range(size) if fits[n] and not fits[n - 1]]
+    if len(starts) != 1 or sum(fits) > max_size:
         return None
-    return range(begins[0], begins[0] + sum(fits))
+    return range(starts[0], starts[0] + sum(fits))
 
 
 class QuotaEstimate:
-    """What is in a customer's store of units over all gateways together, as far as this one can tell.
+    """Estimate of the level of a customer's token bucket over all gateways together.
 
-    Up to the end of the last metered period it is reckoned from the meter; since then from the own sends, which
-    are known, and from those of the other gateways, which are expected: what the meter showed of them before,
-    raised or lowered by what this gateway itself sends now, since a customer that asks more here asks more
-    elsewhere too (a gamma prior on its rate, seen through this gateway's share of it).
+    Up to the end of the last metered period the level is computed from the meter. Since then it is computed from the
+    own sends, which are known, and the expected sends of the other gateways: their metered rate, scaled up or down by
+    what this gateway sends now, since a customer that sends more here sends more elsewhere too. (This is a gamma prior
+    on the customer's rate, observed through this gateway's share of it.)
     """
 
     __slots__ = (
@@ -157,210 +177,246 @@
         "level",
         "at",
         "told",
-        "unit",
-        "_base",
-        "_times",
-        "_sums",
-        "_own",
-        "_use",
-        "_span",
-        "_long",
-        "_longer",
+        "mean_units",
+        "_metered_level",
+        "_sent_times",
+        "_cumulative_units",
+        "_own_recent_units",
+        "_recent_units",
+        "_recent_seconds",
+        "_usual_units",
+        "_usual_seconds",
         "_mine",
         "_all",
-        "_read",
-        "_weighed",
-        "_kept",
-        "_due",
+        "_last_reading",
+        "_last_weighed_at",
+        "_slot_granted_ratio",
+        "_next_reading_due_at",
     )
 
     def __init__(self, rate: float, burst: float, spread: int, now: float, level: float) -> None:
         self.rate, self.burst, self.spread = rate, burst, spread
-        self.level, self.at = level, now  # now, at the best guess
-        self.told: float | None = None  # the end of the last period that is reckoned in
-        self.unit = 1.0  # units of a try sent on here, on average
-        self._base = level  # the level when told
-        self._times: list[float] = []  # own sends of the last periods, those of a 32nd of a period together
-        self._sums: list[float] = []  # units sent up to and with each
-        self._own = 0.0  # units sent here lately, fading over `FRESH`
-        # Units that all sent on in metered periods and how long those were, fading over `STEADY` and `USUAL`.
-        self._use = self._span = 0.0
-        self._long, self._longer = UNSEEN * rate * FIRST, FIRST
-        self._due = now  # when the next reading should have come, had anything been sent on from here
-        self._mine = self._all = 0.0  # units sent here, and everywhere, in metered periods, fading
-        self._read: tuple[float, float] | None = None  # the last reading, and when
-        self._kept = 1.0  # of the units sent on here, those that were inside its at-once cap, at a guess
-        self._weighed = 0.0  # when the last reading came out that was weighed
+        self.level, self.at = level, now  # the estimated level, and the time it applies to
+        self.told: float | None = None  # end of the last metered period that is included; None: none yet
+        self.mean_units = 1.0  # average units of a request sent by this gateway
+        self._metered_level = level  # the level at `told`
+        self._sent_times: list[float] = []  # own sends of the last periods, merged within a bin
+        self._cumulative_units: list[float] = []  # units sent up to and including each
+        self._own_recent_units = 0.0  # own units, decaying with `OWN_RATE_DECAY_SECONDS`
+        # Units sent by all gateways in metered periods and the length of those periods, in seconds. They decay with
+        # `RATE_DECAY_SECONDS` and `USUAL_RATE_DECAY_SECONDS`.
+        self._recent_units = self._recent_seconds = 0.0
+        self._usual_units, self._usual_seconds = UNSEEN * rate * INITIAL_USE_SECONDS, INITIAL_USE_SECONDS
+        self._next_reading_due_at = now  # when the next reading is expected, if this gateway sends anything
+        self._mine = self._all = 0.0  # own units and those of all gateways in metered periods, decaying
+        self._last_reading: tuple[float, float] | None = None  # value and time of the last reading
+        self._slot_granted_ratio = 1.0  # estimated fraction of the own units sent within the concurrency limit
+        self._last_weighed_at = 0.0  # publication time of the last reading passed to the meter
 
     def share(self) -> float:
-        """This gateway's share of what all send on; its even part until periods were metered."""
+        """Return this gateway's share of what all gateways send; an equal share until periods were metered."""
         prior = self.rate or 1.0
         return (self._mine + prior / self.spread) / (self._all + prior)
 
-    def total(self, own: float) -> float:
-        """Units a second that all gateways are expected to send on now, with so much sent here lately."""
-        usual = self._long / self._longer
-        return (self._use + usual * PAST + own) / (self._span + PAST + self.share() * FRESH)
+    def total_rate(self, own_recent_units: float) -> float:
+        """Return the units per second that all gateways are expected to send, given the recent own units."""
+        usual_rate = self._usual_units / self._usual_seconds
+        return (self._recent_units + usual_rate * USUAL_RATE_WEIGHT_SECONDS + own_recent_units) / (
+            self._recent_seconds + USUAL_RATE_WEIGHT_SECONDS + self.share() * OWN_RATE_DECAY_SECONDS
+        )
 
-    def others(self, own: float | None = None) -> float:
-        """Units a second that the other gateways are expected to send on now."""
-        return (1 - self.share()) * self.total(self._own if own is None else own)
+    def others_rate(self, own_recent_units: float | None = None) -> float:
+        """Return the units per second that the other gateways are expected to send."""
+        return (1 - self.share()) * self.total_rate(
+            self._own_recent_units if own_recent_units is None else own_recent_units
+        )
 
     def advance(self, now: float) -> None:
-        """Let time pass: it fills at its rate, and the others take from it."""
-        if (passed := now - self.at) <= 0:
+        """Advance the estimate to `now`: the bucket refills, and the other gateways take from it."""
+        if (elapsed := now - self.at) <= 0:
             return
-        fade, old = math.exp(-passed / FRESH), math.exp(min(0.0, max(self.at, self._due) - now) / STEADY)
-        self._use, self._span = self._use * old, self._span * old
-        if self.has_thin_share():  # what was once heard of a customer that then is refused would hold for ever
-            past = math.exp(-passed / RUMOUR)
-            self._long = UNSEEN * self.rate * FIRST * (1 - past) + self._long * past
-            self._longer = FIRST * (1 - past) + self._longer * past
-        others = self.others(self._own * (1 - fade) * FRESH / passed)
-        self._own *= fade
-        self.level, self.at = self._after(self.level, passed, others), now
-
-    def record_sent(self, now: float, units: float, grain: float, open_: float = 1.0) -> None:
-        """This gateway sends a try on; `grain` is what sends are told apart by, seconds.
-
-        `open_` is the chance that it found a place under its at-once cap. A try beyond the quota takes nothing
-        from the store, so it is never below 0.
+        own_decay, recent_decay = (
+            math.exp(-elapsed / OWN_RATE_DECAY_SECONDS),
+            math.exp(min(0.0, max(self.at, self._next_reading_due_at) - now) / RATE_DECAY_SECONDS),
+        )
+        self._recent_units, self._recent_seconds = (
+            self._recent_units * recent_decay,
+            self._recent_seconds * recent_decay,
+        )
+        if self.has_thin_share():  # a refused customer yields no readings, so old ones would apply forever
+            usual_decay = math.exp(-elapsed / THIN_SHARE_DECAY_SECONDS)
+            self._usual_units = (
+                UNSEEN * self.rate * INITIAL_USE_SECONDS * (1 - usual_decay) + self._usual_units * usual_decay
+            )
+            self._usual_seconds = INITIAL_USE_SECONDS * (1 - usual_decay) + self._usual_seconds * usual_decay
+        others_rate = self.others_rate(self._own_recent_units * (1 - own_decay) * OWN_RATE_DECAY_SECONDS / elapsed)
+        self._own_recent_units *= own_decay
+        self.level, self.at = self._level_after(self.level, elapsed, others_rate), now
+
+    def record_sent(self, now: float, units: float, resolution: float, slot_probability: float = 1.0) -> None:
+        """Record a request that this gateway sends; sends closer than `resolution` seconds are merged.
+
+        `slot_probability` is the chance that the request found a slot under the customer's concurrency limit. A request
+        beyond the quota takes nothing from the bucket, so the level never falls below 0.
         """
         self.advance(now)
-        self.level = max(0.0, self.level - units * open_)
-        self._kept += UNIT_LEARN * (open_ - self._kept)
-        self._own += units
-        self.unit += UNIT_LEARN * (units - self.unit)
-        whole = (self._sums[-1] if self._sums else 0.0) + units
-        if self._times and now - self._times[-1] < grain:
-            self._sums[-1] = whole
+        self.level = max(0.0, self.level - units * slot_probability)
+        self._slot_granted_ratio += MEAN_UNITS_LEARNING_RATE * (slot_probability - self._slot_granted_ratio)
+        self._own_recent_units += units
+        self.mean_units += MEAN_UNITS_LEARNING_RATE * (units - self.mean_units)
+        cumulative = (self._cumulative_units[-1] if self._cumulative_units else 0.0) + units
+        if self._sent_times and now - self._sent_times[-1] < resolution:
+            self._cumulative_units[-1] = cumulative
         else:
-            self._times.append(now)
-            self._sums.append(whole)
-            # Readings let go what is too old; where none come this does.
-            if now - self._times[0] > 2 * (keep := 3 * BINS * grain + LONGEST):
-                self._drop(now - keep)
+            self._sent_times.append(now)
+            self._cumulative_units.append(cumulative)
+            # Readings drop old sends; without readings they are dropped here.
+            if now - self._sent_times[0] > 2 * (retention := 3 * BINS * resolution + MAX_LATENESS_SECONDS):
+                self._drop_sent_until(now - retention)
 
     def record_unsent(self, now: float, units: float) -> None:
-        """What was told as sent on came whole to no worker: the store has it still."""
+        """Take back a recorded send that reached no worker completely: its units are still in the bucket."""
         self.advance(now)
-        self.level = min(self.burst, self.level + units * self._kept)
-        self._own = max(0.0, self._own - units)  # what was counted of them has faded since
-        if self._sums:
-            self._sums[-1] -= units
+        self.level = min(self.burst, self.level + units * self._slot_granted_ratio)
+        self._own_recent_units = max(0.0, self._own_recent_units - units)  # they have decayed since
+        if self._cumulative_units:
+            self._cumulative_units[-1] -= units
 
     def is_current(self, now: float) -> bool:
-        """Whether the meter has told lately enough to say anything of now."""
+        """Return whether the last metered period is recent enough to say anything about the current level."""
         return self.told is not None and now - self.told < STALE
 
-    def spare(self, now: float, sure: float) -> float:
-        """The units that the store holds at least, with a chance of `sure`, for what the others may have sent."""
+    def spare(self, now: float, confidence: float) -> float:
+        """Return the units that the bucket holds at least, with a probability of `confidence`."""
         age = now - (self.at if self.told is None else self.told)
-        meant = self.others() * max(0.0, age)
-        error = math.sqrt(meant * self.unit + (UNSURE * meant) ** 2)
-        return self.level - DOUBTS[int(sure * 20)] * min(error, EVEN * self.burst)
+        expected_units = self.others_rate() * max(0.0, age)
+        deviation = math.sqrt(expected_units * self.mean_units + (OTHERS_RELATIVE_DEVIATION * expected_units) ** 2)
+        return self.level - CONFIDENCE_DEVIATIONS[int(confidence * 20)] * min(
+            deviation, MAX_DEVIATION_RATIO * self.burst
+        )
 
     def reading(self, now: float, used: float, meter: Meter, age: float = 0.0) -> None:
-        """A reading of the meter, as a share of the rate: reckon in the period that it tells of, once.
+        """Record a reading of the meter, as a fraction of the rate, and include the period it covers once.
+
+        `age` is how long ago the worker wrote it, in seconds: a response may take seconds to arrive. A reading older
+        than the last one is ignored.
 
-        `age` is how long ago it was written: an answer may take seconds to come. One that is older than the last
-        tells nothing more.
-        Where the part is a sliver, even if the meter's times are not known: then readings are taken to be
-        usually late. Guards against a customer that is met so seldom that nothing is ever learned. Harm: a
-        period's own sends are taken for others', or the other way round.
+        For a thin share a reading counts even while the meter's phase and lateness are unknown, with an assumed
+        lateness. Otherwise nothing would ever be learned about a customer that rarely sends here. Trade-off: own sends
+        may be attributed to other gateways, or the reverse.
         """
-        read = now - age
-        if self._read is not None and read < self._read[1]:
+        read_at = now - age
+        if self._last_reading is not None and read_at < self._last_reading[1]:
             return
-        if self._read is not None and self._read[0] != used:
-            meter.changed(self._read[1], read)
-        self._read = used, read
-        if (out := meter.out(read)) is not None and out > self._weighed + meter.period / 2:
-            self._weighed = out
-            meter.weigh(now, used, self.rate, self._times, self._sums)
-        end, period = meter.end(read), meter.period
+        if self._last_reading is not None and self._last_reading[0] != used:
+            meter.record_change(self._last_reading[1], read_at)
+        self._last_reading = used, read_at
+        if (published_at := meter.out(read_at)) is not None and published_at > self._last_weighed_at + meter.period / 2:
+            self._last_weighed_at = published_at
+            meter.weigh_lateness(now, used, self.rate, self._sent_times, self._cumulative_units)
+        end, period = meter.end(read_at), meter.period
         if end is None and period and self.has_thin_share():
-            out = read - period / 2 if out is None else out
-            end = out - LATENESS
-        if out is None or end is None or self.told is not None and end <= self.told + period / 2:
+            published_at = read_at - period / 2 if published_at is None else published_at
+            end = published_at - ASSUMED_LATENESS_SECONDS
+        if published_at is None or end is None or self.told is not None and end <= self.told + period / 2:
             return
-        begin, level = end - period, self._base
-        mine = _between(self._times, self._sums, begin, end)
-        total = max(mine, used * self.rate * period)
-        passed = period if self.told is None else end - self.told
-        if self.told is not None and begin > self.told + period / 2:  # it sent nothing for so long
-            level = self._walk(level, self.told, begin, self.others(0.0))
-        self._base = self._walk(level, begin, end, (total - mine) / period)
-        keep, long = math.exp(-period / REMEMBER), math.exp(-passed / USUAL)
-        self._mine, self._all = self._mine * keep + mine, self._all * keep + total
-        self._long, self._longer = self._long * long + total, self._longer * long + period
-        self._use, self._span = self._use * (old := math.exp(-period / STEADY)) + total, self._span * old + period
-        self.told, self._due = end, out + period
-        self._drop(now - 2 * period - LONGEST)
-        # From there to now anew.
-        self._own = sum(units * math.exp((when - now) / FRESH) for when, units in self._since(end))
-        self.level, self.at = self._walk(self._base, end, now, self.others()), now
-
-    def _after(self, level: float, passed: float, others: float) -> float:
-        """The level after some time in which the others would send on so much a second.
-
-        They judge as this gateway does, so that they take no more than their share of what comes in once there
-        is little left. Guards against all of them waiting for each other, with nobody to hear the meter.
+        begin, level = end - period, self._metered_level
+        own_units = _units_between(self._sent_times, self._cumulative_units, begin, end)
+        total_units = max(own_units, used * self.rate * period)
+        elapsed = period if self.told is None else end - self.told
+        if self.told is not None and begin > self.told + period / 2:  # periods were missed while nothing was sent
+            level = self._replay_level(level, self.told, begin, self.others_rate(0.0))
+        self._metered_level = self._replay_level(level, begin, end, (total_units - own_units) / period)
+        share_decay, usual_decay = (
+            math.exp(-period / SHARE_DECAY_SECONDS),
+            math.exp(-elapsed / USUAL_RATE_DECAY_SECONDS),
+        )
+        self._mine, self._all = self._mine * share_decay + own_units, self._all * share_decay + total_units
+        self._usual_units, self._usual_seconds = (
+            self._usual_units * usual_decay + total_units,
+            self._usual_seconds * usual_decay + period,
+        )
+        self._recent_units, self._recent_seconds = (
+            self._recent_units * (recent_decay := math.exp(-period / RATE_DECAY_SECONDS)) + total_units,
+            self._recent_seconds * recent_decay + period,
+        )
+        self.told, self._next_reading_due_at = end, published_at + period
+        self._drop_sent_until(now - 2 * period - MAX_LATENESS_SECONDS)
+        # Recompute from the end of that period to now.
+        self._own_recent_units = sum(
+            units * math.exp((sent_at - now) / OWN_RATE_DECAY_SECONDS) for sent_at, units in self._sent_between(end)
+        )
+        self.level, self.at = self._replay_level(self._metered_level, end, now, self.others_rate()), now
+
+    def _level_after(self, level: float, elapsed: float, others_rate: float) -> float:
+        """Return the level after `elapsed` seconds in which the others would send `others_rate` units per second.
+
+        The others decide as this gateway does: once little is left they take no more than their share of the refill.
+        Without this rule all gateways would wait for each other, and none would get a reading of the meter.
         """
-        if passed <= 0:
+        if elapsed <= 0:
             return level
-        low, flow = LITTLE * self.unit, self.rate - others * self._kept
-        if flow < 0:
-            low *= TELLING / max(TELLING, self.spread) if self.has_thin_share() else 1.0
-            if level > low and (until := (level - low) / -flow) < passed:
-                level, passed = low, passed - until
-            elif level > low:
-                return level + flow * passed
-            flow = self.rate * self.share()
-            return max(level, min(low, level + flow * passed))
-        return min(self.burst, level + flow * passed)
+        low_level, net_rate = LOW_LEVEL_REQUESTS * self.mean_units, self.rate - others_rate * self._slot_granted_ratio
+        if net_rate < 0:
+            low_level *= (
+                LOW_LEVEL_GATEWAY_COUNT / max(LOW_LEVEL_GATEWAY_COUNT, self.spread) if self.has_thin_share() else 1.0
+            )
+            if level > low_level and (time_to_low := (level - low_level) / -net_rate) < elapsed:
+                level, elapsed = low_level, elapsed - time_to_low
+            elif level > low_level:
+                return level + net_rate * elapsed
+            net_rate = self.rate * self.share()
+            return max(level, min(low_level, level + net_rate * elapsed))
+        return min(self.burst, level + net_rate * elapsed)
 
     def has_thin_share(self) -> bool:
-        """Whether so many gateways share the customer that the part of each holds hardly a request."""
-        return self.spread > FEW and self.burst < SLIVER * self.unit * self.spread
+        """Return whether so many gateways share the customer that the share of each holds hardly a request."""
+        return self.spread > MAX_GATEWAYS_FOR_FULL_SHARE and self.burst < SLIVER * self.mean_units * self.spread
 
-    def places(self, out: int, took: float, most: int) -> float:
-        """The chance that fewer than `most` attempts are out everywhere, where `out` are here.
+    def places(self, in_flight: int, mean_duration: float, limit: int) -> float:
+        """Return the probability that fewer than `limit` attempts are in flight over all gateways.
 
-        `took` is how long one is out on average: what is sent on in that time is out (Little). That is a gamma
-        prior of the weight of `CROWD` attempts' times on how busy the customer is now, and what is out here is
-        seen of it; what the others have out then is a negative binomial.
+        `in_flight` are this gateway's, `mean_duration` is the average time of an attempt in seconds. By Little's law
+        what is sent in that time is in flight. This gives a gamma prior, with the weight of `IN_FLIGHT_PRIOR_WEIGHT`
+        attempt durations, on how busy the customer is; the attempts in flight here are an observation of it. The number
+        in flight at the other gateways then has a negative binomial distribution.
         """
         share = self.share()
-        shape = self.total(self._own) / self.unit * took * CROWD + out
-        rate = CROWD + share
-        ratio = (1 - share) / (rate + 1 - share)
-        term = chance = (1 - ratio) ** shape
-        for n in range(1, most - out):
+        shape = (
+            self.total_rate(self._own_recent_units) / self.mean_units * mean_duration * IN_FLIGHT_PRIOR_WEIGHT
+            + in_flight
+        )
+        prior_rate = IN_FLIGHT_PRIOR_WEIGHT + share
+        ratio = (1 - share) / (prior_rate + 1 - share)
+        term = probability = (1 - ratio) ** shape
+        for n in range(1, limit - in_flight):
             term *= ratio * (shape + n - 1) / n
-            chance += term
-        return chance if out < most else 0.0
-
-    def _drop(self, before: float) -> None:
-        """Forget the own sends up to then."""
-        old = bisect_right(self._times, before)
-        less = self._sums[old - 1] if old else 0.0
-        del self._times[:old], self._sums[:old]
-        self._sums = [upto - less for upto in self._sums]
-
-    def _since(self, begin: float, end: float = math.inf) -> Iterator[tuple[float, float]]:
-        """The own sends after `begin` and up to `end`: when, and units."""
-        first = bisect_right(self._times, begin)
-        before = self._sums[first - 1] if first else 0.0
-        for when, upto in zip(self._times[first:], self._sums[first:], strict=True):
-            if when > end:
+            probability += term
+        return probability if in_flight < limit else 0.0
+
+    def _drop_sent_until(self, end: float) -> None:
+        """Drop the own sends up to and including `end`."""
+        dropped_count = bisect_right(self._sent_times, end)
+        dropped_units = self._cumulative_units[dropped_count - 1] if dropped_count else 0.0
+        del self._sent_times[:dropped_count], self._cumulative_units[:dropped_count]
+        self._cumulative_units = [cumulative - dropped_units for cumulative in self._cumulative_units]
+
+    def _sent_between(self, begin: float, end: float = math.inf) -> Iterator[tuple[float, float]]:
+        """Yield time and units of each own send after `begin` and up to `end`."""
+        first = bisect_right(self._sent_times, begin)
+        previous_cumulative = self._cumulative_units[first - 1] if first else 0.0
+        for sent_at, cumulative in zip(self._sent_times[first:], self._cumulative_units[first:], strict=True):
+            if sent_at > end:
                 return
-            yield when, upto - before
-            before = upto
+            yield sent_at, cumulative - previous_cumulative
+            previous_cumulative = cumulative
 
-    def _walk(self, level: float, begin: float, end: float, others: float) -> float:
-        """The level at `end`, from that at `begin`, with the own sends and so much a second by the others."""
+    def _replay_level(self, level: float, begin: float, end: float, others_rate: float) -> float:
+        """Return the level at `end`, given that at `begin`, the own sends and the others' units per second."""
         at = begin
-        for when, units in self._since(begin, end):
-            level, at = max(0.0, self._after(level, when - at, others) - units * self._kept), when
-        return self._after(level, end - at, others)
+        for sent_at, units in self._sent_between(begin, end):
+            level, at = (
+                max(0.0, self._level_after(level, sent_at - at, others_rate) - units * self._slot_granted_ratio),
+                sent_at,
+            )
+        return self._level_after(level, end - at, others_rate)
--- a/micagate/estimates/recent.py
+++ b/micagate/estimates/recent.py
@@ -1,70 +1,88 @@
-"""What the last answers of all workers together took, of the times in which they were wanted."""
+"""Overload estimate from the latencies of the latest responses of all workers, relative to their latency objectives."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Sequence
 
-SPELL = 2.0  # seconds in which an answer is forgotten
-BRISK = 0.2  # of the aim: pooled answer time under which answers are brisk
-LOW_SHARE, HIGH_SHARE = BRISK, 0.4  # of the aim: pooled answer time at which none, and all, are refused
-SELDOM = 2.0  # times as much where a gateway meets each worker seldom: a bad one or two weigh so much there
-OLD_SHARE = 0.15  # of the aim: a usual answer, and the mean age out of a sure latecomer
-YOUNG_SHARE = 0.05  # of the aim: mean age under which what is out is a burst, not a queue
-PRIOR = 1.0  # usual answers mixed in where few are pooled
-SIGMAS = 2.0  # deviations by which what is out at a gateway with little traffic may be up by chance
+RESPONSE_DECAY_SECONDS = 2.0  # time constant with which a response loses weight
+FAST_RESPONSE_RATIO = 0.2  # pooled latency, relative to the aim, below which responses are fast
+# Pooled latency, relative to the aim, at which no request is refused and at which all are.
+REFUSE_NONE_RATIO, REFUSE_ALL_RATIO = FAST_RESPONSE_RATIO, 0.4
+# Divides the ratio where a gateway rarely sends to each worker, so that one or two slow ones would weigh too much.
+SPARSE_TRAFFIC_DIVISOR = 2.0
+OLD_SHARE = 0.15  # usual latency of a response, and mean age of certainly late attempts, relative to the aim
+BURST_AGE_RATIO = 0.05  # mean age, relative to the aim, below which the attempts in flight are a burst, not a queue
+PRIOR_RESPONSE_COUNT = 1.0  # usual responses that are mixed in, so that few real ones say little
+SPARSE_TRAFFIC_SIGMAS = 2.0  # standard deviations of in-flight attempts that count as chance with sparse traffic
 
 
 class Recent:
-    """Times of the last answers, their aims, and the aims of attempts that were given up; all in seconds."""
+    """Decayed sums, in seconds, of latencies, of their aims, and of the aims of missed attempts.
+
+    An aim is the latency objective of the attempt's class.
+    """
 
     def __init__(self, now: float) -> None:
-        self._at, self._took, self._aims, self._missed = now, 0.0, 0.0, 0.0
+        self._updated_at, self._latency_sum, self._aim_sum, self._missed = now, 0.0, 0.0, 0.0
 
-    def _add(self, now: float, took: float, aim: float, missed: float) -> None:
-        old_took, old_aims, old_missed = self.at(now)
-        self._at = now
-        self._took, self._aims, self._missed = old_took + took, old_aims + aim, old_missed + missed
+    def _add(self, now: float, latency: float, aim: float, missed: float) -> None:
+        latency_sum, aim_sum, missed_sum = self.decayed_sums(now)
+        self._updated_at = now
+        self._latency_sum, self._aim_sum, self._missed = latency_sum + latency, aim_sum + aim, missed_sum + missed
 
-    def answered(self, now: float, took: float, aim: float) -> None:
-        """An answer came."""
-        self._add(now, took, aim, 0.0)
+    def answered(self, now: float, latency: float, aim: float) -> None:
+        """Record a response with its latency and aim in seconds."""
+        self._add(now, latency, aim, 0.0)
 
     def missed(self, now: float, aim: float) -> None:
-        """An attempt passed its aim in silence."""
+        """Record an attempt that had no response within its aim."""
         self._add(now, 0.0, 0.0, aim)
 
-    def at(self, now: float) -> tuple[float, float, float]:
-        """What answers took, their aims, and the aims of what was missed, as far as they count now."""
-        fade = math.exp((self._at - now) / SPELL)
-        return self._took * fade, self._aims * fade, self._missed * fade
+    def decayed_sums(self, now: float) -> tuple[float, float, float]:
+        """Return the sums of latencies, of their aims, and of the aims of missed attempts, decayed to `now`."""
+        decay = math.exp((self._updated_at - now) / RESPONSE_DECAY_SECONDS)
+        return self._latency_sum * decay, self._aim_sum * decay, self._missed * decay
 
     def lossy(self) -> bool:
-        """Whether silence tells of lost answers, not of load: those that come are brisk and no fewer.
+        """Return whether missing responses indicate losses rather than load.
 
-        Guards against control over losses of the network, hung and dying workers. Harm: where part of the
-        fleet is overloaded and the rest is not, silence starts control only by what comes late.
+        That is so while the responses that arrive are fast and at least as many as the missing ones. This keeps packet
+        loss and hung or dying workers from starting overload control. Trade-off: while only part of the fleet is
+        overloaded, missing responses start overload control only once responses are slow.
         """
-        return self._took < BRISK * self._aims and self._missed <= self._aims
+        return self._latency_sum < FAST_RESPONSE_RATIO * self._aim_sum and self._missed <= self._aim_sum
 
-    def pressed(self, now: float, waiting: Sequence[tuple[float, float]], aim: float, new: bool, seldom: bool) -> float:
-        """The share to refuse: 0 or less where none is, 1 or more where all are.
+    def pressed(
+        self,
+        now: float,
+        in_flight: Sequence[tuple[float, float]],
+        aim: float,
+        few_responses: bool,
+        sparse_traffic: bool,
+    ) -> float:
+        """Return the share of requests to refuse: none at 0 or less, all at 1 or more.
 
-        `waiting`: when each that is out was sent, and its aim; `aim`: the shortest; `new`: no pace is known yet,
-        so that what is out tells by its age alone; `seldom`: each worker is met seldom.
+        `in_flight` holds the send time and the aim of each attempt in flight, `aim` is the shortest aim.
+        `few_responses` says that no usual latency is known yet, so that attempts in flight count by their age only.
+        `sparse_traffic` says that this gateway rarely sends to each worker.
 
-        All answers, whatever worker they came from, speak together by the share of their aims that they took,
-        and those still out by their age; some usual ones are mixed in, so that one or two say little. A lost
-        answer counts once, as one that took its aim, if others are slow. Harm: it hears seconds late.
+        The responses of all workers are pooled by latency relative to aim, and attempts in flight by their age. A prior
+        of usual responses keeps one or two of them from deciding. A missed attempt counts once, with its aim as its
+        latency, if other responses are slow. Trade-off: overload is detected seconds late.
         """
-        (answered, aims, missed), usual = self.at(now), PRIOR * aim
-        ages = sum(now - sent for sent, _ in waiting)
-        lost = 0.0 if self.lossy() else missed
-        out = sum(aim for _, aim in waiting)
-        share = (OLD_SHARE * usual + answered + lost + ages) / (usual + aims + lost + (out if new else 0.0))
-        usually = max(1.0, answered / SPELL)
-        chance = SIGMAS * math.sqrt(usually) if seldom else 0.0
-        crowd = (1 + len(waiting)) / (1 + usually + chance)
-        if new or ages < YOUNG_SHARE * out:
-            crowd = min(1.0, crowd)  # much out but all young: a burst on idle workers
-        return (share * crowd / (SELDOM if seldom else 1.0) - LOW_SHARE) / (HIGH_SHARE - LOW_SHARE)
+        (latency_sum, aim_sum, missed_sum), prior_aim = self.decayed_sums(now), PRIOR_RESPONSE_COUNT * aim
+        age_sum = sum(now - sent for sent, _ in in_flight)
+        missed_load = 0.0 if self.lossy() else missed_sum
+        in_flight_aim_sum = sum(aim for _, aim in in_flight)
+        latency_ratio = (OLD_SHARE * prior_aim + latency_sum + missed_load + age_sum) / (
+            prior_aim + aim_sum + missed_load + (in_flight_aim_sum if few_responses else 0.0)
+        )
+        usual_in_flight = max(1.0, latency_sum / RESPONSE_DECAY_SECONDS)
+        random_excess = SPARSE_TRAFFIC_SIGMAS * math.sqrt(usual_in_flight) if sparse_traffic else 0.0
+        in_flight_ratio = (1 + len(in_flight)) / (1 + usual_in_flight + random_excess)
+        if few_responses or age_sum < BURST_AGE_RATIO * in_flight_aim_sum:
+            in_flight_ratio = min(1.0, in_flight_ratio)  # many attempts, but all young: a burst on idle workers
+        return (
+            latency_ratio * in_flight_ratio / (SPARSE_TRAFFIC_DIVISOR if sparse_traffic else 1.0) - REFUSE_NONE_RATIO
+        ) / (REFUSE_ALL_RATIO - REFUSE_NONE_RATIO)
--- a/micagate/estimates/tails.py
+++ b/micagate/estimates/tails.py
@@ -1,41 +1,45 @@
-"""Whether attempts that are silent for unusually long are lost, or just long."""
+"""Estimate of whether attempts without a response for unusually long are lost or merely slow."""
 
 from __future__ import annotations
 
 import math
 
-MEMORY = 20.0  # seconds in which what became of a silent attempt is forgotten
-CHANCE = 2.0  # long ones taken for granted, so that one or two losses by chance say little
+DECAY_SECONDS = 20.0  # time constant with which the outcome of a late attempt loses weight
+PRIOR_SLOW_RESPONSE_COUNT = 2.0  # slow responses that are assumed, so that one or two losses by chance say little
 
 
 class Tails:
-    """What became of the attempts that were out for several times the usual.
+    """Counts what became of attempts that were in flight for several times the usual latency.
 
-    Answers that take longer than usual come by themselves, and sending their requests again is work done twice;
-    lost ones never come. Both look alike while they are out. Those that were not called off tell: a long one is
-    answered, a lost one passes its aim in silence although its worker answers what was sent to it later. Harm:
-    where losses begin, the first few wait for their clients' time to run out.
+    A slow response still arrives, and a further attempt would do the work twice; a lost one never arrives. The two look
+    alike while in flight, so attempts that were not cancelled are counted: a slow one is answered; a lost one passes
+    its aim without a response although the worker has answered requests that were sent later. Trade-off: when losses
+    begin, the first few requests wait until their deadline.
     """
 
     def __init__(self, now: float) -> None:
-        self._at, self._long, self._gone = now, 0.0, 0.0
+        self._updated_at, self._slow_response_count, self._lost_count = now, 0.0, 0.0
 
-    def _fade(self, now: float) -> None:
-        kept = math.exp((self._at - now) / MEMORY)
-        self._at, self._long, self._gone = now, self._long * kept, self._gone * kept
+    def _decay(self, now: float) -> None:
+        factor = math.exp((self._updated_at - now) / DECAY_SECONDS)
+        self._updated_at, self._slow_response_count, self._lost_count = (
+            now,
+            self._slow_response_count * factor,
+            self._lost_count * factor,
+        )
 
     def came(self, now: float, late: bool) -> None:
-        """A long one was answered; `late`: after it had been counted as missed."""
-        self._fade(now)
-        self._long += 1
+        """Record the response of a slow attempt; `late` says that it had been counted as missed before."""
+        self._decay(now)
+        self._slow_response_count += 1
         if late:
-            self._gone = max(0.0, self._gone - 1)
+            self._lost_count = max(0.0, self._lost_count - 1)
 
     def missed(self, now: float) -> None:
-        """One passed its aim in silence, overtaken by others at the same worker."""
-        self._fade(now)
-        self._gone += 1
+        """Record an attempt that passed its aim while later ones to the same worker were answered."""
+        self._decay(now)
+        self._lost_count += 1
 
     def lost(self) -> bool:
-        """Whether one that is silent for so long is rather lost than long."""
-        return self._gone > CHANCE + self._long
+        """Return whether an attempt without a response for so long is more likely lost than slow."""
+        return self._lost_count > PRIOR_SLOW_RESPONSE_COUNT + self._slow_response_count
--- a/micagate/estimates/waits.py
+++ b/micagate/estimates/waits.py
@@ -1,4 +1,4 @@
-"""When a client's request began, from how long its later tries wait."""
+"""Estimate of when a client retry's original request began, from how long clients wait for a response."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 
 from micagate import interface
 
-WAITS, ALIKE = 32, 0.02  # latest first tries of a class whose waits are kept; those this near are alike
+# Latest first requests of a class whose waits are kept, and the fraction of the deadline within which waits are equal.
+MAX_WAITS_PER_CLASS, SIMILARITY_RATIO = 32, 0.02
 
 
 class Waits:
-    """How long clients wait for a first try, lately."""
+    """Keeps how long clients recently waited for the response to a first request, by class."""
 
     def __init__(self, classes: Iterable[interface.RequestClass]) -> None:
-        self._waits = {c.name: deque[float](maxlen=WAITS) for c in classes}
+        self._waits = {c.name: deque[float](maxlen=MAX_WAITS_PER_CLASS) for c in classes}
 
     def first(self, klass: interface.RequestClass, time_left: float) -> None:
-        """A first try has come."""
+        """Record a first request, whose client waits `time_left` seconds."""
         self._waits[klass.name].append(time_left)
 
     def too_late(self, klass: interface.RequestClass, time_left: float) -> bool:
-        """Whether a later try comes when its aim has surely passed, so that it would spend units for nothing.
+        """Return whether a client retry arrives after its aim has passed, so that it would spend units for nothing.
 
-        A client waits for each try as long as for its first, until the deadline cuts a try short or, at its
-        last, all that is left: so a wait unlike those of first tries tells when the request began. Guards
-        against taking a usual wait for one that was cut: clients differ, and so does their last try. Harm:
-        none seen while clients of one kind wait alike.
+        A client waits as long for each retry as for its first request, unless the deadline leaves less. So a wait that
+        differs from those of first requests was cut by the deadline and shows when the original request began. The wait
+        is compared with all recent ones, because clients differ and a usual wait must not be taken for a cut one. No
+        trade-off is known as long as clients of one kind wait equally long.
         """
-        begun = klass.deadline - time_left
-        if klass.late_value or begun <= klass.aim:
+        elapsed = klass.deadline - time_left
+        if klass.late_value or elapsed <= klass.aim:
             return False
-        return all(abs(wait - time_left) > ALIKE * klass.deadline for wait in self._waits[klass.name])
+        return all(abs(wait - time_left) > SIMILARITY_RATIO * klass.deadline for wait in self._waits[klass.name])
 
     def kept(self) -> dict[str, list[float]]:
-        """The waits, by class."""
+        """Return the waits by class, for `restore`."""
         return {name: list(waits) for name, waits in self._waits.items()}
 
     def restore(self, state: Mapping[str, Any]) -> None:
-        """Take over what another process has seen."""
+        """Restore the waits that another process has kept."""
         for name, seen in state.items():
             if name in self._waits and isinstance(seen, list):
                 self._waits[name].extend(float(wait) for wait in seen)
--- a/micagate/handover/__init__.py
+++ b/micagate/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway knows, given to the process that takes its place. Pure."""
+"""Transfer of a gateway's state to the process that replaces it (hot restart). No I/O."""
--- a/micagate/handover/fields.py
+++ b/micagate/handover/fields.py
@@ -1,7 +1,8 @@
-"""An object's fields as plain values by name, and back: what is not there keeps its value, what is unknown is left.
+"""Conversion between an object's attributes and a mapping of plain values by written key.
 
-So an older and a newer version read each other's state as far as both have it. A value of another kind than the one
-that it would replace is damage, and is named.
+A missing key leaves the attribute as it is, and an unknown key is ignored, so that an older and a newer version can
+read each other's state as far as both have it. A value of another type than the one it would replace is an error that
+names the field.
 """
 
 from __future__ import annotations
@@ -13,67 +14,67 @@
 
 
 class Damaged(Exception):
-    """A state that cannot be restored; the text names the value."""
+    """Raised for a state that cannot be restored; the message names the field."""
 
 
-PLAIN = frozenset((float, int, str, type(None)))  # a yes or no is none: it has to stay one
+PLAIN_TYPES = frozenset((float, int, str, type(None)))  # without bool: a bool may only be replaced by a bool
 
 
-def take(owner: object, fields: Mapping[str, str]) -> dict[str, Any]:
-    """The attributes of `fields`, by written key: numbers, texts, and lists and mappings of them."""
+def dump_fields(owner: object, fields: Mapping[str, str]) -> dict[str, Any]:
+    """Return the attributes of `fields` by written key, with containers as plain lists and dicts."""
     state = {name: getattr(owner, attribute) for name, attribute in fields.items()}
     for name, value in state.items():
-        if type(value) not in PLAIN:
-            state[name] = _plain(value)
+        if type(value) not in PLAIN_TYPES:
+            state[name] = _to_plain(value)
     return state
 
 
-def _plain(value: Any) -> Any:
+def _to_plain(value: Any) -> Any:
     if isinstance(value, deque | list | tuple):
-        return [_plain(each) for each in value]
+        return [_to_plain(each) for each in value]
     if isinstance(value, dict):
-        return {key: _plain(each) for key, each in value.items()}
+        return {key: _to_plain(each) for key, each in value.items()}
     return value
 
 
-def put(owner: object, fields: Mapping[str, str], state: Mapping[str, Any]) -> None:
-    """Set the attributes of `fields` from a state, by written key. Damaged where a value is no such thing."""
+def load_fields(owner: object, fields: Mapping[str, str], state: Mapping[str, Any]) -> None:
+    """Set the attributes of `fields` from `state` by written key; raises Damaged for a value of the wrong type."""
     for name, attribute in fields.items():
         if name in state:
             value, old = state[name], getattr(owner, attribute)
-            # Most are plain numbers: asked for first, as 30,000 customers have a million of them.
-            if type(value) in PLAIN and type(old) in PLAIN and value == value:
+            # Fast path for plain values, without NaN: 30,000 customers have a million of them.
+            if type(value) in PLAIN_TYPES and type(old) in PLAIN_TYPES and value == value:
                 setattr(owner, attribute, value)
             else:
-                setattr(owner, attribute, _as(value, old, f"{type(owner).__name__}.{name}"))
+                setattr(owner, attribute, _convert(value, old, f"{type(owner).__name__}.{name}"))
 
 
-def _as(value: Any, old: Any, what: str) -> Any:
-    """A value in the form of the one that it replaces."""
+def _convert(value: Any, old: Any, field: str) -> Any:
+    """Return a value in the type of the one that it replaces."""
     if isinstance(old, deque):
-        return deque((_item(each, what) for each in _list(value, what)), old.maxlen)
+        return deque((_checked_value(each, field) for each in _checked_list(value, field)), old.maxlen)
     if isinstance(old, list):
-        return [_item(each, what) for each in _list(value, what)]
+        return [_checked_value(each, field) for each in _checked_list(value, field)]
     if isinstance(old, dict):
         if not isinstance(value, dict):
-            raise Damaged(f"{what} is no mapping")
-        return {key: _item(each, what) for key, each in value.items()}
+            raise Damaged(f"{field}: expected a mapping")
+        return {key: _checked_value(each, field) for key, each in value.items()}
     if isinstance(old, bool):
         if not isinstance(value, bool):
-            raise Damaged(f"{what} is no yes or no")
+            raise Damaged(f"{field}: expected a boolean")
         return value
-    return _item(value, what)
+    return _checked_value(value, field)
 
 
-def _list(value: Any, what: str) -> list[Any]:
+def _checked_list(value: Any, field: str) -> list[Any]:
     if not isinstance(value, list):
-        raise Damaged(f"{what} is no list")
+        raise Damaged(f"{field}: expected a list")
     return value
 
 
-def _item(value: Any, what: str) -> Any:
+def _checked_value(value: Any, field: str) -> Any:
     if isinstance(value, list):
-        return tuple(_item(each, what) for each in value)
+        return tuple(_checked_value(each, field) for each in value)
     if value is None or isinstance(value, str | bool | int) or isinstance(value, float) and not math.isnan(value):
         return value
-    raise Damaged(f"{what} holds {value!r}")
+    raise Damaged(f"{field}: unexpected value {value!r}")
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -1,9 +1,10 @@
-"""What a gateway knows, taken from one and put into another that starts in its place.
+"""Transfer of a gateway's state to the gateway of the process that replaces it.
 
-All times are on one clock, which both read. Accounts are given first, some at a time, while the giver goes on; those
-that it used meanwhile are given once more at the end, with the rest, at one instant (pre-copy, as virtual machines
-are moved: Clark and others, "Live Migration of Virtual Machines", 2005). What is out then stays with the giver: the
-taker counts it as out until the giver tells of its end, or is gone.
+All times are on one clock that both processes read. Accounts are transferred first, a few at a time, while the
+predecessor keeps serving; those it used meanwhile are transferred again at the end, together with the rest, at one
+instant (pre-copy, as in live migration of virtual machines: Clark and others, "Live Migration of Virtual Machines",
+2005). Attempts in flight then stay with the predecessor: the successor counts them as in flight until the predecessor
+reports their end or exits.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from micagate import interface
 from micagate.accounts import Account
 from micagate.gateway import Gateway
-from micagate.handover.fields import Damaged, put, take
+from micagate.handover.fields import Damaged, dump_fields, load_fields
 from micagate.pending import Attempt, Pending
 from micagate.resource_keys import parse_customer_key
 
-# What is written of each object: the written key, which never changes, and the attribute that it stands for.
-ACCOUNT = {
+# The transferred fields of each object: the written key, which never changes, and the attribute it stands for.
+ACCOUNT_FIELDS = {
     "slice": "local_rate",
     "stood": "metered_local_rate",
     "store": "balance",
@@ -40,35 +41,35 @@
     "full_until": "ceiling_full_until",
     "took": "mean_duration",
 }
-WHOLE = {
+QUOTA_ESTIMATE_FIELDS = {
     "level": "level",
     "at": "at",
     "told": "told",
-    "unit": "unit",
-    "_base": "_base",
-    "_times": "_times",
-    "_sums": "_sums",
-    "_own": "_own",
-    "_use": "_use",
-    "_span": "_span",
-    "_long": "_long",
-    "_longer": "_longer",
+    "unit": "mean_units",
+    "_base": "_metered_level",
+    "_times": "_sent_times",
+    "_sums": "_cumulative_units",
+    "_own": "_own_recent_units",
+    "_use": "_recent_units",
+    "_span": "_recent_seconds",
+    "_long": "_usual_units",
+    "_longer": "_usual_seconds",
     "_mine": "_mine",
     "_all": "_all",
-    "_read": "_read",
-    "_weighed": "_weighed",
-    "_kept": "_kept",
-    "_due": "_due",
+    "_read": "_last_reading",
+    "_weighed": "_last_weighed_at",
+    "_kept": "_slot_granted_ratio",
+    "_due": "_next_reading_due_at",
 }
-METER = {
-    "_missed": "_missed",
+METER_FIELDS = {
+    "_missed": "_phase_misfits",
     "_phase": "_phase",
-    "_misfits": "_misfits",
-    "_weighed": "_weighed",
-    "_skipped": "_skipped",
+    "_misfits": "_lateness_misfits",
+    "_weighed": "_weighed_count",
+    "_skipped": "_skipped_count",
     "late": "late",
 }
-THROTTLE = {
+THROTTLE_FIELDS = {
     "on": "active",
     "rate": "rate",
     "base": "base_rate",
@@ -86,7 +87,7 @@
     "_refusals": "_refusals",
     "_signals": "_signals",
 }
-FLEET = {
+FLEET_FIELDS = {
     "_usual": "_usual",
     "_done": "_done",
     "_done_at": "_done_at",
@@ -94,7 +95,7 @@
     "_answers": "_answers",
     "owed": "restored_at",
 }
-WORKER = {
+WORKER_FIELDS = {
     "slow": "relative_latency",
     "learned": "latency_updated_at",
     "heard": "last_response_at",
@@ -108,136 +109,143 @@
     "fulls": "consecutive_overloads",
     "held": "held_slots_until",
 }
-RECENT = {
-    "_at": "_at",
-    "_took": "_took",
-    "_aims": "_aims",
+RECENT_FIELDS = {
+    "_at": "_updated_at",
+    "_took": "_latency_sum",
+    "_aims": "_aim_sum",
     "_missed": "_missed",
 }
-TAILS = {
-    "_at": "_at",
-    "_long": "_long",
-    "_gone": "_gone",
+TAILS_FIELDS = {
+    "_at": "_updated_at",
+    "_long": "_slow_response_count",
+    "_gone": "_lost_count",
 }
-FEW, ROUNDS = 40, 6  # accounts that may be given in one step; rounds of a copy at the most
-BUDGET = {
-    "_took": "_took",
-    "_heard": "_heard",
-    "_unheard": "_unheard",
-    "_look": "_look",
-    "_row": "_row",
-    "_held": "_held",
+# Number of accounts that may be left for the final step, and of rounds after which a copy ends in any case.
+MAX_FINAL_ACCOUNTS, MAX_COPY_ROUNDS = 40, 6
+COUNTER_BUDGET_FIELDS = {
+    "_took": "_mean_latency_ratio",
+    "_heard": "_last_response_at",
+    "_unheard": "_unanswered_count",
+    "_look": "_next_probe_at",
+    "_row": "_consecutive_slow_count",
+    "_held": "_paused_until",
 }
-QUOTAS = {
+QUOTAS_FIELDS = {
     "_born": "_born",
     "took": "mean_duration",
 }
-WAITS = {
+WAITS_FIELDS = {
     "_waits": "_waits",
 }
 
 
-def account_row(a: Account, often: bool) -> dict[str, Any]:
-    """An account as it goes over, of a customer who asked `often`, or once."""
+def account_row(account: Account, recurring: bool) -> dict[str, Any]:
+    """Return an account as it is transferred; `recurring` says in which queue of the account table it is."""
     return {
-        "key": a.key,
-        "spread": a.gateway_count,
-        "often": often,
-        **take(a, ACCOUNT),
-        "whole": take(a.quota_estimate, WHOLE),
+        "key": account.key,
+        "spread": account.gateway_count,
+        "often": recurring,
+        **dump_fields(account, ACCOUNT_FIELDS),
+        "whole": dump_fields(account.quota_estimate, QUOTA_ESTIMATE_FIELDS),
     }
 
 
 class Copy:
-    """The accounts of a gateway and its debts, given a few at a time, in rounds.
+    """Transfers the accounts and deficits of a gateway, a few at a time, in rounds.
 
-    Each round after the first gives what was used in the one before, until that is so little that the rest can be
-    given in one step; a gateway that is used faster than it is copied ends after `ROUNDS`.
+    Each round after the first transfers the accounts that were used during the previous one, until so few are left
+    that they fit into one step. If the gateway uses accounts faster than they are copied, the copy ends after
+    `MAX_COPY_ROUNDS` rounds.
     """
 
     def __init__(self, gateway: Gateway, now: float) -> None:
-        self._quotas, self._debts = gateway.quotas, gateway.quotas.deficits.copy()
-        self._since = now  # whatever was used last before this is given once the round is over
+        self._quotas, self._deficits = gateway.quotas, gateway.quotas.deficits.copy()
+        self._round_started_at = now  # accounts last used before this are done after the round
         self._rounds = 0
-        self._given: set[str] = set()
-        self._keys: list[list[str]] = [[], []]  # those left of a queue, the next one last
-        self._untold = [False, True]  # queues that nothing was taken of yet: one at a time, as even their names take ms
+        self._copied: set[str] = set()
+        self._remaining_keys: list[list[str]] = [[], []]  # by queue, the next key last
+        # Queues whose keys were not read yet. Only one is read at a time, since the keys alone take milliseconds.
+        self._unread_queues = [False, True]
 
     def debts(self) -> dict[str, Any] | None:
-        """The next of the debts; None where all were given."""
-        return next(self._debts, None)
+        """Return the next part of the deficits; None once all were transferred."""
+        return next(self._deficits, None)
 
     def lists(self) -> bool:
-        """Take the names of the next queue, if it is time: a step of its own, as 30,000 names take 3 ms."""
-        if any(self._keys) or not self._untold:
+        """Read the keys of the next queue if it is due: a separate step, since 30,000 keys take 3 ms."""
+        if any(self._remaining_keys) or not self._unread_queues:
             return False
-        often = self._untold.pop()
-        self._keys[often] = list(self._quotas.accounts.queues[often].keys())  # a third faster than by the queue itself
-        self._keys[often].reverse()
+        recurring = self._unread_queues.pop()
+        # A list of `keys()` takes a third less time than one of the queue itself.
+        self._remaining_keys[recurring] = list(self._quotas.accounts.queues[recurring].keys())
+        self._remaining_keys[recurring].reverse()
         return True
 
-    def more(self, now: float, most: int) -> list[dict[str, Any]]:
-        """The next accounts, `most` of them; none where no further round is worth it."""
+    def more(self, now: float, limit: int) -> list[dict[str, Any]]:
+        """Return the next accounts, up to `limit`; none if a further round is not worthwhile."""
         while self.lists():
             pass
-        if not any(self._keys):
-            used = list(self._used())
-            if len(used) <= FEW or self._rounds >= ROUNDS:
+        if not any(self._remaining_keys):
+            used = list(self._used_since_round())
+            if len(used) <= MAX_FINAL_ACCOUNTS or self._rounds >= MAX_COPY_ROUNDS:
                 return []
             self._rounds += 1
-            self._keys = [[key for key, often in used if often == queue] for queue in (False, True)]
-            self._since = now
+            self._remaining_keys = [[key for key, recurring in used if recurring == queue] for queue in (False, True)]
+            self._round_started_at = now
         rows: list[dict[str, Any]] = []
-        while len(rows) < most and any(self._keys):
-            often = not self._keys[0]
-            key = self._keys[often].pop()
+        while len(rows) < limit and any(self._remaining_keys):
+            recurring = not self._remaining_keys[0]
+            key = self._remaining_keys[recurring].pop()
             account = self._quotas.accounts.get(key)
             if account is not None:
-                self._given.add(key)
-                rows.append(account_row(account, often))
-        return rows or self.more(now, most)
-
-    def _used(self) -> Iterator[tuple[str, bool]]:
-        """The customers who asked since this round began, or were never given."""
-        for often, queue in enumerate(self._quotas.accounts.queues):
-            for key in reversed(queue):  # by last use: whatever is older has not changed
-                if key in self._given and queue[key].updated_at < self._since:
+                self._copied.add(key)
+                rows.append(account_row(account, recurring))
+        return rows or self.more(now, limit)
+
+    def _used_since_round(self) -> Iterator[tuple[str, bool]]:
+        """Yield the customers used since this round began or never copied, with their queue."""
+        for recurring, queue in enumerate(self._quotas.accounts.queues):
+            for key in reversed(queue):  # latest use first: older accounts have not changed
+                if key in self._copied and queue[key].updated_at < self._round_started_at:
                     break
-                yield key, bool(often)
+                yield key, bool(recurring)
 
     def rest(self) -> list[dict[str, Any]]:
-        """What was used since: once, at the end."""
-        return [account_row(self._quotas.accounts.queues[often][key], often) for key, often in self._used()]
+        """Return the accounts used since the last round; called once, at the end."""
+        return [
+            account_row(self._quotas.accounts.queues[recurring][key], recurring)
+            for key, recurring in self._used_since_round()
+        ]
 
 
 def core(gateway: Gateway) -> dict[str, Any]:
-    """All but accounts and what is out."""
-    g, q, f = gateway, gateway.quotas, gateway.fleet
+    """Return the state except for accounts and attempts in flight."""
+    source, quotas, fleet = gateway, gateway.quotas, gateway.fleet
     return {
-        "quotas": take(q, QUOTAS),
-        "meter": take(q.meter, METER),
-        "debts": q.deficits.rest(),
-        "throttle": take(g.throttle, THROTTLE),
-        "fleet": take(f, FLEET),
-        "recent": take(f.recent, RECENT),
-        "tails": take(f.tails, TAILS),
-        "workers": {name: take(worker, WORKER) for name, worker in f.workers.items()},
-        "waits": take(g.waits, WAITS)["_waits"],
-        "budget": g.retry_budget,
-        "counter": take(g.counting.budget, BUDGET),
-        "banned": dict(g.maintenance.banned),
-        "back": {n: list(t) for n, t in g.maintenance.back.items()},
+        "quotas": dump_fields(quotas, QUOTAS_FIELDS),
+        "meter": dump_fields(quotas.meter, METER_FIELDS),
+        "debts": quotas.deficits.rest(),
+        "throttle": dump_fields(source.throttle, THROTTLE_FIELDS),
+        "fleet": dump_fields(fleet, FLEET_FIELDS),
+        "recent": dump_fields(fleet.recent, RECENT_FIELDS),
+        "tails": dump_fields(fleet.tails, TAILS_FIELDS),
+        "workers": {name: dump_fields(worker, WORKER_FIELDS) for name, worker in fleet.workers.items()},
+        "waits": dump_fields(source.waits, WAITS_FIELDS)["_waits"],
+        "budget": source.retry_budget,
+        "counter": dump_fields(source.counting.budget, COUNTER_BUDGET_FIELDS),
+        "banned": dict(source.maintenance.banned),
+        "back": {n: list(t) for n, t in source.maintenance.back.items()},
     }
 
 
 def outs(gateway: Gateway) -> Iterator[dict[str, Any]]:
-    """The attempts that are out."""
+    """Yield the attempts in flight."""
     for (name, number), attempt in gateway.in_flight.items():
         yield out_row(name, number, attempt)
 
 
 def out_row(name: str, number: int, attempt: Attempt) -> dict[str, Any]:
-    """An attempt as it is told of. `units` are those of a first one, which it has taken."""
+    """Return an attempt as it is transferred; `units` are those of its request, which the first attempt spent."""
     return {
         "request": name,
         "number": number,
@@ -254,64 +262,66 @@
 
 
 def put_accounts(gateway: Gateway, now: float, rows: Iterable[dict[str, Any]]) -> None:
-    """Take accounts over; a later row of a customer replaces an earlier one."""
+    """Restore accounts; a later row of a customer replaces an earlier one. Raises Damaged for a malformed row."""
     for row in rows:
-        whose, spread = parse_customer_key(str(row.get("key", ""))), row.get("spread")
-        if whose is None or not isinstance(spread, int) or spread < 1:
-            raise Damaged(f"an account {row.get('key')!r} of {spread!r}")
-        if (plan := gateway.plans.get(whose[0])) is None:
-            continue  # a plan that this version's settings do not have
+        plan_and_customer, spread = parse_customer_key(str(row.get("key", ""))), row.get("spread")
+        if plan_and_customer is None or not isinstance(spread, int) or spread < 1:
+            raise Damaged(f"malformed account: key {row.get('key')!r}, spread {spread!r}")
+        if (plan := gateway.plans.get(plan_and_customer[0])) is None:
+            continue  # the settings of this process do not have the plan
         account = Account(plan, row["key"], spread, now, now)
-        put(account, ACCOUNT, row)
-        if isinstance(whole := row.get("whole"), dict):
-            put(account.quota_estimate, WHOLE, whole)
+        load_fields(account, ACCOUNT_FIELDS, row)
+        if isinstance(estimate_state := row.get("whole"), dict):
+            load_fields(account.quota_estimate, QUOTA_ESTIMATE_FIELDS, estimate_state)
         table = gateway.quotas.accounts
-        old = table.get(account.key)
-        account.in_flight = old.in_flight if old is not None else 0
+        previous = table.get(account.key)
+        account.in_flight = previous.in_flight if previous is not None else 0
         for queue in table.queues:
             queue.pop(account.key, None)
         table.queues[bool(row.get("often"))][account.key] = account
 
 
-def put_core(gateway: Gateway, now: float, state: dict[str, Any], out: Iterable[dict[str, Any]] = ()) -> None:
-    """Take the rest over; the list of workers has been told before. Damaged where it can't be read."""
-    g, q, f = gateway, gateway.quotas, gateway.fleet
+def put_core(gateway: Gateway, now: float, state: dict[str, Any], in_flight: Iterable[dict[str, Any]] = ()) -> None:
+    """Restore the rest of the state; the list of workers has been received before. Raises Damaged if malformed."""
+    target, quotas, fleet = gateway, gateway.quotas, gateway.fleet
     parts: list[tuple[object, dict[str, str], str]] = [
-        (q, QUOTAS, "quotas"),
-        (q.meter, METER, "meter"),
-        (g.throttle, THROTTLE, "throttle"),
-        (f, FLEET, "fleet"),
-        (f.recent, RECENT, "recent"),
-        (f.tails, TAILS, "tails"),
-        (g.counting.budget, BUDGET, "counter"),
+        (quotas, QUOTAS_FIELDS, "quotas"),
+        (quotas.meter, METER_FIELDS, "meter"),
+        (target.throttle, THROTTLE_FIELDS, "throttle"),
+        (fleet, FLEET_FIELDS, "fleet"),
+        (fleet.recent, RECENT_FIELDS, "recent"),
+        (fleet.tails, TAILS_FIELDS, "tails"),
+        (target.counting.budget, COUNTER_BUDGET_FIELDS, "counter"),
     ]
     for owner, fields, key in parts:
-        put(owner, fields, _mapping(state, key))
-    for name, known in _mapping(state, "workers").items():
-        if name in f.workers and isinstance(known, dict):
-            put(f.workers[name], WORKER, known)
-    q.deficits.restore(_mapping(state, "debts"))
-    g.waits.restore(_mapping(state, "waits"))
+        load_fields(owner, fields, _mapping(state, key))
+    for name, worker_state in _mapping(state, "workers").items():
+        if name in fleet.workers and isinstance(worker_state, dict):
+            load_fields(fleet.workers[name], WORKER_FIELDS, worker_state)
+    quotas.deficits.restore(_mapping(state, "debts"))
+    target.waits.restore(_mapping(state, "waits"))
     if isinstance(budget := state.get("budget"), int | float):
-        g.retry_budget = float(budget)
-    for row in out:  # before the bans: a worker that is out is forgotten once nothing is out there
+        target.retry_budget = float(budget)
+    for row in in_flight:  # before maintenance: a worker that is out is dropped once it has nothing in flight
         adopt(gateway, now, row)
     banned = {str(name): float(since) for name, since in _mapping(state, "banned").items()}
     back = {str(name): (float(t[0]), float(t[1])) for name, t in _mapping(state, "back").items()}
-    g.fleet.update(now, g.maintenance.restore(banned, back))
+    target.fleet.update(now, target.maintenance.restore(banned, back))
 
 
 def _mapping(state: dict[str, Any], key: str) -> dict[str, Any]:
     value = state.get(key, {})
     if not isinstance(value, dict):
-        raise Damaged(f"{key} is no mapping")
+        raise Damaged(f"{key}: expected a mapping")
     return value
 
 
 def adopt(gateway: Gateway, now: float, row: dict[str, Any], spends: bool = False) -> None:
-    """Count an attempt of the giver's as out; one that it began since, and was a first one, `spends` its units.
+    """Count an attempt of the predecessor as in flight.
 
-    Its request is none of this gateway's, and its outcome is taken like that of any whose client has gone.
+    With `spends`, the predecessor began it after the state was transferred, and the first attempt of a request spends
+    its units here too. The request is not one of this gateway's: its outcome is treated like that of a request whose
+    client disconnected.
     """
     klass, worker = gateway.classes.get(row["klass"]), gateway.fleet.workers.get(row["worker"])
     plan_name, customer = parse_customer_key(str(row["key"])) or ("", "")
@@ -325,11 +335,11 @@
     request = interface.Request(
         name, klass.name, plan.name, customer, klass.deadline, units=units, gateway_count=int(row["spread"])
     )
-    stub = Pending(request, klass, account, sent + klass.deadline)
+    pending = Pending(request, klass, account, sent + klass.deadline)
     entry = worker.entry if worker is not None else interface.WorkerEntry(str(row["worker"]))
-    attempt = Attempt(entry, klass, sent, stub)
+    attempt = Attempt(entry, klass, sent, pending)
     attempt.overload_signalled, attempt.holds_slot = bool(row["signalled"]), bool(row["counted"])
-    stub.attempts.append(attempt)
+    pending.attempts.append(attempt)
     account.in_flight += attempt.holds_slot
     gateway.in_flight[name, number] = attempt
     if worker is not None:
@@ -337,12 +347,12 @@
         worker.in_flight[name, number] = sent
 
 
-def left_out(gateway: Gateway, theirs: Iterable[tuple[str, int]]) -> list[interface.Outcome]:
-    """The giver is gone, and with it what it had out, as its connections are closed: the outcomes of that."""
+def left_out(gateway: Gateway, attempts: Iterable[tuple[str, int]]) -> list[interface.Outcome]:
+    """Return the outcomes of the predecessor's attempts after its exit closed their connections: all cancelled."""
     return [
         interface.Outcome(
             name, number, gateway.in_flight[name, number].worker, interface.CANCELLED, terminal=True, took=0.0
         )
-        for name, number in theirs
+        for name, number in attempts
         if (name, number) in gateway.in_flight
     ]
--- a/micagate/operating/__init__.py
+++ b/micagate/operating/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running gateway: workers out for maintenance, clients sent away. Pure."""
+"""Operator commands to a running gateway: worker maintenance and draining of clients. No I/O."""
--- a/micagate/operating/maintenance.py
+++ b/micagate/operating/maintenance.py
@@ -1,11 +1,12 @@
-"""Workers that operators have taken out, over whatever the list says of them.
+"""Workers that operators have taken out of service, independent of what discovery reports.
 
-A ban belongs to the worker's id: it outlives lists, addresses, restarts and the process that was told of it (it goes
-over in a handover). It is a state, not a count: a second call out changes nothing and one call back ends it.
+Maintenance is keyed by the worker's id: it outlives discovery lists, addresses, restarts, and the process that received
+the call (it is part of the handoff). It is a state and not a count: a second call to take a worker out changes nothing,
+and one call to bring it back ends it.
 
-The list is passed through `follow`: a banned worker drains there. One that came back started at the call, as far as
-anyone knows, so it is cold even where the list says nothing yet of its restart; what the list tells of a start after
-the ban counts from then on.
+Discovery updates pass through `Maintenance.follow`, which marks workers in maintenance as draining. A worker that was
+brought back is assumed to have started at that call, so it gets a slow start even if discovery does not report the
+restart yet. A start time after the beginning of the maintenance that discovery reports replaces the assumed one.
 """
 
 from __future__ import annotations
@@ -17,73 +18,74 @@
 
 
 class Maintenance:
-    """The bans, and the list as it was told."""
+    """The workers in maintenance, and the list of workers as discovery reported it."""
 
     def __init__(self) -> None:
-        self.told: dict[str, interface.WorkerEntry] = {}  # the list as it was told, without those that are gone
-        self.banned: dict[str, float] = {}  # since when, seconds on the caller's clock
-        self.back: dict[str, tuple[float, float]] = {}  # came back: since when it was out, and when it came
+        self.told: dict[str, interface.WorkerEntry] = {}  # as discovery reported it, without removed workers
+        self.banned: dict[str, float] = {}  # start of the maintenance, seconds on the caller's clock
+        self.back: dict[str, tuple[float, float]] = {}  # workers brought back: start and end of the maintenance
 
-    def follow(self, news: interface.WorkerList) -> interface.WorkerList:
-        """The list as the choice of workers sees it."""
-        if news.failed:
-            return news
-        if news.whole:
+    def follow(self, update: interface.WorkerList) -> interface.WorkerList:
+        """Record a discovery update and return it with maintenance applied."""
+        if update.failed:
+            return update
+        if update.whole:
             self.told.clear()
-            named = {entry.worker for entry in news.entries}
-            self.back = {name: times for name, times in self.back.items() if name in named}
-        for entry in news.entries:
+            listed = {entry.worker for entry in update.entries}
+            self.back = {name: times for name, times in self.back.items() if name in listed}
+        for entry in update.entries:
             if entry.state == interface.REMOVED:
                 self.told.pop(entry.worker, None)
                 self.back.pop(entry.worker, None)
             else:
                 self.told[entry.worker] = entry
         if not self.banned and not self.back:
-            return news
-        return replace(news, entries=tuple(self._seen(entry) for entry in news.entries))
+            return update
+        return replace(update, entries=tuple(self._effective_entry(entry) for entry in update.entries))
 
     def out(self, now: float, worker: str, since: float | None = None) -> interface.WorkerList | None:
-        """Ban a worker; what that changes in the list, or None for an id that nothing is known of.
+        """Take a worker out of service; return the resulting update, or None if its id is unknown.
 
-        With `since` it was known elsewhere, and is banned from then on whether or not the list has it yet.
+        With `since` another process already knew of the maintenance. The worker is then out from that time on, whether
+        or not discovery has listed it yet.
         """
         if worker not in self.told and worker not in self.banned and since is None:
             return None
         self.banned.setdefault(worker, now if since is None else since)
         self.back.pop(worker, None)
-        return self._news(worker)
+        return self._update_for(worker)
 
     def online(self, now: float, worker: str, since: float | None = None) -> interface.WorkerList | None:
-        """End a worker's ban; what that changes in the list, or None for an id that nothing is known of."""
+        """Bring a worker back into service; return the resulting update, or None if its id is unknown."""
         if worker not in self.told and worker not in self.banned and since is None:
             return None
         since = self.banned.pop(worker, None)
         if since is None:
-            return interface.WorkerList()  # it was in all along, or the call came twice
+            return interface.WorkerList()  # it was in service, or the call was repeated
         if worker in self.told:
             self.back[worker] = since, now
-        return self._news(worker)
+        return self._update_for(worker)
 
     def restore(
         self, banned: dict[str, float], back: dict[str, tuple[float, float]], told: Iterable[interface.WorkerEntry] = ()
     ) -> interface.WorkerList:
-        """Take over bans; what they change in a list that was told before."""
+        """Restore the maintenance of another process; return the resulting update of a list received before."""
         self.banned.update(banned)
         self.back.update(back)
         for entry in told:
             self.told.setdefault(entry.worker, entry)
-        return interface.WorkerList(tuple(self._seen(entry) for entry in self.told.values()))
+        return interface.WorkerList(tuple(self._effective_entry(entry) for entry in self.told.values()))
 
-    def _news(self, worker: str) -> interface.WorkerList:
+    def _update_for(self, worker: str) -> interface.WorkerList:
         entry = self.told.get(worker)
-        return interface.WorkerList(() if entry is None else (self._seen(entry),))
+        return interface.WorkerList(() if entry is None else (self._effective_entry(entry),))
 
-    def _seen(self, entry: interface.WorkerEntry) -> interface.WorkerEntry:
+    def _effective_entry(self, entry: interface.WorkerEntry) -> interface.WorkerEntry:
         if entry.worker in self.banned:
             return replace(entry, state=interface.DRAINING) if entry.state == interface.HEALTHY else entry
         if (times := self.back.get(entry.worker)) is None or entry.state == interface.REMOVED:
             return entry
-        since, came = times
+        since, back_at = times
         if entry.started is not None and entry.started >= since:
-            return entry  # the list knows of the restart
-        return replace(entry, started=came)
+            return entry  # discovery has reported the restart
+        return replace(entry, started=back_at)
--- a/micagate/operating/presence.py
+++ b/micagate/operating/presence.py
@@ -1,33 +1,37 @@
-"""Whether clients are wanted here: said to whoever asks, and in the time that they need to go elsewhere."""
+"""Whether this process accepts clients: the answer to health checks, and the time that clients need to move away."""
 
 from __future__ import annotations
 
-# Seconds after which whoever sends clients has heard a no and sends no more: it asks each 0.1, and sends for 0.2 more.
+# Seconds after which the load balancer in front has seen the failed health check and sends no more clients: it checks
+# every 0.1 s and may still send for another 0.2 s.
 HEARD = 0.45
 
 
 class Presence:
-    """A gatekeeper that operators may empty and fill again; it goes on serving whatever comes meanwhile."""
+    """Drain state of a gatekeeper, set and ended by operators; it keeps serving requests that still arrive."""
 
     def __init__(self) -> None:
-        self.left: float | None = None  # since when it sends clients away, seconds on the caller's clock
+        self.left: float | None = None  # start of the drain, seconds on the caller's clock; None: not draining
 
     def leave(self, now: float) -> bool:
-        """Send clients away; whether that is new. A second call does not begin anew."""
+        """Start draining; return whether that is new. A repeated call keeps the first start time."""
         if self.left is not None:
             return False
         self.left = now
         return True
 
     def join(self) -> bool:
-        """Take clients again; whether that is new."""
-        left, self.left = self.left, None
-        return left is not None
+        """End the drain; return whether it was draining."""
+        draining_since, self.left = self.left, None
+        return draining_since is not None
 
     def closes(self) -> bool:
-        """Whether each reply closes its connection, so that the client comes again through whoever sends it."""
+        """Return whether each response closes its connection, so that clients reconnect through the load balancer."""
         return self.left is not None
 
     def clears(self, now: float) -> bool:
-        """Whether idle connections are closed: not before no more can come, or a request would cross the close."""
+        """Return whether to close idle connections.
+
+        Only once no new clients arrive, since a request could otherwise cross the close.
+        """
         return self.left is not None and now - self.left >= HEARD
--- a/tests/bodies/test_buffering.py
+++ b/tests/bodies/test_buffering.py
@@ -68,7 +68,7 @@
 
 
 def test_a_slow_sender_holds_no_worker_unless_memory_is_scarce():
-    assert not buffering.begins(buffering.FIRST - 1, whole=False, scarce=False)
-    assert buffering.begins(buffering.FIRST, False, False) and buffering.begins(1, True, False)
+    assert not buffering.begins(buffering.MIN_GATHERED_BYTES - 1, whole=False, scarce=False)
+    assert buffering.begins(buffering.MIN_GATHERED_BYTES, False, False) and buffering.begins(1, True, False)
     assert buffering.begins(1, False, True)
-    assert buffering.reads_on(10**9, scarce=False) and not buffering.reads_on(buffering.WINDOW, scarce=True)
+    assert buffering.reads_on(10**9, scarce=False) and not buffering.reads_on(buffering.WINDOW_BYTES, scarce=True)
--- a/tests/counting/test_budget.py
+++ b/tests/counting/test_budget.py
@@ -5,7 +5,17 @@
 import pytest
 
 from micagate import interface
-from micagate.counting.budget import EASY, HOLD, LAST, LEAST, LOOK, ROW, SILENT, UNHEARD, Budget
+from micagate.counting.budget import (
+    AVERAGING_RESPONSE_COUNT,
+    FULL_LEVEL_LATENCY_RATIO,
+    MIN_LEVEL_RATIO,
+    MIN_PAUSE_SECONDS,
+    MIN_PROBE_INTERVAL_SECONDS,
+    PAUSE_AFTER_SLOW_COUNT,
+    UNRESPONSIVE_CALL_COUNT,
+    UNRESPONSIVE_SECONDS,
+    Budget,
+)
 from rig.counting import Service
 
 WAIT = 0.03
@@ -18,14 +28,14 @@
 def test_answers_that_come_soon_leave_the_level_full_and_slow_ones_lower_it_until_they_are_forgotten():
     b = budget()
     for n in range(100):
-        b.heard(0.01 * n, interface.SUCCESS, EASY * WAIT)
+        b.heard(0.01 * n, interface.SUCCESS, FULL_LEVEL_LATENCY_RATIO * WAIT)
     assert b.level == 2.0
     for n in range(100):
         b.heard(1 + 0.01 * n, interface.SUCCESS, 0.9 * WAIT)
     low = b.level
-    assert 2 * LEAST <= low < 1.0
-    for n in range(8 * LAST):
-        b.heard(2 + 0.01 * n, interface.SUCCESS, EASY * WAIT)
+    assert 2 * MIN_LEVEL_RATIO <= low < 1.0
+    for n in range(8 * AVERAGING_RESPONSE_COUNT):
+        b.heard(2 + 0.01 * n, interface.SUCCESS, FULL_LEVEL_LATENCY_RATIO * WAIT)
     assert b.level > 1.99
 
 
@@ -43,10 +53,10 @@
 
 def test_after_late_answers_in_a_row_no_call_is_made_for_a_while_so_that_the_line_empties():
     b = budget()
-    for _ in range(ROW):
+    for _ in range(PAUSE_AFTER_SLOW_COUNT):
         assert b.may(1.0)
         b.heard(1.0, interface.OVERLOADED, 0.0)
-    assert not b.may(1.0 + 0.99 * HOLD) and b.may(1.0 + 3.01 * HOLD)
+    assert not b.may(1.0 + 0.99 * MIN_PAUSE_SECONDS) and b.may(1.0 + 3.01 * MIN_PAUSE_SECONDS)
 
 
 def test_a_counter_that_answers_nothing_is_looked_at_now_and_then_and_its_level_stays():
@@ -55,12 +65,12 @@
         b.heard(0.01 * n, interface.TIMED_OUT, WAIT)
     level = b.level
     looks = [b.may(1 + 0.01 * n) for n in range(400)].count(True)
-    assert 4 / (2 * LOOK) - 1 <= looks <= 4 / LOOK + 1
+    assert 4 / (2 * MIN_PROBE_INTERVAL_SECONDS) - 1 <= looks <= 4 / MIN_PROBE_INTERVAL_SECONDS + 1
     for n in range(50):
         b.heard(5 + 0.01 * n, interface.TIMED_OUT, WAIT)
-    assert b.level == level and b.silent(6.0) and UNHEARD and SILENT
+    assert b.level == level and b.is_unresponsive(6.0) and UNRESPONSIVE_CALL_COUNT and UNRESPONSIVE_SECONDS
     b.heard(6.0, interface.SUCCESS, 0.004)
-    assert not b.silent(6.0) and b.may(6.0)
+    assert not b.is_unresponsive(6.0) and b.may(6.0)
 
 
 @pytest.mark.parametrize("rate", [100.0, 200.0, 400.0, 800.0])
--- a/tests/counting/test_gateway.py
+++ b/tests/counting/test_gateway.py
@@ -47,7 +47,7 @@
 def test_a_refused_customer_is_refused_again_without_a_call_until_it_can_have_room():
     g = gateway()
     (call,) = of(interface.CounterAdd, asks(g, 1.0))
-    begin = g.counting._out[call.name][0].where.begin
+    begin = g.counting._in_flight[call.name][0].epoch.started_at
     elapsed = 1.0 - begin
     actions = g.handle(
         1.0, interface.CounterResult(call.name, interface.SUCCESS, elapsed + 4.0 + 2.5, 0.01)
--- a/tests/counting/test_stores.py
+++ b/tests/counting/test_stores.py
@@ -7,7 +7,7 @@
 from micagate import interface
 from micagate.accounts import Account
 from micagate.counting.counting import Counting
-from micagate.counting.stores import EPOCH, LIFE, judge, place
+from micagate.counting.stores import COUNTER_TTL_SECONDS, EPOCH_SECONDS, epoch_at, evaluate_total
 from rig import schedules
 from rig.counting import Service
 from rig.schedules import ceiling
@@ -98,20 +98,20 @@
 
 
 def test_epochs_end_before_the_counter_forgets_and_each_customer_has_its_own():
-    assert EPOCH < LIFE <= 60.0
-    begins = {place(1000.0, 5.0, f"c/team/{n}").begin for n in range(50)}
-    assert len(begins) > 40 and all(1000.0 - EPOCH <= begin <= 1000.0 for begin in begins)
-    one = place(1000.0, 5.0, "c/team/1")
-    other = place(1000.0 + 7.0, 5.0 - 7.0, "c/team/1")  # another gateway's clock, the same instant
-    assert other.name == one.name and other.begin - one.begin == pytest.approx(7.0)
-    assert place(1000.0 + EPOCH, 5.0, "c/team/1").name != one.name
+    assert EPOCH_SECONDS < COUNTER_TTL_SECONDS <= 60.0
+    begins = {epoch_at(1000.0, 5.0, f"c/team/{n}").started_at for n in range(50)}
+    assert len(begins) > 40 and all(1000.0 - EPOCH_SECONDS <= begin <= 1000.0 for begin in begins)
+    one = epoch_at(1000.0, 5.0, "c/team/1")
+    other = epoch_at(1000.0 + 7.0, 5.0 - 7.0, "c/team/1")  # another gateway's clock, the same instant
+    assert other.name == one.name and other.started_at - one.started_at == pytest.approx(7.0)
+    assert epoch_at(1000.0 + EPOCH_SECONDS, 5.0, "c/team/1").name != one.name
 
 
 @pytest.mark.parametrize(
     ("total", "early", "behind"), [(1.0, -3.0, 5.0), (6.0, -3.0, 0.0), (9.0, 0.0, -3.0), (9.5, 0.5, -3.5)]
 )
 def test_a_total_says_how_early_a_try_came_and_how_far_the_number_was_behind(total, early, behind):
-    assert judge(total - 1.0, 1.0, 5.0, 4.0) == pytest.approx((early, behind), abs=0.01)
+    assert evaluate_total(total - 1.0, 1.0, 5.0, 4.0) == pytest.approx((early, behind), abs=0.01)
 
 
 def test_only_slivers_are_counted_and_nothing_where_there_is_no_counter():
@@ -129,7 +129,7 @@
 def test_no_more_are_out_at_once_than_the_plan_allows_and_a_place_is_free_again_at_the_end():
     shared = Shared(3, CAPPED)
     shared.asked(0, 1.0)
-    call = shared.of[0]._out[shared.kept[0][1].name][0]
+    call = shared.of[0]._in_flight[shared.kept[0][1].name][0]
     assert shared.answer(1.0) == [True]
     assert [shared.send(n, 1.0) for n in (1, 2, 0)] == [True, False, False]
     shared.of[0].leave(call)
@@ -142,9 +142,11 @@
 def test_places_left_taken_by_a_gateway_that_died_are_free_again_after_the_longest_request():
     shared = Shared(2, CAPPED)
     assert [shared.send(0, 21.0 + n) for n in (0, 0, 0)] == [True, True, False]
-    begin = place(21.0, 0.0, "c/team/x").begin
+    begin = epoch_at(21.0, 0.0, "c/team/x").started_at
     assert not shared.send(1, 22.0)
-    late = begin + EPOCH - 0.1  # behind by more than half of the burst and the longest deadline only in a shallow plan
+    late = (
+        begin + EPOCH_SECONDS - 0.1
+    )  # behind by more than half of the burst and the longest deadline only in a shallow plan
     shallow = Shared(2, interface.Plan("team", rate=1.0, burst=4.0, concurrency_limit=2.0, excess_cost=1.0))
     assert [shallow.send(0, begin + 6.0) for _ in range(3)] == [True, True, False]
     assert shallow.send(1, min(late, begin + 14.0))
@@ -155,7 +157,7 @@
     calls = []
     for n in range(2):
         shared.asked(n, 1.0)
-        calls.append(shared.of[n]._out[shared.kept[0][1].name][0])
+        calls.append(shared.of[n]._in_flight[shared.kept[0][1].name][0])
         assert shared.answer(1.0) == [True]
     shared.service.forget()
     for n, call in enumerate(calls):
--- a/tests/estimates/test_metering.py
+++ b/tests/estimates/test_metering.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from micagate.estimates.metering import LONGEST, Meter, QuotaEstimate
+from micagate.estimates.metering import MAX_LATENESS_SECONDS, Meter, QuotaEstimate
 from rig.traffic import PlanShape, Store
 
 
@@ -137,10 +137,10 @@
     world = settled({f"c{n}": 1.0 for n in range(8)})
     whole = world.wholes["c0"][0]
     whole.advance(world.now)
-    before = whole.others()
+    before = whole.others_rate()
     for _ in range(8):
         whole.record_sent(world.now, 1.0, 0.06)
-    assert whole.others() > before + 1.0
+    assert whole.others_rate() > before + 1.0
     assert whole.spare(world.now, 0.85) < whole.spare(world.now, 0.5) == whole.level
 
 
@@ -166,7 +166,7 @@
     world = settled({f"c{n}": 40.0 for n in range(6)}, seconds=30.0)
     for name in world.wholes:
         for whole in world.wholes[name]:
-            assert len(whole._times) <= 2 * 32 * (3 * world.period + LONGEST) / world.period + 1
+            assert len(whole._sent_times) <= 2 * 32 * (3 * world.period + MAX_LATENESS_SECONDS) / world.period + 1
 
 
 def test_units_that_come_back_late_make_no_negative_use():
@@ -174,5 +174,5 @@
     whole = QuotaEstimate(10.0, 20.0, 4, 0.0, 20.0)
     whole.record_sent(0.0, 5.0, 0.1)
     whole.record_unsent(30.0, 5.0)
-    assert whole.others() >= 0.0
+    assert whole.others_rate() >= 0.0
     assert whole.spare(31.0, 0.9) <= 20.0
