--- a/tests/bodies/test_streaming.py
+++ b/tests/bodies/test_streaming.py
@@ -1,4 +1,4 @@
-"""Long bodies through the real program: whole, bounded, in order, and cut where they have to be."""
+"""Long bodies through the real program: complete, bounded in memory, in order, and cut off where required."""
 
 import asyncio
 import contextlib
@@ -14,11 +14,11 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("step", [65536, 1023])
-def test_a_long_answer_comes_whole_whatever_its_framing(framing, step):
+def test_a_long_response_arrives_complete_with_any_framing(framing, step):
     async def scenario():
         async with scene(BulkWorker("w")) as (gatekeeper, _, _):
             client = await BulkClient.connect(gatekeeper.port)
-            for _ in range(2):  # the connection goes on
+            for _ in range(2):  # on the same connection
                 status, name, size, total, whole = await client.ask(
                     "read", want=f"give={3 * MB + 17}&framing={framing}&step={step}"
                 )
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("size", [65_537, 900_000, 5 * MB])
-def test_a_long_request_goes_on_whole(chunked, size):
+def test_a_long_request_is_forwarded_complete(chunked, size):
     async def scenario():
         worker = BulkWorker("w")
         async with scene(worker) as (gatekeeper, _, _):
@@ -42,12 +42,12 @@
 
 
 @pytest.mark.parametrize(("want", "status"), [("turn=1", 200), ("cut=1", 200), ("cut=1&turn=2", 200), ("turn=9", 503)])
-def test_an_unsafe_request_that_surely_never_ran_goes_again_while_it_is_kept(want, status):
+def test_retries_a_side_effect_request_that_never_ran_while_it_is_buffered(want, status):
     async def scenario():
         workers = BulkWorker("w"), BulkWorker("v"), BulkWorker("u")
         async with scene(*workers) as (gatekeeper, _, _):
             client = await BulkClient.connect(gatekeeper.port)
-            size = 16 * MB  # more than the system takes by itself
+            size = 16 * MB  # more than the socket buffers hold
             got, name, *_ = await client.ask(size=size, want=want)
             whole = [each for worker in workers for each in worker.took if each[3]]
             assert got == status and all(each == (name, size, check(name, size), True) for each in whole)
@@ -55,13 +55,13 @@
     run(scenario())
 
 
-def test_a_request_that_is_not_kept_is_refused_rather_than_guessed_at():
+def test_refuses_a_retry_of_a_request_that_is_not_buffered():
     async def scenario():
         workers = BulkWorker("w"), BulkWorker("v")
         async with scene(*workers, limits={"held_mb": 0.0625}) as (gatekeeper, _, _):
             client = await BulkClient.connect(gatekeeper.port)
             status, name, *_ = await client.ask(size=3 * MB, want="turn=1")
-            assert status == 503  # it never ran, but a part of it is gone
+            assert status == 503  # it never ran, but a part of it was dropped
             assert sum(len(worker.took) for worker in workers) == 1
             client = await BulkClient.connect(gatekeeper.port)
             assert (await client.ask(size=3 * MB))[0] == 200
@@ -69,7 +69,7 @@
     run(scenario())
 
 
-def test_twenty_of_32_mb_at_once_stay_within_80_mb():
+def test_twenty_concurrent_bodies_of_32_mb_stay_within_80_mb():
     async def scenario():
         worker, size = BulkWorker("w"), 32 * MB
         async with scene(worker, limits={"memory_mb": 80}) as (gatekeeper, _, _):
@@ -80,22 +80,22 @@
     run(scenario())
 
 
-def test_a_slow_reader_and_a_slow_sender_get_all_after_their_deadline():
+def test_a_slow_reader_and_a_slow_sender_complete_after_their_deadline():
     async def scenario():
         worker = BulkWorker("w")
         async with scene(worker) as (gatekeeper, _, _):
             reader, sender = [await BulkClient.connect(gatekeeper.port, window=65536) for _ in range(2)]
-            both = await asyncio.gather(
+            results = await asyncio.gather(
                 reader.ask("read", want=f"give={2 * MB}", read=1.5 * MB, timeout=0.4),
                 sender.ask(size=MB // 2, pace=MB / 2, timeout=0.4, step=16384),
             )
-            assert both[0][0] == 200 and both[0][2:] == (2 * MB, check(both[0][1], 2 * MB), True)
-            assert both[1][0] == 200
+            assert results[0][0] == 200 and results[0][2:] == (2 * MB, check(results[0][1], 2 * MB), True)
+            assert results[1][0] == 200
 
     run(scenario())
 
 
-def test_an_answer_that_is_begun_and_breaks_is_seen_to_be_cut_and_never_begun_again():
+def test_a_response_that_breaks_off_is_visibly_truncated_and_not_retried():
     async def scenario():
         workers = BulkWorker("w"), BulkWorker("v")
         async with scene(*workers) as (gatekeeper, _, _):
@@ -109,26 +109,28 @@
     run(scenario())
 
 
-def test_a_client_that_vanishes_in_the_middle_frees_its_worker():
+def test_a_client_that_disconnects_midway_frees_its_worker():
     async def scenario():
         worker = BulkWorker("w")
         async with scene(worker) as (gatekeeper, _, client):
-            gone = await BulkClient.connect(gatekeeper.port)
-            asking = asyncio.create_task(gone.ask("read", want=f"give={30 * MB}&pace={MB}", read=MB))
+            disconnecting = await BulkClient.connect(gatekeeper.port)
+            asking = asyncio.create_task(disconnecting.ask("read", want=f"give={30 * MB}&pace={MB}", read=MB))
             await until(lambda: worker.took)
             await asyncio.sleep(0.2)
-            gone.close()
+            disconnecting.close()
             asking.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await asking
-            half = await BulkClient.connect(gatekeeper.port)
-            sending = asyncio.create_task(half.ask(size=20 * MB, stop=5 * MB))
+            partial = await BulkClient.connect(gatekeeper.port)
+            sending = asyncio.create_task(partial.ask(size=20 * MB, stop=5 * MB))
             await asyncio.sleep(0.3)
-            half.close()
+            partial.close()
             sending.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await sending
-            await until(lambda: any(not each[3] for each in worker.took))  # it saw that the request is not whole
+            await until(
+                lambda: any(not each[3] for each in worker.took)
+            )  # the worker saw that the request is incomplete
             assert (await client.ask("write")).status == 200
             before = resident(gatekeeper.process.pid)
             assert before < 80 * MB
@@ -136,20 +138,20 @@
     run(scenario())
 
 
-def test_a_body_that_stands_still_is_given_up_and_one_that_crawls_is_not():
+def test_cancels_a_stalled_body_but_not_a_slow_one():
     async def scenario():
         worker = BulkWorker("w")
         async with scene(worker) as (gatekeeper, _, _):
-            still, crawls = [await BulkClient.connect(gatekeeper.port) for _ in range(2)]
-            both = await asyncio.gather(
-                still.ask(size=300_000, stop=100_000), crawls.ask(size=200_000, step=20_000, pace=50_000)
+            stalled, slow = [await BulkClient.connect(gatekeeper.port) for _ in range(2)]
+            results = await asyncio.gather(
+                stalled.ask(size=300_000, stop=100_000), slow.ask(size=200_000, step=20_000, pace=50_000)
             )
-            assert both[0][0] == 408 and both[1][0] == 200
+            assert results[0][0] == 408 and results[1][0] == 200
 
     run(scenario())
 
 
-def test_hundreds_of_uploads_that_stall_leave_the_usual_clients_alone():
+def test_hundreds_of_stalled_uploads_do_not_affect_other_clients():
     async def scenario():
         worker = BulkWorker("w")
         async with scene(worker, sockets=1024) as (gatekeeper, _, client):
@@ -165,7 +167,7 @@
     run(scenario())
 
 
-def test_a_refusal_goes_out_at_once_and_the_connection_goes_on():
+def test_a_refusal_is_sent_at_once_and_the_connection_stays_usable():
     async def scenario():
         async with scene() as (gatekeeper, _, _):  # no workers: nothing can be sent
             client = await BulkClient.connect(gatekeeper.port)
--- a/tests/counting/test_budget.py
+++ b/tests/counting/test_budget.py
@@ -1,4 +1,4 @@
-"""What a counter that bears little is asked, from its answers alone."""
+"""Adaptation of the limit on counter calls, from the counter's responses alone."""
 
 from random import Random
 
@@ -18,82 +18,84 @@
 )
 from rig.counting import Service
 
-WAIT = 0.03
+TIMEOUT_SECONDS = 0.03
 
 
 def budget(seed: int = 1) -> Budget:
-    return Budget(0.0, 2.0, WAIT, Random(seed))
+    return Budget(0.0, 2.0, TIMEOUT_SECONDS, Random(seed))
 
 
-def test_answers_that_come_soon_leave_the_level_full_and_slow_ones_lower_it_until_they_are_forgotten():
-    b = budget()
+def test_slow_responses_lower_the_level_until_their_weight_has_decayed():
+    limit = budget()
     for n in range(100):
-        b.heard(0.01 * n, interface.SUCCESS, FULL_LEVEL_LATENCY_RATIO * WAIT)
-    assert b.level == 2.0
+        limit.heard(0.01 * n, interface.SUCCESS, FULL_LEVEL_LATENCY_RATIO * TIMEOUT_SECONDS)
+    assert limit.level == 2.0
     for n in range(100):
-        b.heard(1 + 0.01 * n, interface.SUCCESS, 0.9 * WAIT)
-    low = b.level
+        limit.heard(1 + 0.01 * n, interface.SUCCESS, 0.9 * TIMEOUT_SECONDS)
+    low = limit.level
     assert 2 * MIN_LEVEL_RATIO <= low < 1.0
     for n in range(8 * AVERAGING_RESPONSE_COUNT):
-        b.heard(2 + 0.01 * n, interface.SUCCESS, FULL_LEVEL_LATENCY_RATIO * WAIT)
-    assert b.level > 1.99
+        limit.heard(2 + 0.01 * n, interface.SUCCESS, FULL_LEVEL_LATENCY_RATIO * TIMEOUT_SECONDS)
+    assert limit.level > 1.99
 
 
-def test_gateways_that_see_one_line_have_one_level_whatever_they_saw_before():
+def test_levels_of_gateways_that_see_the_same_queue_converge():
     one, other = budget(), budget()
     for n in range(50):
-        one.heard(0.01 * n, interface.TIMED_OUT, WAIT)
-        one.heard(0.01 * n, interface.LATE_RESPONSE, WAIT)
+        one.heard(0.01 * n, interface.TIMED_OUT, TIMEOUT_SECONDS)
+        one.heard(0.01 * n, interface.LATE_RESPONSE, TIMEOUT_SECONDS)
     assert one.level < other.level
     for n in range(200):
-        for b in (one, other):
-            b.heard(1 + 0.01 * n, interface.SUCCESS, 0.5 * WAIT)
+        for limit in (one, other):
+            limit.heard(1 + 0.01 * n, interface.SUCCESS, 0.5 * TIMEOUT_SECONDS)
     assert one.level == pytest.approx(other.level, abs=0.01)
 
 
-def test_after_late_answers_in_a_row_no_call_is_made_for_a_while_so_that_the_line_empties():
-    b = budget()
+def test_pauses_after_consecutive_slow_responses_so_that_the_queue_drains():
+    limit = budget()
     for _ in range(PAUSE_AFTER_SLOW_COUNT):
-        assert b.may(1.0)
-        b.heard(1.0, interface.OVERLOADED, 0.0)
-    assert not b.may(1.0 + 0.99 * MIN_PAUSE_SECONDS) and b.may(1.0 + 3.01 * MIN_PAUSE_SECONDS)
+        assert limit.may(1.0)
+        limit.heard(1.0, interface.OVERLOADED, 0.0)
+    assert not limit.may(1.0 + 0.99 * MIN_PAUSE_SECONDS) and limit.may(1.0 + 3.01 * MIN_PAUSE_SECONDS)
 
 
-def test_a_counter_that_answers_nothing_is_looked_at_now_and_then_and_its_level_stays():
-    b = budget()
+def test_probes_an_unresponsive_counter_and_keeps_the_level():
+    limit = budget()
     for n in range(50):
-        b.heard(0.01 * n, interface.TIMED_OUT, WAIT)
-    level = b.level
-    looks = [b.may(1 + 0.01 * n) for n in range(400)].count(True)
-    assert 4 / (2 * MIN_PROBE_INTERVAL_SECONDS) - 1 <= looks <= 4 / MIN_PROBE_INTERVAL_SECONDS + 1
+        limit.heard(0.01 * n, interface.TIMED_OUT, TIMEOUT_SECONDS)
+    level = limit.level
+    probes = [limit.may(1 + 0.01 * n) for n in range(400)].count(True)
+    assert 4 / (2 * MIN_PROBE_INTERVAL_SECONDS) - 1 <= probes <= 4 / MIN_PROBE_INTERVAL_SECONDS + 1
     for n in range(50):
-        b.heard(5 + 0.01 * n, interface.TIMED_OUT, WAIT)
-    assert b.level == level and b.is_unresponsive(6.0) and UNRESPONSIVE_CALL_COUNT and UNRESPONSIVE_SECONDS
-    b.heard(6.0, interface.SUCCESS, 0.004)
-    assert not b.is_unresponsive(6.0) and b.may(6.0)
+        limit.heard(5 + 0.01 * n, interface.TIMED_OUT, TIMEOUT_SECONDS)
+    assert limit.level == level and limit.is_unresponsive(6.0) and UNRESPONSIVE_CALL_COUNT and UNRESPONSIVE_SECONDS
+    limit.heard(6.0, interface.SUCCESS, 0.004)
+    assert not limit.is_unresponsive(6.0) and limit.may(6.0)
 
 
 @pytest.mark.parametrize("rate", [100.0, 200.0, 400.0, 800.0])
-def test_forty_gateways_that_begin_in_one_instant_are_answered_whatever_the_counter_bears(rate):
-    """Four hundred tries a second; those that the level leaves are asked for. Most calls must be answered in time."""
-    service, draw = Service(rate, queue=0.06), Random(3)
-    all_of = [budget(n) for n in range(40)]
-    asked = answered = 0
+def test_forty_gateways_started_at_once_are_answered_at_any_counter_capacity(rate):
+    """400 requests per second, of which those below the level are counted. Most calls must be answered in time."""
+    service, random = Service(rate, queue=0.06), Random(3)
+    limits = [budget(n) for n in range(40)]
+    calls = answered = 0
     waiting: list[tuple[float, float, Budget]] = []
     for n in range(8000):
         now = n / 400
-        for due, began, b in [w for w in waiting if w[0] <= now or w[1] + WAIT <= now]:
-            waiting.remove((due, began, b))
-            in_time = due - began <= WAIT
-            b.heard(now, interface.SUCCESS if in_time else interface.TIMED_OUT, min(WAIT, due - began))
+        for response_at, sent_at, limit in [w for w in waiting if w[0] <= now or w[1] + TIMEOUT_SECONDS <= now]:
+            waiting.remove((response_at, sent_at, limit))
+            in_time = response_at - sent_at <= TIMEOUT_SECONDS
+            limit.heard(
+                now, interface.SUCCESS if in_time else interface.TIMED_OUT, min(TIMEOUT_SECONDS, response_at - sent_at)
+            )
             answered += in_time and now > 10
-        b = draw.choice(all_of)
-        if 2 * draw.random() < b.level and b.may(now):
-            asked += now > 10
-            due = service.accept(now, "x")
-            if due is None:
-                b.heard(now, interface.OVERLOADED, 0.0)
+        limit = random.choice(limits)
+        if 2 * random.random() < limit.level and limit.may(now):
+            calls += now > 10
+            response_at = service.accept(now, "x")
+            if response_at is None:
+                limit.heard(now, interface.OVERLOADED, 0.0)
             else:
-                waiting.append((due + 0.004, now, b))
-    assert asked > 0.4 * min(rate, 400.0) * 10
-    assert answered > 0.8 * asked
+                waiting.append((response_at + 0.004, now, limit))
+    assert calls > 0.4 * min(rate, 400.0) * 10
+    assert answered > 0.8 * calls
--- a/tests/counting/test_gateway.py
+++ b/tests/counting/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tries that wait for their count, in the whole decisions."""
+"""Requests that wait for the shared counter, through the whole gateway."""
 
 from micagate import Gateway, interface
 
@@ -13,71 +13,76 @@
     return made
 
 
-def asks(g: Gateway, now: float, name: str = "r") -> list[interface.Action]:
+def send_request(g: Gateway, now: float, name: str = "r") -> list[interface.Action]:
     return g.handle(now, interface.Request(name, "read", "team", "c", 1.0, gateway_count=30))
 
 
-def of(kind, actions):
+def of_type(kind, actions):
     return [a for a in actions if isinstance(a, kind)]
 
 
-def test_a_try_waits_for_its_count_and_is_sent_or_refused_at_once_by_it():
+def test_a_request_waits_for_its_count_and_is_then_sent_or_refused():
     g = gateway()
-    actions = asks(g, 1.0)
-    (call,) = of(interface.CounterAdd, actions)
-    assert not of(interface.Send, actions) and not of(interface.Refuse, actions)
+    actions = send_request(g, 1.0)
+    (call,) = of_type(interface.CounterAdd, actions)
+    assert not of_type(interface.Send, actions) and not of_type(interface.Refuse, actions)
     assert (
-        of(
+        of_type(
             interface.Send,
             g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount + 40.0, 0.01)),
         )
         == []
     )
-    (call,) = of(interface.CounterAdd, asks(gateway(), 1.0))
+    (call,) = of_type(interface.CounterAdd, send_request(gateway(), 1.0))
     g = gateway()
-    asks(g, 1.0)
+    send_request(g, 1.0)
     assert (
         len(
-            of(interface.Send, g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount, 0.01)))
+            of_type(
+                interface.Send, g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount, 0.01))
+            )
         )
         == 1
     )
 
 
-def test_a_refused_customer_is_refused_again_without_a_call_until_it_can_have_room():
+def test_a_refused_customer_is_refused_without_a_call_until_units_can_be_available():
     g = gateway()
-    (call,) = of(interface.CounterAdd, asks(g, 1.0))
+    (call,) = of_type(interface.CounterAdd, send_request(g, 1.0))
     begin = g.counting._in_flight[call.name][0].epoch.started_at
     elapsed = 1.0 - begin
     actions = g.handle(
         1.0, interface.CounterResult(call.name, interface.SUCCESS, elapsed + 4.0 + 2.5, 0.01)
-    )  # 2.5 s too early
-    assert len(of(interface.Refuse, actions)) == 1 and of(interface.CounterAdd, actions)[0].amount == -call.amount
-    actions = asks(g, 3.4, "s")
-    assert len(of(interface.Refuse, actions)) == 1 and not of(interface.CounterAdd, actions)
-    assert len(of(interface.CounterAdd, asks(g, 3.6, "t"))) == 1
+    )  # exceeds the quota by 2.5 s
+    assert (
+        len(of_type(interface.Refuse, actions)) == 1
+        and of_type(interface.CounterAdd, actions)[0].amount == -call.amount
+    )
+    actions = send_request(g, 3.4, "s")
+    assert len(of_type(interface.Refuse, actions)) == 1 and not of_type(interface.CounterAdd, actions)
+    assert len(of_type(interface.CounterAdd, send_request(g, 3.6, "t"))) == 1
 
 
-def test_a_client_that_leaves_while_its_try_waits_gets_no_attempt_and_its_count_is_given_back():
+def test_a_disconnect_during_the_wait_refunds_the_count_and_sends_nothing():
     g = gateway()
-    (call,) = of(interface.CounterAdd, asks(g, 1.0))
+    (call,) = of_type(interface.CounterAdd, send_request(g, 1.0))
     g.handle(1.005, interface.ClientDisconnected("r"))
     actions = g.handle(1.01, interface.CounterResult(call.name, interface.SUCCESS, call.amount, 0.01))
-    assert not of(interface.Send, actions) and not of(interface.Refuse, actions)
-    assert sum(back.amount for back in of(interface.CounterAdd, actions) if back.amount < 0) == -call.amount
+    assert not of_type(interface.Send, actions) and not of_type(interface.Refuse, actions)
+    assert sum(back.amount for back in of_type(interface.CounterAdd, actions) if back.amount < 0) == -call.amount
 
 
-def test_without_an_answer_the_estimate_decides_as_before():
+def test_the_estimate_decides_without_an_answer():
     for status in (interface.TIMED_OUT, interface.OVERLOADED, interface.UNREACHABLE):
         g, plain = gateway(), gateway(interface.Settings((READ,), (TEAM,), max_attempts=2))
-        (call,) = of(interface.CounterAdd, asks(g, 1.0))
-        before = of(interface.Send, asks(plain, 1.0))
+        (call,) = of_type(interface.CounterAdd, send_request(g, 1.0))
+        before = of_type(interface.Send, send_request(plain, 1.0))
         assert [
-            a.worker for a in of(interface.Send, g.handle(1.0, interface.CounterResult(call.name, status)))
+            a.worker for a in of_type(interface.Send, g.handle(1.0, interface.CounterResult(call.name, status)))
         ] != [] or not before
 
 
-def test_a_customer_of_few_gateways_is_never_counted():
+def test_a_customer_of_few_gateways_is_not_counted():
     g = gateway()
     actions = g.handle(1.0, interface.Request("r", "read", "team", "c", 1.0, gateway_count=2))
-    assert len(of(interface.Send, actions)) == 1 and not of(interface.CounterAdd, actions)
+    assert len(of_type(interface.Send, actions)) == 1 and not of_type(interface.CounterAdd, actions)
--- a/tests/counting/test_stores.py
+++ b/tests/counting/test_stores.py
@@ -1,4 +1,4 @@
-"""A customer's store as one number that is only added to."""
+"""A customer's token bucket as a single number on a counter that can only add."""
 
 from random import Random
 
@@ -21,35 +21,35 @@
 
 
 class Shared:
-    """Some gateways and the service that they share; each call is answered at once unless it is kept back."""
+    """Some gateways and the counter that they share; calls stay unanswered until `answer_all`."""
 
     def __init__(self, gateways: int = 2, plan: interface.Plan = PLAN) -> None:
         self.service = Service()
-        self.of = [counting(SETTINGS) for _ in range(gateways)]
+        self.clients = [counting(SETTINGS) for _ in range(gateways)]
         self.accounts = [Account(plan, "c/team/x", 30, 0.0, 0.0) for _ in range(gateways)]
-        self.kept: list[tuple[int, interface.CounterAdd]] = []
+        self.unanswered: list[tuple[int, interface.CounterAdd]] = []
 
-    def asked(self, number: int, now: float, units: float = 1.0) -> None:
-        self.of[number].ask(now, self.accounts[number], units, "r")
-        self.kept += [(number, call) for call in self.of[number].actions]
-        self.of[number].actions.clear()
+    def ask(self, number: int, now: float, units: float = 1.0) -> None:
+        self.clients[number].ask(now, self.accounts[number], units, "r")
+        self.unanswered += [(number, call) for call in self.clients[number].actions]
+        self.clients[number].actions.clear()
 
-    def answer(self, now: float) -> list[bool | None]:
-        """Work all calls off in turn, with those that come of their answers."""
+    def answer_all(self, now: float) -> list[bool | None]:
+        """Answer all calls in order, including those that result from the answers."""
         verdicts = []
-        while self.kept:
-            number, call = self.kept.pop(0)
+        while self.unanswered:
+            number, call = self.unanswered.pop(0)
             total = self.service.add(now, str(call.name), call.amount, call.ttl)
-            verdict = self.of[number].answered(now, interface.CounterResult(call.name, interface.SUCCESS, total))
-            self.kept += [(number, more) for more in self.of[number].actions]
-            self.of[number].actions.clear()
+            verdict = self.clients[number].answered(now, interface.CounterResult(call.name, interface.SUCCESS, total))
+            self.unanswered += [(number, more) for more in self.clients[number].actions]
+            self.clients[number].actions.clear()
             if verdict is not None:
                 verdicts.append(verdict.inside)
         return verdicts
 
     def send(self, number: int, now: float, units: float = 1.0) -> bool:
-        self.asked(number, now, units)
-        return self.answer(now)[0] is True
+        self.ask(number, now, units)
+        return self.answer_all(now)[0] is True
 
 
 def test_all_gateways_together_send_the_burst_and_then_the_rate():
@@ -57,47 +57,49 @@
     sent = sum(shared.send(n % 7, 10.0 + n * 0.1) for n in range(200))
     assert 22 <= sent <= 24  # a burst of 4 and 20 seconds at 1
     refused = [n for n in range(7) if shared.accounts[n].ceiling_full_until > 29.0]
-    assert len(refused) == 7  # each knows until when there is no room, and asks no more
+    assert len(refused) == 7  # each knows until when the bucket is empty and makes no call
 
 
-def test_what_goes_beyond_is_taken_back_and_takes_no_room_later():
+def test_excess_requests_are_refunded():
     shared = Shared()
     assert [shared.send(0, 10.0) for _ in range(30)].count(True) == 4
     assert shared.send(1, 11.01) and not shared.send(1, 11.02)
 
 
-def test_after_idling_the_store_is_full_and_no_fuller():
+def test_an_idle_bucket_fills_up_to_its_capacity():
     shared = Shared()
     assert shared.send(0, 1.0)
     sent = sum(shared.send(n % 2, 20.0) for n in range(20))
     assert sent == 4
 
 
-def test_two_that_put_one_idle_number_right_together_do_so_once():
+def test_concurrent_corrections_of_an_idle_number_apply_once():
     shared = Shared()
-    shared.asked(0, 20.0)
-    shared.asked(1, 20.0)  # neither has heard of the other when both find the number behind
-    assert shared.answer(20.0) == [True, True]
-    assert sum(shared.send(n % 2, 20.0) for n in range(20)) == 2  # neither more room nor less is left
+    shared.ask(0, 20.0)
+    shared.ask(1, 20.0)  # both find the number behind before either correction is visible
+    assert shared.answer_all(20.0) == [True, True]
+    assert sum(shared.send(n % 2, 20.0) for n in range(20)) == 2  # the burst less the two requests above
 
 
-def test_an_answer_that_does_not_come_says_nothing_and_the_order_of_answers_is_kept():
+def test_a_timeout_gives_no_verdict_and_results_match_calls_in_order():
     shared = Shared()
-    shared.asked(0, 1.0)
-    shared.asked(0, 1.0)
-    (_, first), (_, second) = shared.kept
+    shared.ask(0, 1.0)
+    shared.ask(0, 1.0)
+    (_, first), (_, second) = shared.unanswered
     assert first.name == second.name
-    assert shared.of[0].answered(1.0, interface.CounterResult(first.name, interface.TIMED_OUT)).inside is None
+    assert shared.clients[0].answered(1.0, interface.CounterResult(first.name, interface.TIMED_OUT)).inside is None
     assert (
-        shared.of[0].answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, second.amount * 2)).inside
+        shared.clients[0]
+        .answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, second.amount * 2))
+        .inside
         is True
     )
     assert (
-        shared.of[0].answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, 1.0)) is None
-    )  # to no call
+        shared.clients[0].answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, 1.0)) is None
+    )  # belongs to no call
 
 
-def test_epochs_end_before_the_counter_forgets_and_each_customer_has_its_own():
+def test_epochs_are_shorter_than_the_counter_ttl_and_start_at_different_times():
     assert EPOCH_SECONDS < COUNTER_TTL_SECONDS <= 60.0
     begins = {epoch_at(1000.0, 5.0, f"c/team/{n}").started_at for n in range(50)}
     assert len(begins) > 40 and all(1000.0 - EPOCH_SECONDS <= begin <= 1000.0 for begin in begins)
@@ -110,11 +112,11 @@
 @pytest.mark.parametrize(
     ("total", "early", "behind"), [(1.0, -3.0, 5.0), (6.0, -3.0, 0.0), (9.0, 0.0, -3.0), (9.5, 0.5, -3.5)]
 )
-def test_a_total_says_how_early_a_try_came_and_how_far_the_number_was_behind(total, early, behind):
+def test_total_gives_the_excess_and_the_lag(total, early, behind):
     assert evaluate_total(total - 1.0, 1.0, 5.0, 4.0) == pytest.approx((early, behind), abs=0.01)
 
 
-def test_only_slivers_are_counted_and_nothing_where_there_is_no_counter():
+def test_counts_only_thin_shares_and_nothing_without_a_counter():
     thin, thick = (Account(PLAN, "c/team/x", spread, 0.0, 0.0) for spread in (30, 2))
     whole = counting(SETTINGS)
     whole.budget.most = 1.0
@@ -126,20 +128,20 @@
 CAPPED = interface.Plan("team", rate=1.0, burst=50.0, concurrency_limit=2.0, excess_cost=1.0)
 
 
-def test_no_more_are_out_at_once_than_the_plan_allows_and_a_place_is_free_again_at_the_end():
+def test_enforces_the_concurrency_limit_and_frees_slots():
     shared = Shared(3, CAPPED)
-    shared.asked(0, 1.0)
-    call = shared.of[0]._in_flight[shared.kept[0][1].name][0]
-    assert shared.answer(1.0) == [True]
+    shared.ask(0, 1.0)
+    call = shared.clients[0]._in_flight[shared.unanswered[0][1].name][0]
+    assert shared.answer_all(1.0) == [True]
     assert [shared.send(n, 1.0) for n in (1, 2, 0)] == [True, False, False]
-    shared.of[0].leave(call)
-    shared.kept += [(0, more) for more in shared.of[0].actions]
-    shared.of[0].actions.clear()
-    shared.answer(1.1)
+    shared.clients[0].leave(call)
+    shared.unanswered += [(0, more) for more in shared.clients[0].actions]
+    shared.clients[0].actions.clear()
+    shared.answer_all(1.1)
     assert [shared.send(n, 1.2) for n in (2, 1)] == [True, False]
 
 
-def test_places_left_taken_by_a_gateway_that_died_are_free_again_after_the_longest_request():
+def test_slots_of_a_crashed_gateway_are_freed_after_the_longest_deadline():
     shared = Shared(2, CAPPED)
     assert [shared.send(0, 21.0 + n) for n in (0, 0, 0)] == [True, True, False]
     begin = epoch_at(21.0, 0.0, "c/team/x").started_at
@@ -152,27 +154,27 @@
     assert shallow.send(1, min(late, begin + 14.0))
 
 
-def test_places_given_back_to_a_counter_that_had_forgotten_them_make_no_more_room():
+def test_slots_released_on_a_reset_counter_do_not_raise_the_limit():
     shared = Shared(2, CAPPED)
     calls = []
     for n in range(2):
-        shared.asked(n, 1.0)
-        calls.append(shared.of[n]._in_flight[shared.kept[0][1].name][0])
-        assert shared.answer(1.0) == [True]
+        shared.ask(n, 1.0)
+        calls.append(shared.clients[n]._in_flight[shared.unanswered[0][1].name][0])
+        assert shared.answer_all(1.0) == [True]
     shared.service.forget()
     for n, call in enumerate(calls):
-        shared.of[n].leave(call)
-        shared.kept += [(n, more) for more in shared.of[n].actions]
-        shared.of[n].actions.clear()
-    shared.answer(1.1)
+        shared.clients[n].leave(call)
+        shared.unanswered += [(n, more) for more in shared.clients[n].actions]
+        shared.clients[n].actions.clear()
+    shared.answer_all(1.1)
     assert [shared.send(n % 2, 1.2) for n in range(4)].count(True) == 2
 
 
-def test_a_count_that_comes_late_is_given_back_unless_its_try_went_on():
+def test_refunds_a_late_count_unless_its_request_was_sent():
     for sent, back in ((False, 1), (True, 0)):
         shared = Shared(1)
-        shared.asked(0, 1.0)
-        (_, call), one = shared.kept.pop(), shared.of[0]
+        shared.ask(0, 1.0)
+        (_, call), one = shared.unanswered.pop(), shared.clients[0]
         verdict = one.answered(1.03, interface.CounterResult(call.name, interface.TIMED_OUT, 0.0, 0.03))
         assert verdict.inside is None
         verdict.call.sent = sent
@@ -185,7 +187,7 @@
 )
 
 
-def test_a_ceiling_that_could_not_bear_a_counter_which_forgets_is_left_to_parts():
+def test_does_not_count_under_a_ceiling_without_room_for_a_counter_reset():
     for plan, held in (
         (HELD, True),
         (interface.Plan("team", 2.0, 4.0, 0.0, 4.0, 7.0, 0.8, 0.0, 1.0), False),
@@ -196,9 +198,9 @@
 
 
 @pytest.mark.parametrize("gateways", [4, 7, 30])
-def test_no_ceiling_is_passed_whatever_the_counter_forgets_or_leaves_unanswered(gateways):
+def test_keeps_ceilings_despite_counter_resets_and_timeouts(gateways):
     assert max(ceiling(seed, gateways) for seed in range(60)) <= schedules.HELD.ceiling_slack
 
 
-def test_a_ceiling_is_passed_where_tries_are_sent_on_before_they_are_counted():
+def test_exceeds_the_ceiling_if_requests_are_sent_before_they_are_counted():
     assert min(ceiling(seed, 7, before=False) for seed in range(5)) > schedules.HELD.ceiling_slack
--- a/tests/estimates/test_start_times.py
+++ b/tests/estimates/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of endpoints by clocks that differ, or are stepped."""
+"""Start times of endpoints when the clocks differ or are stepped."""
 
 import pytest
 
@@ -8,10 +8,10 @@
 RAMP = 6.0  # seconds that an endpoint is in slow start
 
 
-@pytest.mark.parametrize("off", [0.0, 5.0, -5.0, HOUR, -HOUR])
-def test_a_start_that_is_seen_as_a_change_is_new_whatever_the_clock_says(off):
-    """`off` is what this machine's wall clock is ahead of discovery's."""
-    times = StartTimes(wall_offset=1000.0 + off)
+@pytest.mark.parametrize("clock_difference", [0.0, 5.0, -5.0, HOUR, -HOUR])
+def test_a_changed_start_time_means_a_recent_start_for_any_clock_difference(clock_difference):
+    """`clock_difference` is by how much this machine's wall clock is ahead of discovery's, in seconds."""
+    times = StartTimes(wall_offset=1000.0 + clock_difference)
     times.started(10.0, "old", 1000.0 + 10.0 - 50.0)
     times.listed(True, {"old"})
     for now in (20.0, 21.0, 30.0):
@@ -21,23 +21,23 @@
         assert times.started(now + 5.0, f"new{now}", 1000.0 + now - lag) == started  # one incarnation
 
 
-@pytest.mark.parametrize("off", [5.0, HOUR])
-def test_a_start_is_never_in_the_future(off):
-    times = StartTimes(wall_offset=1000.0 - off)  # behind
+@pytest.mark.parametrize("clock_difference", [5.0, HOUR])
+def test_a_start_is_never_in_the_future(clock_difference):
+    times = StartTimes(wall_offset=1000.0 - clock_difference)  # the wall clock is behind
     assert times.started(10.0, "a", 1000.0 + 9.0) == 10.0
 
 
-def test_with_clocks_that_agree_ages_are_kept_but_for_the_least_lag():
+def test_with_equal_clocks_ages_are_kept_less_the_smallest_lag():
     times = StartTimes(wall_offset=1000.0)
-    assert times.started(10.0, "a", 1004.0) == 4.0  # on the first list: nothing tells more
+    assert times.started(10.0, "a", 1004.0) == 4.0  # on the first list, so the clocks alone decide
     times.listed(True, {"a"})
     assert times.started(20.0, "b", 1019.8) == pytest.approx(20.0)
-    assert times.started(30.0, "c", 1028.0) == pytest.approx(28.2)  # heard of late
+    assert times.started(30.0, "c", 1028.0) == pytest.approx(28.2)  # reported late
     assert times.started(30.0, "d", 0.0) is None  # long ago
     assert times.started(40.0, "a", 1039.0) == pytest.approx(39.2)  # a restart
 
 
-def test_a_late_first_change_takes_no_endpoint_for_warm_and_later_ones_are_exact_again():
+def test_a_first_change_seen_late_counts_as_a_recent_start_and_later_ones_are_exact():
     times = StartTimes(wall_offset=1000.0)
     times.started(0.0, "a", 900.0)
     times.listed(True, {"a"})
@@ -46,13 +46,13 @@
     assert times.started(40.0, "d", 1037.0) == pytest.approx(37.1)
 
 
-def test_an_empty_list_is_none_before():
+def test_an_empty_list_does_not_count_as_a_previous_list():
     times = StartTimes(wall_offset=0.0)
     times.listed(True, set())
     assert times.started(1000.0, "a", 100.0) == 100.0
 
 
-def test_what_is_on_the_list_no_more_is_forgotten_and_a_successor_goes_on():
+def test_forgets_removed_endpoints_and_a_successor_continues():
     times = StartTimes(wall_offset=0.0)
     for name in ("a", "b", "c"):
         times.started(100.0, name, 99.0)
@@ -63,4 +63,4 @@
     successor = StartTimes(wall_offset=0.0)
     successor.restore(times.state())
     assert successor.started(200.0, "c", 99.0) == 99.0
-    assert successor.started(200.0, "d", 150.0) == 200.0  # a change since
+    assert successor.started(200.0, "d", 150.0) == 200.0  # seen as a change
--- a/tests/handover/test_schedules.py
+++ b/tests/handover/test_schedules.py
@@ -1,4 +1,7 @@
-"""Upgrades, calls, lists and kills in any order: nothing goes where it may not, nothing is granted twice or lost."""
+"""Hot restarts, maintenance calls, discovery updates and crashes in random order.
+
+No request goes to a worker in maintenance, no concurrency slot is granted twice, and no request is lost.
+"""
 
 import pytest
 
@@ -6,11 +9,11 @@
 
 
 @pytest.mark.parametrize("first", range(0, 1000, 250))
-def test_no_schedule_breaks_a_ban_grants_twice_or_loses(first):
-    told = play(range(first, first + 250))
-    assert told.upgrades > 100
-    assert (told.bans_broken, told.granted_twice, told.lost) == (0, 0, 0)
+def test_random_schedules_respect_maintenance_and_limits_and_lose_nothing(first):
+    report = play(range(first, first + 250))
+    assert report.upgrades > 100
+    assert (report.bans_broken, report.granted_twice, report.lost) == (0, 0, 0)
 
 
-def test_without_what_the_old_process_still_has_out_places_are_granted_twice():
+def test_slots_are_granted_twice_without_the_in_flight_attempts_of_the_predecessor():
     assert play(range(250), news=False).granted_twice > 0
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows goes over whole, to whichever version, and is turned down where it is damaged."""
+"""Transfer of a gateway's state to another one: complete, across versions, and rejected if malformed."""
 
 import json
 from random import Random
@@ -24,16 +24,16 @@
 WORKERS = WorkerList(tuple(WorkerEntry(f"w{n}") for n in range(4)), whole=True)
 
 
-def gateway(seed=1, now=0.0, **how):
-    made = Gateway(
-        Settings(CLASSES, PLANS, max_attempts=3, slow_start_duration=5.0, meter_period=1.0, **how), seed, now
+def gateway(seed=1, now=0.0, **settings):
+    created = Gateway(
+        Settings(CLASSES, PLANS, max_attempts=3, slow_start_duration=5.0, meter_period=1.0, **settings), seed, now
     )
-    made.handle(now, WORKERS)
-    return made
+    created.handle(now, WORKERS)
+    return created
 
 
 class Clients:
-    """Clients of some customers, and workers that answer after a while or never."""
+    """Clients of some customers, and workers that respond after a while or never."""
 
     def __init__(self, seed):
         self.random, self.count, self.now = Random(seed), 0, 0.0
@@ -64,69 +64,71 @@
         )
 
 
-def over(module, now, seed=9):
-    """Another gateway that has taken over, by the wire's own bytes."""
+def transferred(module, now, seed=9):
+    """Return another gateway to which the state was transferred, encoded as on the wire."""
     copy = state.Copy(module, now)
     messages = []
     while rows := copy.more(now, 3):
         messages.append(wire.Accounts(rows))
-    debts = []
-    while (piece := copy.debts()) is not None:
-        debts.append(wire.decode(wire.encode(wire.StatePart("debts", piece))).value)
+    deficits = []
+    while (part := copy.debts()) is not None:
+        deficits.append(wire.decode(wire.encode(wire.StatePart("debts", part))).value)
     messages += [
         wire.Accounts(copy.rest()),
         wire.StatePart("core", state.core(module)),
         wire.StatePart("outs", list(state.outs(module))),
     ]
     accounts, (core, outs) = messages[:-2], [wire.decode(wire.encode(m)) for m in messages[-2:]]
-    taker = gateway(seed, now)
+    successor = gateway(seed, now)
     for message in accounts:
-        state.put_accounts(taker, now, wire.decode(wire.encode(message)).rows)
-    for piece in debts:
-        taker.quotas.deficits.restore(piece)
-    state.put_core(taker, now, core.value, outs.value)
-    return taker
+        state.put_accounts(successor, now, wire.decode(wire.encode(message)).rows)
+    for part in deficits:
+        successor.quotas.deficits.restore(part)
+    state.put_core(successor, now, core.value, outs.value)
+    return successor
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_gateway_that_took_over_knows_all_that_the_other_knew(seed):
+def test_a_successor_has_the_whole_state_of_its_predecessor(seed):
     module, clients = gateway(), Clients(seed)
     while clients.count < 300 or not module.in_flight:
         clients.step(module)
     module.handle(clients.now, SetMaintenance("w1", True))
-    taker = over(module, clients.now)
-    assert set(taker.in_flight) == set(module.in_flight) and module.in_flight
-    for queue, other in zip(module.quotas.accounts.queues, taker.quotas.accounts.queues, strict=True):
+    successor = transferred(module, clients.now)
+    assert set(successor.in_flight) == set(module.in_flight) and module.in_flight
+    for queue, other in zip(module.quotas.accounts.queues, successor.quotas.accounts.queues, strict=True):
         assert list(queue) == list(other)
         for key, account in queue.items():
             assert state.account_row(account, True) == state.account_row(other[key], True)
             assert account.in_flight == other[key].in_flight and account.capacity == other[key].capacity
-    mine, theirs = state.core(module), state.core(taker)
+    mine, theirs = state.core(module), state.core(successor)
     for core in (mine, theirs):
         core["debts"] = json.dumps(core["debts"]["places"])
-        core["fleet"].pop("_done_at")  # brought up to another moment
+        core["fleet"].pop("_done_at")  # advanced to another time
         core["fleet"].pop("_done")
     assert mine == theirs
     for name, worker in module.fleet.workers.items():
-        assert set(worker.in_flight) == set(taker.fleet.workers[name].in_flight)
+        assert set(worker.in_flight) == set(successor.fleet.workers[name].in_flight)
     for attempt in list(clients.open):
         clients.end(module, attempt)
-        clients.end(taker, attempt)
-    assert not taker.in_flight and not any(a.in_flight for q in taker.quotas.accounts.queues for a in q.values())
+        clients.end(successor, attempt)
+    assert not successor.in_flight and not any(
+        a.in_flight for q in successor.quotas.accounts.queues for a in q.values()
+    )
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_customer_at_its_edge_gets_nothing_twice(seed):
+def test_a_customer_at_its_limit_gets_nothing_twice(seed):
     alone, first = gateway(), gateway()
     one, two = Clients(seed), Clients(seed)
     served = [0, 0]
     second = None
     for n in range(400):
         if n == 200:
-            second = over(first, two.now)
+            second = transferred(first, two.now)
         served[0] += one.step(alone)
         served[1] += two.step(second or first)
-        if second is not None:  # what was begun by the first ends there, and the second is told
+        if second is not None:  # attempts of the first end there, and the second is notified
             for attempt in [a for a in two.open if (a[0], a[1]) in first.in_flight]:
                 two.open.remove(attempt)
                 two.end(first, attempt)
@@ -134,57 +136,57 @@
     assert abs(served[1] - served[0]) <= 0.02 * served[0]
 
 
-def test_bans_and_what_came_back_go_over():
+def test_transfers_maintenance_and_workers_brought_back():
     module = gateway()
     for name, out in (("w0", True), ("w1", True), ("w1", False)):
         module.handle(1.0, SetMaintenance(name, out))
-    taker = over(module, 2.0)
-    taker.handle(2.1, WORKERS)
+    successor = transferred(module, 2.0)
+    successor.handle(2.1, WORKERS)
     seen = set()
     for n in range(60):
-        for action in taker.handle(2.2 + n / 50, Request(f"x{n}", "read", "basic", f"{n:016x}", 2.0)):
+        for action in successor.handle(2.2 + n / 50, Request(f"x{n}", "read", "basic", f"{n:016x}", 2.0)):
             if isinstance(action, Send):
                 seen.add(action.worker)
-                taker.handle(2.2 + n / 50, Outcome(f"x{n}", 0, action.worker, interface.SUCCESS, True, 0.01))
+                successor.handle(2.2 + n / 50, Outcome(f"x{n}", 0, action.worker, interface.SUCCESS, True, 0.01))
             assert not isinstance(action, Refuse)
     assert seen == {"w1", "w2", "w3"}
-    assert taker.fleet.workers["w1"].entry.started == 1.0
+    assert successor.fleet.workers["w1"].entry.started == 1.0
 
 
-def test_what_the_giver_had_out_when_it_died_is_out_no_more():
+def test_attempts_of_an_exited_predecessor_are_no_longer_in_flight():
     module, clients = gateway(), Clients(1)
     while len(clients.open) < 3:
         clients.step(module)
-    taker = over(module, clients.now)
-    for outcome in state.left_out(taker, set(taker.in_flight)):
-        taker.handle(clients.now, outcome)
-    assert not taker.in_flight and not any(w.in_flight for w in taker.fleet.workers.values())
+    successor = transferred(module, clients.now)
+    for outcome in state.left_out(successor, set(successor.in_flight)):
+        successor.handle(clients.now, outcome)
+    assert not successor.in_flight and not any(w.in_flight for w in successor.fleet.workers.values())
 
 
-def test_an_attempt_that_the_giver_begins_later_takes_its_units_and_place():
-    module, taker = gateway(), gateway(2)
-    account = taker.quotas.account(0.0, "0" * 16, PLANS[1], 1)
+def test_a_later_attempt_of_the_predecessor_takes_units_and_a_slot():
+    module, successor = gateway(), gateway(2)
+    account = successor.quotas.account(0.0, "0" * 16, PLANS[1], 1)
     before = account.balance
     for action in module.handle(0.0, Request("late", "write", "team", "0" * 16, 2.0, units=2.0)):
         if isinstance(action, Send):
             row = state.out_row("late", 0, module.in_flight["late", 0])
-            state.adopt(taker, 0.0, row, spends=True)
-            state.adopt(taker, 0.0, row, spends=True)  # told twice
+            state.adopt(successor, 0.0, row, spends=True)
+            state.adopt(successor, 0.0, row, spends=True)  # reported twice
     assert account.in_flight == 1 and account.balance == before - 2.0
 
 
-def test_another_versions_fields_are_left_and_missing_ones_stay():
+def test_ignores_unknown_fields_and_keeps_missing_ones():
     module, clients = gateway(), Clients(3)
     for _ in range(50):
         clients.step(module)
     core = {**state.core(module), "novel": {"x": 1}}
     core["throttle"] = {**core["throttle"], "novelty": 3.0}
     del core["throttle"]["fill"], core["budget"]
-    taker = gateway(5)
-    state.put_core(taker, clients.now, msgspec.msgpack.decode(msgspec.msgpack.encode(core)))
-    assert taker.throttle.rate == module.throttle.rate and taker.throttle.bucket_level == 0.0
-    state.put_accounts(taker, 1.0, [{"key": "c/gone/00", "spread": 1}])  # a plan that is there no more
-    assert not len(taker.quotas.accounts)
+    successor = gateway(5)
+    state.put_core(successor, clients.now, msgspec.msgpack.decode(msgspec.msgpack.encode(core)))
+    assert successor.throttle.rate == module.throttle.rate and successor.throttle.bucket_level == 0.0
+    state.put_accounts(successor, 1.0, [{"key": "c/gone/00", "spread": 1}])  # a plan that no longer exists
+    assert not len(successor.quotas.accounts)
 
 
 @pytest.mark.parametrize(
@@ -198,12 +200,12 @@
         {"workers": {"w0": {"held": "x"}}},
     ],
 )
-def test_damage_is_named(damage):
+def test_raises_for_malformed_state(damage):
     with pytest.raises(Damaged):
         state.put_core(gateway(), 1.0, damage)
 
 
-def test_a_datagram_that_was_changed_on_its_way_is_no_message():
+def test_rejects_a_corrupted_datagram():
     data = bytearray(wire.encode(wire.StatePart("fleet", {"a": 1.5})))
     assert wire.decode(bytes(data)) == wire.StatePart("fleet", {"a": 1.5})
     for n in range(len(data)):
@@ -214,40 +216,42 @@
         wire.decode(b"")
 
 
-def test_thirty_thousand_customers_are_copied_a_few_at_a_time_and_none_is_forgotten():
+def test_copies_thirty_thousand_customers_in_small_steps_without_omission():
     module = gateway(max_accounts=60_000)
     quotas, now = module.quotas, 0.0
     for n in range(30_000):
         now += 0.0001
         quotas.spend(quotas.account(now, f"{n:016x}", PLANS[0], 2), 1.0, True)
-    taker, random = gateway(4, now, max_accounts=60_000), Random(1)
+    successor, random = gateway(4, now, max_accounts=60_000), Random(1)
     copy, steps = state.Copy(module, now), 0
     while rows := copy.more(now, 40):
-        state.put_accounts(taker, now, rows)
+        state.put_accounts(successor, now, rows)
         steps += 1
-        for _ in range(10):  # it is used meanwhile, also by customers that are new
+        for _ in range(10):  # requests continue meanwhile, also from new customers
             now += 0.0005
             account = quotas.account(now, f"{random.randrange(30_500):016x}", PLANS[0], 2)
             quotas.spend(account, 1.0, True)
     rest = copy.rest()
     assert len(rest) <= 60 and steps > 30_000 / 40
-    state.put_accounts(taker, now, rest)
+    state.put_accounts(successor, now, rest)
     for queue in quotas.accounts.queues:
         for key, account in queue.items():
-            assert state.account_row(taker.quotas.accounts.get(key), True) == state.account_row(account, True), key
+            assert state.account_row(successor.quotas.accounts.get(key), True) == state.account_row(account, True), key
 
 
-def test_debts_go_over_with_what_comes_meanwhile():
-    module, taker = gateway(), gateway(2)
-    debts = module.quotas.deficits
+def test_transfers_deficits_including_those_added_meanwhile():
+    module, successor = gateway(), gateway(2)
+    deficits = module.quotas.deficits
     for n in range(500):
-        debts.add(0.0, f"c{n}", 10.0 + n)
+        deficits.add(0.0, f"c{n}", 10.0 + n)
     copy = state.Copy(module, 0.0)
     pieces = [copy.debts() for _ in range(5)]
     for n in range(500, 600):
-        debts.add(1.0, f"c{n}", 10.0 + n)
-    while (piece := copy.debts()) is not None:
-        pieces.append(piece)
-    for piece in (*pieces, debts.rest()):
-        taker.quotas.deficits.restore(piece)
-    assert all(taker.quotas.deficits.deficit(2.0, f"c{n}") == debts.deficit(2.0, f"c{n}") > 0 for n in range(600))
+        deficits.add(1.0, f"c{n}", 10.0 + n)
+    while (part := copy.debts()) is not None:
+        pieces.append(part)
+    for part in (*pieces, deficits.rest()):
+        successor.quotas.deficits.restore(part)
+    assert all(
+        successor.quotas.deficits.deficit(2.0, f"c{n}") == deficits.deficit(2.0, f"c{n}") > 0 for n in range(600)
+    )
--- a/tests/operating/test_maintenance.py
+++ b/tests/operating/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Bans over whatever lists say, and the first request of a worker that came back."""
+"""Maintenance of workers across discovery updates, and the first request to a worker that was brought back."""
 
 from random import Random
 
@@ -20,23 +20,24 @@
 READ = RequestClass("read", aim=1.0, deadline=4.0)
 
 
-def entries(*names, **how):
-    return tuple(WorkerEntry(name, **how) for name in names)
+def entries(*names, **fields):
+    return tuple(WorkerEntry(name, **fields) for name in names)
 
 
-def gateway(*names, **how):
-    made = Gateway(Settings((READ,), (Plan("basic"),), **how), seed=1, now=0.0)
-    made.handle(0.0, WorkerList(entries(*names), whole=True))
-    return made
+def gateway(*names, **settings):
+    created = Gateway(Settings((READ,), (Plan("basic"),), **settings), seed=1, now=0.0)
+    created.handle(0.0, WorkerList(entries(*names), whole=True))
+    return created
 
 
 class Traffic:
-    """One request after another, each answered at once; where they went."""
+    """Sends one request after another and answers each at once."""
 
     def __init__(self, module):
         self.module, self.count = module, 0
 
-    def ask(self, now):
+    def send_request(self, now):
+        """Send a request and return the worker that got it, if any."""
         self.count += 1
         name = f"r{self.count}"
         for action in self.module.handle(now, Request(name, "read", "basic", f"c{self.count}", time_left=4.0)):
@@ -47,12 +48,12 @@
         return None
 
 
-def call(module, now, worker, out):
+def set_maintenance(module, now, worker, out):
     return next(a for a in module.handle(now, SetMaintenance(worker, out)) if isinstance(a, MaintenanceResult)).known
 
 
 @pytest.mark.parametrize(
-    "news",
+    "update",
     [
         WorkerList(entries("a", "b"), whole=True),
         WorkerList(entries("a")),
@@ -62,74 +63,78 @@
         WorkerList((), failed=True),
     ],
 )
-def test_a_ban_outlives_whatever_the_list_tells(news):
+def test_maintenance_outlives_discovery_updates(update):
     module = gateway("a", "b")
-    assert call(module, 1.0, "a", out=True)
-    module.handle(2.0, news)
+    assert set_maintenance(module, 1.0, "a", out=True)
+    module.handle(2.0, update)
     module.handle(2.1, WorkerList(entries("a", "b"), whole=True))
     traffic = Traffic(module)
-    assert {traffic.ask(3.0 + n / 10) for n in range(40)} == {"b"}
+    assert {traffic.send_request(3.0 + n / 10) for n in range(40)} == {"b"}
 
 
-def test_two_calls_out_are_undone_by_one_back():
+def test_one_call_back_ends_maintenance_after_repeated_calls():
     module = gateway("a", "b")
-    assert call(module, 1.0, "a", True) and call(module, 1.5, "a", True)
-    assert call(module, 2.0, "a", False)
+    assert set_maintenance(module, 1.0, "a", True) and set_maintenance(module, 1.5, "a", True)
+    assert set_maintenance(module, 2.0, "a", False)
     traffic = Traffic(module)
-    assert "a" in {traffic.ask(2.0 + n / 10) for n in range(40)}
-    assert call(module, 7.0, "a", False), "a call back that comes twice is a yes"
+    assert "a" in {traffic.send_request(2.0 + n / 10) for n in range(40)}
+    assert set_maintenance(module, 7.0, "a", False), "a repeated call to bring it back succeeds"
 
 
-def test_an_unknown_id_is_a_no_and_one_that_left_the_list_is_not():
+def test_rejects_unknown_ids_but_not_a_worker_in_maintenance_that_left_the_list():
     module = gateway("a", "b")
-    assert not call(module, 1.0, "nobody", True) and not call(module, 1.0, "nobody", False)
-    assert call(module, 1.0, "a", True)
+    assert not set_maintenance(module, 1.0, "nobody", True) and not set_maintenance(module, 1.0, "nobody", False)
+    assert set_maintenance(module, 1.0, "a", True)
     module.handle(2.0, WorkerList((WorkerEntry("a", state=interface.REMOVED),)))
-    assert call(module, 3.0, "a", True) and call(module, 3.0, "a", False)
-    assert not call(module, 3.1, "a", False)
+    assert set_maintenance(module, 3.0, "a", True) and set_maintenance(module, 3.0, "a", False)
+    assert not set_maintenance(module, 3.1, "a", False)
 
 
-def test_what_comes_back_is_cold_until_the_list_knows_when_it_started():
-    kept = Maintenance()
-    kept.follow(WorkerList(entries("a"), whole=True))
-    kept.out(1.0, "a")
-    news = kept.online(5.0, "a")
-    assert news.entries == entries("a", started=5.0)
-    assert kept.follow(WorkerList(entries("a"))).entries[0].started == 5.0, "the list has nothing yet"
-    assert kept.follow(WorkerList(entries("a", started=0.5))).entries[0].started == 5.0, "a start before the ban"
-    assert kept.follow(WorkerList(entries("a", started=3.0))).entries[0].started == 3.0, "the restart"
+def test_a_worker_brought_back_has_slow_start_until_the_list_has_its_start_time():
+    maintenance = Maintenance()
+    maintenance.follow(WorkerList(entries("a"), whole=True))
+    maintenance.out(1.0, "a")
+    update = maintenance.online(5.0, "a")
+    assert update.entries == entries("a", started=5.0)
+    assert maintenance.follow(WorkerList(entries("a"))).entries[0].started == 5.0, "the list has no start time yet"
+    assert (
+        maintenance.follow(WorkerList(entries("a", started=0.5))).entries[0].started == 5.0
+    ), "started before the maintenance"
+    assert (
+        maintenance.follow(WorkerList(entries("a", started=3.0))).entries[0].started == 3.0
+    ), "restarted during the maintenance"
 
 
-def test_a_list_without_bans_passes_as_it_is():
-    kept, news = Maintenance(), WorkerList(entries("a", "b"), whole=True)
-    assert kept.follow(news) is news
+def test_an_update_passes_unchanged_without_maintenance():
+    maintenance, update = Maintenance(), WorkerList(entries("a", "b"), whole=True)
+    assert maintenance.follow(update) is update
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 40])
-def test_what_comes_back_among_sixty_gets_a_request_within_five_seconds(gateways):
+def test_a_worker_brought_back_among_sixty_gets_a_request_within_five_seconds(gateways):
     names = [f"w{n}" for n in range(60)]
-    how = {"gateways": gateways, "number": 0, "slow_start_min_factor": 0.2, "slow_start_duration": 8.0}
-    module = gateway(*names, **how)
+    settings = {"gateways": gateways, "number": 0, "slow_start_min_factor": 0.2, "slow_start_duration": 8.0}
+    module = gateway(*names, **settings)
     traffic, random = Traffic(module), Random(3)
     for n in range(200):
-        traffic.ask(n / 50)
+        traffic.send_request(n / 50)
     for worker in random.sample(names, 5):
         now = 4.0 + traffic.count / 50
-        call(module, now, worker, True)
+        set_maintenance(module, now, worker, True)
         for n in range(50):
-            assert traffic.ask(now + n / 50) != worker
+            assert traffic.send_request(now + n / 50) != worker
         now += 1.0
-        call(module, now, worker, False)
-        assert worker in {traffic.ask(now + n / 20) for n in range(100)}
+        set_maintenance(module, now, worker, False)
+        assert worker in {traffic.send_request(now + n / 20) for n in range(100)}
 
 
-def test_what_comes_back_gets_one_request_until_it_has_answered():
+def test_a_worker_brought_back_gets_one_request_until_it_has_answered():
     module = gateway("a", "b", slow_start_min_factor=0.2, slow_start_duration=8.0, gateways=4)
     traffic = Traffic(module)
     for n in range(100):
-        traffic.ask(n / 50)
-    call(module, 3.0, "a", True)
-    call(module, 4.0, "a", False)
+        traffic.send_request(n / 50)
+    set_maintenance(module, 3.0, "a", True)
+    set_maintenance(module, 4.0, "a", False)
     sent = []
     for n in range(30):  # none of them is answered
         for action in module.handle(4.0 + n / 100, Request(f"x{n}", "read", "basic", f"y{n}", time_left=4.0)):
