--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -62,9 +62,8 @@
         order = self._rank_plans(settings.plans) if settings.counter_timeout else []
         self.ranks = {name: rank for rank, name in enumerate(order)}
         self.budget = Budget(now, MAX_COUNTED_RATIO * len(order), settings.counter_timeout or 1.0, random)
-        self._in_flight: dict[
-            int, deque[Call]
-        ] = {}  # by counter name; results for one name arrive in the order of the calls
+        # By counter name. Results for one name arrive in the order of the calls.
+        self._in_flight: dict[int, deque[Call]] = {}
         self._timed_out: OrderedDict[int, deque[Call]] = OrderedDict()  # timed out calls, oldest name first
         self._retry_queue: list[Call] = []
         self.actions: list[interface.CounterAdd] = []  # calls to make, collected by the gateway
@@ -161,7 +160,7 @@
         """Refund a counted request that is not sent."""
         self._call(Call(REFUND_CALL, call.account, call.epoch, -call.amount))
 
-    def retry(self) -> None:
+    def retry_rejected(self) -> None:
         """Repeat up to two calls that were rejected and without which units or slots would stay taken."""
         for call in self._retry_queue[:2]:
             self._call(call)
@@ -208,7 +207,7 @@
             return (
                 Verdict(call, None) if call.kind == ADMISSION_CALL and event.status != interface.LATE_RESPONSE else None
             )
-        self.retry()
+        self.retry_rejected()
         elapsed, burst_seconds = now - call.epoch.started_at, account.plan.burst / account.plan.rate
         if call.kind == REFUND_CALL:
             return None
--- a/micagate/estimates/metering.py
+++ b/micagate/estimates/metering.py
@@ -33,10 +33,9 @@
 # Use that is assumed before any reading, as a fraction of the quota, and for how many seconds of use it counts.
 UNSEEN, INITIAL_USE_SECONDS = 0.5, 2.0
 SHARE_DECAY_SECONDS = 8.0  # time constant over which a gateway's share of the metered use is averaged
-IN_FLIGHT_PRIOR_WEIGHT = (
-    0.4  # weight of the past rate, in mean attempt durations, in the estimate of in-flight attempts
-)
-MAX_DEVIATION_RATIO = 0.29  # standard deviation of a level of which nothing is known, as a fraction of the burst
+# Weight of the past rate, in mean attempt durations, in the estimate of attempts in flight.
+IN_FLIGHT_PRIOR_WEIGHT = 0.4
+MAX_DEVIATION_RATIO = 0.29  # standard deviation of an unknown level (uniformly distributed), relative to the burst
 # Requests left in the token bucket below which the other gateways are assumed to send no more than their share.
 LOW_LEVEL_REQUESTS = 3.0
 # Gateways up to which that holds in full; with more, each having a thin share, they know too little to hold back.
@@ -79,7 +78,7 @@
         first = int(previous_read_at / size)
         count = int(read_at / size) - first + 1
         self._phase_misfits = [
-            0.99 * missed + ((moment - first) % BINS >= count) for moment, missed in enumerate(self._phase_misfits)
+            0.99 * misfit + ((interval - first) % BINS >= count) for interval, misfit in enumerate(self._phase_misfits)
         ]
         cluster = _best_cluster(self._phase_misfits, BINS // 6)
         self._phase = None if cluster is None else (cluster[-1] + 1) * size
@@ -123,8 +122,8 @@
         if not informative:
             return
         self._weighed_count += 1
-        keep = 1 - 1 / 200 if self._weighed_count > 200 else 1.0
-        self._lateness_misfits = [old * keep + new for old, new in zip(self._lateness_misfits, misfits, strict=True)]
+        decay = 1 - 1 / 200 if self._weighed_count > 200 else 1.0
+        self._lateness_misfits = [old * decay + new for old, new in zip(self._lateness_misfits, misfits, strict=True)]
         cluster = (
             _best_cluster(self._lateness_misfits, LATENESS_CANDIDATE_COUNT // 4)
             if self._weighed_count >= MIN_INFORMATIVE_READINGS
@@ -173,7 +172,7 @@
     __slots__ = (
         "rate",
         "burst",
-        "spread",
+        "gateway_count",
         "level",
         "at",
         "told",
@@ -194,8 +193,8 @@
         "_next_reading_due_at",
     )
 
-    def __init__(self, rate: float, burst: float, spread: int, now: float, level: float) -> None:
-        self.rate, self.burst, self.spread = rate, burst, spread
+    def __init__(self, rate: float, burst: float, gateway_count: int, now: float, level: float) -> None:
+        self.rate, self.burst, self.gateway_count = rate, burst, gateway_count
         self.level, self.at = level, now  # the estimated level, and the time it applies to
         self.told: float | None = None  # end of the last metered period that is included; None: none yet
         self.mean_units = 1.0  # average units of a request sent by this gateway
@@ -216,7 +215,7 @@
     def share(self) -> float:
         """Return this gateway's share of what all gateways send; an equal share until periods were metered."""
         prior = self.rate or 1.0
-        return (self._mine + prior / self.spread) / (self._all + prior)
+        return (self._mine + prior / self.gateway_count) / (self._all + prior)
 
     def total_rate(self, own_recent_units: float) -> float:
         """Return the units per second that all gateways are expected to send, given the recent own units."""
@@ -359,7 +358,9 @@
         low_level, net_rate = LOW_LEVEL_REQUESTS * self.mean_units, self.rate - others_rate * self._slot_granted_ratio
         if net_rate < 0:
             low_level *= (
-                LOW_LEVEL_GATEWAY_COUNT / max(LOW_LEVEL_GATEWAY_COUNT, self.spread) if self.has_thin_share() else 1.0
+                LOW_LEVEL_GATEWAY_COUNT / max(LOW_LEVEL_GATEWAY_COUNT, self.gateway_count)
+                if self.has_thin_share()
+                else 1.0
             )
             if level > low_level and (time_to_low := (level - low_level) / -net_rate) < elapsed:
                 level, elapsed = low_level, elapsed - time_to_low
@@ -371,7 +372,10 @@
 
     def has_thin_share(self) -> bool:
         """Return whether so many gateways share the customer that the share of each holds hardly a request."""
-        return self.spread > MAX_GATEWAYS_FOR_FULL_SHARE and self.burst < SLIVER * self.mean_units * self.spread
+        return (
+            self.gateway_count > MAX_GATEWAYS_FOR_FULL_SHARE
+            and self.burst < SLIVER * self.mean_units * self.gateway_count
+        )
 
     def places(self, in_flight: int, mean_duration: float, limit: int) -> float:
         """Return the probability that fewer than `limit` attempts are in flight over all gateways.
--- a/tests/bodies/test_streaming.py
+++ b/tests/bodies/test_streaming.py
@@ -19,10 +19,10 @@
         async with scene(BulkWorker("w")) as (gatekeeper, _, _):
             client = await BulkClient.connect(gatekeeper.port)
             for _ in range(2):  # on the same connection
-                status, name, size, total, whole = await client.ask(
+                status, name, size, total, complete = await client.ask(
                     "read", want=f"give={3 * MB + 17}&framing={framing}&step={step}"
                 )
-                assert (status, size, whole) == (200, 3 * MB + 17, True) and total == check(name, size)
+                assert (status, size, complete) == (200, 3 * MB + 17, True) and total == check(name, size)
 
     run(scenario())
 
@@ -48,9 +48,9 @@
         async with scene(*workers) as (gatekeeper, _, _):
             client = await BulkClient.connect(gatekeeper.port)
             size = 16 * MB  # more than the socket buffers hold
-            got, name, *_ = await client.ask(size=size, want=want)
-            whole = [each for worker in workers for each in worker.took if each[3]]
-            assert got == status and all(each == (name, size, check(name, size), True) for each in whole)
+            received_status, name, *_ = await client.ask(size=size, want=want)
+            complete = [each for worker in workers for each in worker.took if each[3]]
+            assert received_status == status and all(each == (name, size, check(name, size), True) for each in complete)
 
     run(scenario())
 
@@ -102,8 +102,8 @@
             for framing in ("length", "chunked"):
                 client = await BulkClient.connect(gatekeeper.port)
                 want = f"give={4 * MB}&break={MB}&framing={framing}"
-                status, name, size, _, whole = await client.ask("read", want=want)
-                assert status == 200 and not whole and size <= MB
+                status, name, size, _, complete = await client.ask("read", want=want)
+                assert status == 200 and not complete and size <= MB
                 assert sum(each[0] == name for worker in workers for each in worker.took) == 1
 
     run(scenario())
@@ -128,9 +128,8 @@
             sending.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await sending
-            await until(
-                lambda: any(not each[3] for each in worker.took)
-            )  # the worker saw that the request is incomplete
+            # The worker saw that the request is incomplete.
+            await until(lambda: any(not each[3] for each in worker.took))
             assert (await client.ask("write")).status == 200
             before = resident(gatekeeper.process.pid)
             assert before < 80 * MB
--- a/tests/counting/test_client.py
+++ b/tests/counting/test_client.py
@@ -25,7 +25,7 @@
 
 
 def play(scenario) -> None:
-    async def whole() -> None:
+    async def run_scenario() -> None:
         counter = await Counter(Service()).start()
         try:
             client = await connect(counter)
@@ -34,7 +34,7 @@
         finally:
             counter.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 def test_totals_add_up_over_clients_and_arrive_in_call_order():
--- a/tests/counting/test_stores.py
+++ b/tests/counting/test_stores.py
@@ -16,7 +16,7 @@
 SETTINGS = interface.Settings((interface.RequestClass("read", aim=0.4, deadline=1.0),), (PLAN,), counter_timeout=0.03)
 
 
-def counting(settings: interface.Settings) -> Counting:
+def make_counting(settings: interface.Settings) -> Counting:
     return Counting(settings, 0.0, 0.0, Random(1))
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, gateways: int = 2, plan: interface.Plan = PLAN) -> None:
         self.service = Service()
-        self.clients = [counting(SETTINGS) for _ in range(gateways)]
+        self.clients = [make_counting(SETTINGS) for _ in range(gateways)]
         self.accounts = [Account(plan, "c/team/x", 30, 0.0, 0.0) for _ in range(gateways)]
         self.unanswered: list[tuple[int, interface.CounterAdd]] = []
 
@@ -110,26 +110,26 @@
 
 
 @pytest.mark.parametrize(
-    ("total", "early", "behind"), [(1.0, -3.0, 5.0), (6.0, -3.0, 0.0), (9.0, 0.0, -3.0), (9.5, 0.5, -3.5)]
+    ("total", "excess", "lag"), [(1.0, -3.0, 5.0), (6.0, -3.0, 0.0), (9.0, 0.0, -3.0), (9.5, 0.5, -3.5)]
 )
-def test_total_gives_the_excess_and_the_lag(total, early, behind):
-    assert evaluate_total(total - 1.0, 1.0, 5.0, 4.0) == pytest.approx((early, behind), abs=0.01)
+def test_total_gives_the_excess_and_the_lag(total, excess, lag):
+    assert evaluate_total(total - 1.0, 1.0, 5.0, 4.0) == pytest.approx((excess, lag), abs=0.01)
 
 
 def test_counts_only_thin_shares_and_nothing_without_a_counter():
-    thin, thick = (Account(PLAN, "c/team/x", spread, 0.0, 0.0) for spread in (30, 2))
-    whole = counting(SETTINGS)
-    whole.budget.most = 1.0
-    assert whole.counts(0.0, thin) and not whole.counts(0.0, thick)
+    thin, large = (Account(PLAN, "c/team/x", spread, 0.0, 0.0) for spread in (30, 2))
+    counter = make_counting(SETTINGS)
+    counter.budget.most = 1.0
+    assert counter.counts(0.0, thin) and not counter.counts(0.0, large)
     without = interface.Settings(SETTINGS.classes, SETTINGS.plans)
-    assert not counting(without).counts(0.0, thin)
+    assert not make_counting(without).counts(0.0, thin)
 
 
-CAPPED = interface.Plan("team", rate=1.0, burst=50.0, concurrency_limit=2.0, excess_cost=1.0)
+PLAN_WITH_CONCURRENCY_LIMIT = interface.Plan("team", rate=1.0, burst=50.0, concurrency_limit=2.0, excess_cost=1.0)
 
 
 def test_enforces_the_concurrency_limit_and_frees_slots():
-    shared = Shared(3, CAPPED)
+    shared = Shared(3, PLAN_WITH_CONCURRENCY_LIMIT)
     shared.ask(0, 1.0)
     call = shared.clients[0]._in_flight[shared.unanswered[0][1].name][0]
     assert shared.answer_all(1.0) == [True]
@@ -142,20 +142,19 @@
 
 
 def test_slots_of_a_crashed_gateway_are_freed_after_the_longest_deadline():
-    shared = Shared(2, CAPPED)
+    shared = Shared(2, PLAN_WITH_CONCURRENCY_LIMIT)
     assert [shared.send(0, 21.0 + n) for n in (0, 0, 0)] == [True, True, False]
     begin = epoch_at(21.0, 0.0, "c/team/x").started_at
     assert not shared.send(1, 22.0)
-    late = (
-        begin + EPOCH_SECONDS - 0.1
-    )  # behind by more than half of the burst and the longest deadline only in a shallow plan
-    shallow = Shared(2, interface.Plan("team", rate=1.0, burst=4.0, concurrency_limit=2.0, excess_cost=1.0))
-    assert [shallow.send(0, begin + 6.0) for _ in range(3)] == [True, True, False]
-    assert shallow.send(1, min(late, begin + 14.0))
+    # Only with a small burst does the number lag by more than half of the burst plus the longest deadline.
+    epoch_end = begin + EPOCH_SECONDS - 0.1
+    small_burst = Shared(2, interface.Plan("team", rate=1.0, burst=4.0, concurrency_limit=2.0, excess_cost=1.0))
+    assert [small_burst.send(0, begin + 6.0) for _ in range(3)] == [True, True, False]
+    assert small_burst.send(1, min(epoch_end, begin + 14.0))
 
 
 def test_slots_released_on_a_reset_counter_do_not_raise_the_limit():
-    shared = Shared(2, CAPPED)
+    shared = Shared(2, PLAN_WITH_CONCURRENCY_LIMIT)
     calls = []
     for n in range(2):
         shared.ask(n, 1.0)
@@ -182,19 +181,19 @@
         assert [more.amount for more in one.actions] == [-call.amount] * back
 
 
-HELD = interface.Plan(
+PLAN_WITH_CEILING = interface.Plan(
     "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_capacity=8.0, ceiling_slack=0.8
 )
 
 
 def test_does_not_count_under_a_ceiling_without_room_for_a_counter_reset():
-    for plan, held in (
-        (HELD, True),
+    for plan, counted in (
+        (PLAN_WITH_CEILING, True),
         (interface.Plan("team", 2.0, 4.0, 0.0, 4.0, 7.0, 0.8, 0.0, 1.0), False),
         (interface.Plan("team", 2.0, 4.0, 0.0, 3.9, 8.0, 0.8, 0.0, 1.0), False),
     ):
-        made = counting(interface.Settings(SETTINGS.classes, (plan,), counter_timeout=0.03))
-        assert (plan.name in made.ranks) is held
+        created = make_counting(interface.Settings(SETTINGS.classes, (plan,), counter_timeout=0.03))
+        assert (plan.name in created.ranks) is counted
 
 
 @pytest.mark.parametrize("gateways", [4, 7, 30])
--- a/tests/estimates/test_metering.py
+++ b/tests/estimates/test_metering.py
@@ -36,7 +36,7 @@
 
     def read_meter(self, name, now):
         end = math.floor((now - self.lateness - self.phase) / self.period) * self.period + self.phase
-        used = sum(units for when, units in self.sends[name] if end - self.period < when <= end)
+        used = sum(units for sent_at, units in self.sends[name] if end - self.period < sent_at <= end)
         return round(100 * used / self.period / self.rate) / 100
 
     def run(self, seconds, rates, units=(1.0,)):
@@ -63,8 +63,10 @@
     simulation.run(30.0, dict.fromkeys(names, 2.5))
     for meter in simulation.meters:
         assert meter.known()
-        out = math.floor((simulation.now - lateness - simulation.phase) / period) * period + simulation.phase + lateness
-        assert meter.end(out + 0.5 * period) == pytest.approx(out - lateness, abs=0.16 * period)
+        published_at = (
+            math.floor((simulation.now - lateness - simulation.phase) / period) * period + simulation.phase + lateness
+        )
+        assert meter.end(published_at + 0.5 * period) == pytest.approx(published_at - lateness, abs=0.16 * period)
 
 
 def test_follows_a_meter_that_restarts_with_another_phase():
@@ -156,7 +158,7 @@
 
 def test_slot_probability_falls_with_own_in_flight_attempts_and_usual_rate():
     idle, busy = QuotaEstimate(6.0, 24.0, 2, 0.0, 24.0), QuotaEstimate(60.0, 240.0, 2, 0.0, 240.0)
-    probabilities = [idle.places(out, 0.1, 4) for out in range(5)]
+    probabilities = [idle.places(in_flight, 0.1, 4) for in_flight in range(5)]
     assert probabilities == sorted(probabilities, reverse=True) and probabilities[0] > 0.9 and probabilities[4] == 0.0
     assert busy.places(1, 0.1, 4) < idle.places(1, 0.1, 4)
     assert idle.places(0, 0.0, 1) == 1.0  # attempts take no time
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -24,12 +24,12 @@
 WORKERS = WorkerList(tuple(WorkerEntry(f"w{n}") for n in range(4)), whole=True)
 
 
-def gateway(seed=1, now=0.0, **settings):
-    created = Gateway(
+def make_gateway(seed=1, now=0.0, **settings):
+    gateway = Gateway(
         Settings(CLASSES, PLANS, max_attempts=3, slow_start_duration=5.0, meter_period=1.0, **settings), seed, now
     )
-    created.handle(now, WORKERS)
-    return created
+    gateway.handle(now, WORKERS)
+    return gateway
 
 
 class Clients:
@@ -39,24 +39,24 @@
         self.random, self.count, self.now = Random(seed), 0, 0.0
         self.open = []
 
-    def step(self, module, ends=None):
+    def step(self, gateway, ends=None):
         self.now += self.random.random() * 0.1
         now, plan = self.now, self.random.choice(PLANS).name
         self.count += 1
         name, customer = f"r{self.count}", f"{self.random.randrange(6):016x}"
         klass = self.random.choice(("read", "write"))
         sent = None
-        for action in module.handle(now, Request(name, klass, plan, customer, 2.0, gateway_count=2)):
+        for action in gateway.handle(now, Request(name, klass, plan, customer, 2.0, gateway_count=2)):
             if isinstance(action, Send):
                 sent = action.worker
                 self.open.append((name, 0, action.worker, now))
         while self.open and self.random.random() < 0.5:
-            self.end(module, self.open.pop(0))
+            self.end(gateway, self.open.pop(0))
         return sent is not None
 
-    def end(self, module, attempt):
+    def end(self, gateway, attempt):
         name, number, worker, sent = attempt
-        module.handle(
+        gateway.handle(
             self.now,
             Outcome(
                 name, number, worker, interface.SUCCESS, terminal=True, took=self.now - sent, used=self.random.random()
@@ -64,9 +64,9 @@
         )
 
 
-def transferred(module, now, seed=9):
+def transferred(gateway, now, seed=9):
     """Return another gateway to which the state was transferred, encoded as on the wire."""
-    copy = state.Copy(module, now)
+    copy = state.Copy(gateway, now)
     messages = []
     while rows := copy.more(now, 3):
         messages.append(wire.Accounts(rows))
@@ -75,11 +75,11 @@
         deficits.append(wire.decode(wire.encode(wire.StatePart("debts", part))).value)
     messages += [
         wire.Accounts(copy.rest()),
-        wire.StatePart("core", state.core(module)),
-        wire.StatePart("outs", list(state.outs(module))),
+        wire.StatePart("core", state.core(gateway)),
+        wire.StatePart("outs", list(state.outs(gateway))),
     ]
     accounts, (core, outs) = messages[:-2], [wire.decode(wire.encode(m)) for m in messages[-2:]]
-    successor = gateway(seed, now)
+    successor = make_gateway(seed, now)
     for message in accounts:
         state.put_accounts(successor, now, wire.decode(wire.encode(message)).rows)
     for part in deficits:
@@ -90,27 +90,27 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_successor_has_the_whole_state_of_its_predecessor(seed):
-    module, clients = gateway(), Clients(seed)
-    while clients.count < 300 or not module.in_flight:
-        clients.step(module)
-    module.handle(clients.now, SetMaintenance("w1", True))
-    successor = transferred(module, clients.now)
-    assert set(successor.in_flight) == set(module.in_flight) and module.in_flight
-    for queue, other in zip(module.quotas.accounts.queues, successor.quotas.accounts.queues, strict=True):
+    gateway, clients = make_gateway(), Clients(seed)
+    while clients.count < 300 or not gateway.in_flight:
+        clients.step(gateway)
+    gateway.handle(clients.now, SetMaintenance("w1", True))
+    successor = transferred(gateway, clients.now)
+    assert set(successor.in_flight) == set(gateway.in_flight) and gateway.in_flight
+    for queue, other in zip(gateway.quotas.accounts.queues, successor.quotas.accounts.queues, strict=True):
         assert list(queue) == list(other)
         for key, account in queue.items():
             assert state.account_row(account, True) == state.account_row(other[key], True)
             assert account.in_flight == other[key].in_flight and account.capacity == other[key].capacity
-    mine, theirs = state.core(module), state.core(successor)
+    mine, theirs = state.core(gateway), state.core(successor)
     for core in (mine, theirs):
         core["debts"] = json.dumps(core["debts"]["places"])
         core["fleet"].pop("_done_at")  # advanced to another time
         core["fleet"].pop("_done")
     assert mine == theirs
-    for name, worker in module.fleet.workers.items():
+    for name, worker in gateway.fleet.workers.items():
         assert set(worker.in_flight) == set(successor.fleet.workers[name].in_flight)
     for attempt in list(clients.open):
-        clients.end(module, attempt)
+        clients.end(gateway, attempt)
         clients.end(successor, attempt)
     assert not successor.in_flight and not any(
         a.in_flight for q in successor.quotas.accounts.queues for a in q.values()
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_customer_at_its_limit_gets_nothing_twice(seed):
-    alone, first = gateway(), gateway()
+    alone, first = make_gateway(), make_gateway()
     one, two = Clients(seed), Clients(seed)
     served = [0, 0]
     second = None
@@ -137,10 +137,10 @@
 
 
 def test_transfers_maintenance_and_workers_brought_back():
-    module = gateway()
+    gateway = make_gateway()
     for name, out in (("w0", True), ("w1", True), ("w1", False)):
-        module.handle(1.0, SetMaintenance(name, out))
-    successor = transferred(module, 2.0)
+        gateway.handle(1.0, SetMaintenance(name, out))
+    successor = transferred(gateway, 2.0)
     successor.handle(2.1, WORKERS)
     seen = set()
     for n in range(60):
@@ -154,37 +154,37 @@
 
 
 def test_attempts_of_an_exited_predecessor_are_no_longer_in_flight():
-    module, clients = gateway(), Clients(1)
+    gateway, clients = make_gateway(), Clients(1)
     while len(clients.open) < 3:
-        clients.step(module)
-    successor = transferred(module, clients.now)
+        clients.step(gateway)
+    successor = transferred(gateway, clients.now)
     for outcome in state.left_out(successor, set(successor.in_flight)):
         successor.handle(clients.now, outcome)
     assert not successor.in_flight and not any(w.in_flight for w in successor.fleet.workers.values())
 
 
 def test_a_later_attempt_of_the_predecessor_takes_units_and_a_slot():
-    module, successor = gateway(), gateway(2)
+    gateway, successor = make_gateway(), make_gateway(2)
     account = successor.quotas.account(0.0, "0" * 16, PLANS[1], 1)
     before = account.balance
-    for action in module.handle(0.0, Request("late", "write", "team", "0" * 16, 2.0, units=2.0)):
+    for action in gateway.handle(0.0, Request("late", "write", "team", "0" * 16, 2.0, units=2.0)):
         if isinstance(action, Send):
-            row = state.out_row("late", 0, module.in_flight["late", 0])
+            row = state.out_row("late", 0, gateway.in_flight["late", 0])
             state.adopt(successor, 0.0, row, spends=True)
             state.adopt(successor, 0.0, row, spends=True)  # reported twice
     assert account.in_flight == 1 and account.balance == before - 2.0
 
 
 def test_ignores_unknown_fields_and_keeps_missing_ones():
-    module, clients = gateway(), Clients(3)
+    gateway, clients = make_gateway(), Clients(3)
     for _ in range(50):
-        clients.step(module)
-    core = {**state.core(module), "novel": {"x": 1}}
+        clients.step(gateway)
+    core = {**state.core(gateway), "novel": {"x": 1}}
     core["throttle"] = {**core["throttle"], "novelty": 3.0}
     del core["throttle"]["fill"], core["budget"]
-    successor = gateway(5)
+    successor = make_gateway(5)
     state.put_core(successor, clients.now, msgspec.msgpack.decode(msgspec.msgpack.encode(core)))
-    assert successor.throttle.rate == module.throttle.rate and successor.throttle.bucket_level == 0.0
+    assert successor.throttle.rate == gateway.throttle.rate and successor.throttle.bucket_level == 0.0
     state.put_accounts(successor, 1.0, [{"key": "c/gone/00", "spread": 1}])  # a plan that no longer exists
     assert not len(successor.quotas.accounts)
 
@@ -202,7 +202,7 @@
 )
 def test_raises_for_malformed_state(damage):
     with pytest.raises(Damaged):
-        state.put_core(gateway(), 1.0, damage)
+        state.put_core(make_gateway(), 1.0, damage)
 
 
 def test_rejects_a_corrupted_datagram():
@@ -217,13 +217,13 @@
 
 
 def test_copies_thirty_thousand_customers_in_small_steps_without_omission():
-    module = gateway(max_accounts=60_000)
-    quotas, now = module.quotas, 0.0
+    gateway = make_gateway(max_accounts=60_000)
+    quotas, now = gateway.quotas, 0.0
     for n in range(30_000):
         now += 0.0001
         quotas.spend(quotas.account(now, f"{n:016x}", PLANS[0], 2), 1.0, True)
-    successor, random = gateway(4, now, max_accounts=60_000), Random(1)
-    copy, steps = state.Copy(module, now), 0
+    successor, random = make_gateway(4, now, max_accounts=60_000), Random(1)
+    copy, steps = state.Copy(gateway, now), 0
     while rows := copy.more(now, 40):
         state.put_accounts(successor, now, rows)
         steps += 1
@@ -240,11 +240,11 @@
 
 
 def test_transfers_deficits_including_those_added_meanwhile():
-    module, successor = gateway(), gateway(2)
-    deficits = module.quotas.deficits
+    gateway, successor = make_gateway(), make_gateway(2)
+    deficits = gateway.quotas.deficits
     for n in range(500):
         deficits.add(0.0, f"c{n}", 10.0 + n)
-    copy = state.Copy(module, 0.0)
+    copy = state.Copy(gateway, 0.0)
     pieces = [copy.debts() for _ in range(5)]
     for n in range(500, 600):
         deficits.add(1.0, f"c{n}", 10.0 + n)
--- a/tests/operating/test_maintenance.py
+++ b/tests/operating/test_maintenance.py
@@ -24,32 +24,32 @@
     return tuple(WorkerEntry(name, **fields) for name in names)
 
 
-def gateway(*names, **settings):
-    created = Gateway(Settings((READ,), (Plan("basic"),), **settings), seed=1, now=0.0)
-    created.handle(0.0, WorkerList(entries(*names), whole=True))
-    return created
+def make_gateway(*names, **settings):
+    gateway = Gateway(Settings((READ,), (Plan("basic"),), **settings), seed=1, now=0.0)
+    gateway.handle(0.0, WorkerList(entries(*names), whole=True))
+    return gateway
 
 
 class Traffic:
     """Sends one request after another and answers each at once."""
 
-    def __init__(self, module):
-        self.module, self.count = module, 0
+    def __init__(self, gateway):
+        self.gateway, self.count = gateway, 0
 
     def send_request(self, now):
         """Send a request and return the worker that got it, if any."""
         self.count += 1
         name = f"r{self.count}"
-        for action in self.module.handle(now, Request(name, "read", "basic", f"c{self.count}", time_left=4.0)):
+        for action in self.gateway.handle(now, Request(name, "read", "basic", f"c{self.count}", time_left=4.0)):
             if isinstance(action, Send):
-                self.module.handle(now, Outcome(name, 0, action.worker, interface.SUCCESS, terminal=True, took=0.01))
+                self.gateway.handle(now, Outcome(name, 0, action.worker, interface.SUCCESS, terminal=True, took=0.01))
                 return action.worker
             assert not isinstance(action, Refuse)
         return None
 
 
-def set_maintenance(module, now, worker, out):
-    return next(a for a in module.handle(now, SetMaintenance(worker, out)) if isinstance(a, MaintenanceResult)).known
+def set_maintenance(gateway, now, worker, out):
+    return next(a for a in gateway.handle(now, SetMaintenance(worker, out)) if isinstance(a, MaintenanceResult)).known
 
 
 @pytest.mark.parametrize(
@@ -64,30 +64,30 @@
     ],
 )
 def test_maintenance_outlives_discovery_updates(update):
-    module = gateway("a", "b")
-    assert set_maintenance(module, 1.0, "a", out=True)
-    module.handle(2.0, update)
-    module.handle(2.1, WorkerList(entries("a", "b"), whole=True))
-    traffic = Traffic(module)
+    gateway = make_gateway("a", "b")
+    assert set_maintenance(gateway, 1.0, "a", out=True)
+    gateway.handle(2.0, update)
+    gateway.handle(2.1, WorkerList(entries("a", "b"), whole=True))
+    traffic = Traffic(gateway)
     assert {traffic.send_request(3.0 + n / 10) for n in range(40)} == {"b"}
 
 
 def test_one_call_back_ends_maintenance_after_repeated_calls():
-    module = gateway("a", "b")
-    assert set_maintenance(module, 1.0, "a", True) and set_maintenance(module, 1.5, "a", True)
-    assert set_maintenance(module, 2.0, "a", False)
-    traffic = Traffic(module)
+    gateway = make_gateway("a", "b")
+    assert set_maintenance(gateway, 1.0, "a", True) and set_maintenance(gateway, 1.5, "a", True)
+    assert set_maintenance(gateway, 2.0, "a", False)
+    traffic = Traffic(gateway)
     assert "a" in {traffic.send_request(2.0 + n / 10) for n in range(40)}
-    assert set_maintenance(module, 7.0, "a", False), "a repeated call to bring it back succeeds"
+    assert set_maintenance(gateway, 7.0, "a", False), "a repeated call to bring it back succeeds"
 
 
 def test_rejects_unknown_ids_but_not_a_worker_in_maintenance_that_left_the_list():
-    module = gateway("a", "b")
-    assert not set_maintenance(module, 1.0, "nobody", True) and not set_maintenance(module, 1.0, "nobody", False)
-    assert set_maintenance(module, 1.0, "a", True)
-    module.handle(2.0, WorkerList((WorkerEntry("a", state=interface.REMOVED),)))
-    assert set_maintenance(module, 3.0, "a", True) and set_maintenance(module, 3.0, "a", False)
-    assert not set_maintenance(module, 3.1, "a", False)
+    gateway = make_gateway("a", "b")
+    assert not set_maintenance(gateway, 1.0, "nobody", True) and not set_maintenance(gateway, 1.0, "nobody", False)
+    assert set_maintenance(gateway, 1.0, "a", True)
+    gateway.handle(2.0, WorkerList((WorkerEntry("a", state=interface.REMOVED),)))
+    assert set_maintenance(gateway, 3.0, "a", True) and set_maintenance(gateway, 3.0, "a", False)
+    assert not set_maintenance(gateway, 3.1, "a", False)
 
 
 def test_a_worker_brought_back_has_slow_start_until_the_list_has_its_start_time():
@@ -114,30 +114,30 @@
 def test_a_worker_brought_back_among_sixty_gets_a_request_within_five_seconds(gateways):
     names = [f"w{n}" for n in range(60)]
     settings = {"gateways": gateways, "number": 0, "slow_start_min_factor": 0.2, "slow_start_duration": 8.0}
-    module = gateway(*names, **settings)
-    traffic, random = Traffic(module), Random(3)
+    gateway = make_gateway(*names, **settings)
+    traffic, random = Traffic(gateway), Random(3)
     for n in range(200):
         traffic.send_request(n / 50)
     for worker in random.sample(names, 5):
         now = 4.0 + traffic.count / 50
-        set_maintenance(module, now, worker, True)
+        set_maintenance(gateway, now, worker, True)
         for n in range(50):
             assert traffic.send_request(now + n / 50) != worker
         now += 1.0
-        set_maintenance(module, now, worker, False)
+        set_maintenance(gateway, now, worker, False)
         assert worker in {traffic.send_request(now + n / 20) for n in range(100)}
 
 
 def test_a_worker_brought_back_gets_one_request_until_it_has_answered():
-    module = gateway("a", "b", slow_start_min_factor=0.2, slow_start_duration=8.0, gateways=4)
-    traffic = Traffic(module)
+    gateway = make_gateway("a", "b", slow_start_min_factor=0.2, slow_start_duration=8.0, gateways=4)
+    traffic = Traffic(gateway)
     for n in range(100):
         traffic.send_request(n / 50)
-    set_maintenance(module, 3.0, "a", True)
-    set_maintenance(module, 4.0, "a", False)
+    set_maintenance(gateway, 3.0, "a", True)
+    set_maintenance(gateway, 4.0, "a", False)
     sent = []
     for n in range(30):  # none of them is answered
-        for action in module.handle(4.0 + n / 100, Request(f"x{n}", "read", "basic", f"y{n}", time_left=4.0)):
+        for action in gateway.handle(4.0 + n / 100, Request(f"x{n}", "read", "basic", f"y{n}", time_left=4.0)):
             if isinstance(action, Send):
                 sent.append(action.worker)
     assert sent.count("a") == 1
