--- a/micagate/bodies/buffering.py
+++ b/micagate/bodies/buffering.py
@@ -10,7 +10,7 @@
 | not begun | yes | yes | yes |
 | not written completely | if all is buffered | the same | the same: it never ran |
 | written completely, rejected | if all is buffered | the same | the same |
-| written completely, may have run | if all is buffered | in its window, if all is buffered | never |
+| written completely, may have run | if all is buffered | within the `window` of its class, if all is buffered | never |
 | response has begun | never | never | never |
 
 The row "may have run" is the gateway's rule for all requests; this module adds that the body must be buffered, and the
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -140,7 +140,10 @@
 
 
 def account_row(account: Account, recurring: bool) -> dict[str, Any]:
-    """Return an account as it is transferred; `recurring` says in which queue of the account table it is."""
+    """Return an account as it is transferred.
+
+    `recurring` says that the customer has sent more than one request, which selects its queue in the account table.
+    """
     return {
         "key": account.key,
         "spread": account.gateway_count,
--- a/micagate/operating/maintenance.py
+++ b/micagate/operating/maintenance.py
@@ -81,6 +81,7 @@
         return interface.WorkerList(() if entry is None else (self._effective_entry(entry),))
 
     def _effective_entry(self, entry: interface.WorkerEntry) -> interface.WorkerEntry:
+        """Return the entry with maintenance applied: draining, or started when it was brought back."""
         if entry.worker in self.banned:
             return replace(entry, state=interface.DRAINING) if entry.state == interface.HEALTHY else entry
         if (times := self.back.get(entry.worker)) is None or entry.state == interface.REMOVED:
