--- a/tests/planning/test_pace.py
+++ b/tests/planning/test_pace.py
@@ -1,4 +1,5 @@
-"""What planners learn of workers: under a queue, with none, hung, recovered, silent, and whatever is reported."""
+"""Tests of the capacity estimate of a worker: with and without a queue, hung, recovered, without reports, and for
+random reports."""
 
 import math
 
@@ -14,84 +15,86 @@
 
 
 class Worker:
-    """A worker that can do `able` a second, of which each takes `least` alone; what is more waits."""
+    """A worker that serves `capacity` requests a second with latency `base_latency`; further requests queue."""
 
-    def __init__(self, able=200.0, least=1.0):
-        self.able, self.least, self.waiting, self.now = able, least, 0.0, 0.0
+    def __init__(self, capacity=200.0, base_latency=1.0):
+        self.capacity, self.base_latency, self.queued, self.now = capacity, base_latency, 0.0, 0.0
         self.estimate = Estimate(0.0)
 
-    def ask(self, rate, seconds):
-        """Ask so many a second; the estimate at the end."""
+    def send(self, rate, seconds):
+        """Send `rate` requests a second for some seconds; return the estimate at the end."""
         for _ in range(round(seconds / EVERY)):
             self.now += EVERY
-            self.waiting += rate * EVERY
-            done = min(self.waiting, self.able * EVERY)
-            self.waiting -= done
-            slow = self.least * (1 + 10 * self.waiting / self.able) if self.able else 0.0
+            self.queued += rate * EVERY
+            done = min(self.queued, self.capacity * EVERY)
+            self.queued -= done
+            slow = self.base_latency * (1 + 10 * self.queued / self.capacity) if self.capacity else 0.0
             self.estimate.report(
-                self.now, WorkerLoad("w", round(done), round(done) * slow, self.waiting * EVERY, 0, 0, 0)
+                self.now, WorkerLoad("w", round(done), round(done) * slow, self.queued * EVERY, 0, 0, 0)
             )
             self.estimate.decide(self.now)
-        return self.estimate.pace
+        return self.estimate.capacity
 
 
-def test_a_worker_with_a_queue_is_known_by_what_it_answers_less_what_drains_the_queue():
-    worker = Worker(able=200.0)
-    worker.ask(100.0, 2.0)
-    assert 0.4 * 200 < worker.ask(260.0, 3.0) < 1.05 * 200
+def test_with_a_queue_the_estimate_follows_the_response_rate_less_the_drain():
+    worker = Worker(capacity=200.0)
+    worker.send(100.0, 2.0)
+    assert 0.4 * 200 < worker.send(260.0, 3.0) < 1.05 * 200
     assert worker.estimate.shown(worker.now)["answers"] == pytest.approx(200, rel=0.1)
 
 
-def test_a_worker_with_none_is_thought_able_of_more_and_of_no_more_than_that():
-    worker = Worker(able=1000.0)
-    assert 100.0 < worker.ask(100.0, 20.0) <= 100.0 / pace.USED * math.exp(pace.FAST * EVERY) * 1.05
+def test_without_a_queue_the_estimate_rises_to_a_bound_above_the_load():
+    worker = Worker(capacity=1000.0)
+    assert 100.0 < worker.send(100.0, 20.0) <= 100.0 / pace.MIN_UTILIZATION * math.exp(pace.FAST * EVERY) * 1.05
 
 
-def test_a_worker_that_is_slow_by_nature_has_no_queue_for_that():
-    assert Worker(able=1000.0, least=8.0).ask(100.0, 5.0) > 100.0
+def test_constant_high_latency_is_not_taken_for_a_queue():
+    assert Worker(capacity=1000.0, base_latency=8.0).send(100.0, 5.0) > 100.0
 
 
-def test_a_worker_that_slows_is_held_to_less_at_once_and_comes_back():
-    worker = Worker(able=400.0)
-    before = worker.ask(300.0, 5.0)
-    worker.able = 60.0
-    worker.ask(300.0, 1.0)
-    assert worker.ask(60.0, 1.0) < 0.35 * before
-    worker.able, worker.waiting = 400.0, 0.0
-    for _ in range(80):  # it is asked what it is thought to do
-        worker.ask(0.9 * worker.estimate.pace, EVERY)
-    assert worker.estimate.pace > 0.75 * before
+def test_the_estimate_falls_when_a_worker_slows_down_and_recovers_with_it():
+    worker = Worker(capacity=400.0)
+    before = worker.send(300.0, 5.0)
+    worker.capacity = 60.0
+    worker.send(300.0, 1.0)
+    assert worker.send(60.0, 1.0) < 0.35 * before
+    worker.capacity, worker.queued = 400.0, 0.0
+    for _ in range(80):  # at 0.9 of the estimate
+        worker.send(0.9 * worker.estimate.capacity, EVERY)
+    assert worker.estimate.capacity > 0.75 * before
 
 
-def test_refusals_and_misses_tell_of_a_queue_whatever_the_answer_times():
-    for what in ("refused", "missed"):
+def test_refused_and_missed_requests_show_a_queue_at_any_latency():
+    for outcome in ("refused", "missed"):
         estimate = Estimate(0.0)
         for n in range(60):
             seen = {"answered": 10, "load": 10.0, "busy": 1.0, "refused": 0, "missed": 0, "failed": 0}
-            estimate.report(n * EVERY, WorkerLoad("w", **{**seen, what: 3 if n > 30 else 0}))
+            estimate.report(n * EVERY, WorkerLoad("w", **{**seen, outcome: 3 if n > 30 else 0}))
             estimate.decide(n * EVERY)
-        assert estimate.pace < 1.1 * 100, what
+        assert estimate.capacity < 1.1 * 100, outcome
 
 
-def test_one_that_holds_much_and_answers_nothing_is_tried_with_little_but_tried():
+def test_a_worker_that_never_responds_still_gets_a_few_requests():
     estimate = Estimate(0.0)
     for n in range(50):
         estimate.report(n * EVERY, WorkerLoad("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
         estimate.decide(n * EVERY)
-    assert 0 < estimate.pace <= 1.0
-    worker = Worker(able=200.0)
-    before = worker.ask(150.0, 5.0)
+    assert 0 < estimate.capacity <= 1.0
+    worker = Worker(capacity=200.0)
+    before = worker.send(150.0, 5.0)
     for _ in range(80):
         worker.now += EVERY
         worker.estimate.report(worker.now, WorkerLoad("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
         worker.estimate.decide(worker.now)
-    assert 0.3 * pace.TRIED * before < worker.estimate.pace < 1.5 * pace.TRIED * before
+    assert (
+        0.3 * pace.MIN_FRACTION_OF_BEST * before < worker.estimate.capacity < 1.5 * pace.MIN_FRACTION_OF_BEST * before
+    )
 
 
-def test_what_is_not_heard_of_for_long_is_not_known_and_too_little_tells_nothing():
+def test_capacity_is_unknown_without_recent_reports_or_with_too_few_responses():
     worker = Worker()
-    assert worker.ask(100.0, 2.0) > 0
-    assert worker.estimate.decide(worker.now + pace.SILENT + 0.1) == 0.0
+    assert worker.send(100.0, 2.0) > 0
+    assert worker.estimate.decide(worker.now + pace.REPORT_TIMEOUT_SECONDS + 0.1) == 0.0
     estimate = Estimate(0.0)
     for n in range(20):
         estimate.report(float(n), WorkerLoad("w", 1, 1.0, 0.1, 0, 0, 0))
--- a/tests/recovery/test_recovery_policy.py
+++ b/tests/recovery/test_recovery_policy.py
@@ -1,4 +1,4 @@
-"""The table of what is believed, row by row, and what the others' answers make of it."""
+"""Tests of the recovery policy, and of combining the answers of peers."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 OWN, KILLED = Case(), End.KILLED
 
 
-def row(kind, **case):
+def decision(kind, **case):
     verdict = judge(kind, Case(**case))
     return verdict.way, round(verdict.share, 3)
 
@@ -17,72 +17,72 @@
 @pytest.mark.parametrize(
     ("kind", "case", "expected"),
     [
-        (Kind.STORES, {"end": End.ASKED}, (Way.TAKEN, 1.0)),
-        (Kind.STORES, {"end": End.KILLED}, (Way.DISCOUNTED, 1.0)),
-        (Kind.STORES, {"end": End.POWER}, (Way.DISCOUNTED, 1.0)),
-        (Kind.STORES, {"disk": Disk.OLD}, (Way.DROPPED, 0.0)),
-        (Kind.STORES, {"disk": Disk.OTHER}, (Way.DROPPED, 0.0)),
-        (Kind.STORES, {"disk": Disk.SPOILT}, (Way.DROPPED, 0.0)),
-        (Kind.STORES, {"disk": Disk.NONE}, (Way.DROPPED, 0.0)),
+        (Kind.QUOTA_LEVELS, {"end": End.ASKED}, (Way.TAKEN, 1.0)),
+        (Kind.QUOTA_LEVELS, {"end": End.KILLED}, (Way.DISCOUNTED, 1.0)),
+        (Kind.QUOTA_LEVELS, {"end": End.POWER}, (Way.DISCOUNTED, 1.0)),
+        (Kind.QUOTA_LEVELS, {"disk": Disk.OLD}, (Way.DROPPED, 0.0)),
+        (Kind.QUOTA_LEVELS, {"disk": Disk.OTHER}, (Way.DROPPED, 0.0)),
+        (Kind.QUOTA_LEVELS, {"disk": Disk.SPOILT}, (Way.DROPPED, 0.0)),
+        (Kind.QUOTA_LEVELS, {"disk": Disk.NONE}, (Way.DROPPED, 0.0)),
         (Kind.CEILINGS, {}, (Way.TAKEN, 1.0)),
         (Kind.CEILINGS, {"peers": Peers.SILENT}, (Way.TAKEN, 1.0)),
-        (Kind.CEILINGS, {"peers": Peers.OPEN}, (Way.ASKED, 0.0)),
+        (Kind.CEILINGS, {"peers": Peers.OPEN}, (Way.QUERIED, 0.0)),
         (Kind.CEILINGS, {"disk": Disk.OLD}, (Way.DROPPED, 0.0)),
         (Kind.CEILINGS, {"disk": Disk.OTHER}, (Way.DROPPED, 0.0)),
         (Kind.CEILINGS, {"disk": Disk.SPOILT}, (Way.DROPPED, 0.0)),
         (Kind.CEILINGS, {"disk": Disk.VOID}, (Way.DROPPED, 0.0)),
         (Kind.CEILINGS, {"disk": Disk.NONE}, (Way.DROPPED, 0.0)),
-        (Kind.PLACES, {"end": End.KILLED}, (Way.DROPPED, 0.0)),
-        (Kind.PLACES, {"end": End.POWER, "down": 1.5, "longest": 3.0}, (Way.DISCOUNTED, 0.5)),
-        (Kind.PLACES, {"end": End.POWER, "down": 1.5, "all_lost": True}, (Way.DROPPED, 0.0)),
-        (Kind.PLACES, {"end": End.POWER, "down": 4.0}, (Way.DROPPED, 0.0)),
-        (Kind.COUNTS, {}, (Way.ASKED, 0.0)),
-        (Kind.COUNTS, {"disk": Disk.NONE}, (Way.ASKED, 0.0)),
-        (Kind.CONTROL, {"age": 1.0}, (Way.TAKEN, 1.0)),
-        (Kind.CONTROL, {"age": 3600.0}, (Way.ASKED, 0.0)),
-        (Kind.CONTROL, {"disk": Disk.OLD}, (Way.ASKED, 0.0)),
-        (Kind.CONTROL, {"disk": Disk.NONE}, (Way.ASKED, 0.0)),
-        (Kind.WARMTH, {"age": 2.5}, (Way.DISCOUNTED, 0.75)),
-        (Kind.WARMTH, {"same": False}, (Way.DROPPED, 0.0)),
-        (Kind.WARMTH, {"age": 60.0}, (Way.ASKED, 0.0)),
-        (Kind.HEALTH, {"age": 4.0}, (Way.DISCOUNTED, 0.75)),
-        (Kind.HEALTH, {"same": False}, (Way.DROPPED, 0.0)),
-        (Kind.HEALTH, {"disk": Disk.NONE}, (Way.ASKED, 0.0)),
-        (Kind.BANS, {"peers": Peers.OPEN}, (Way.ASKED, 1.0)),
-        (Kind.BANS, {"disk": Disk.OLD, "age": 30 * 86400.0}, (Way.TAKEN, 1.0)),
-        (Kind.BANS, {"disk": Disk.OTHER}, (Way.TAKEN, 1.0)),
-        (Kind.BANS, {"disk": Disk.SPOILT}, (Way.TAKEN, 1.0)),
+        (Kind.CONCURRENCY_SLOTS, {"end": End.KILLED}, (Way.DROPPED, 0.0)),
+        (Kind.CONCURRENCY_SLOTS, {"end": End.POWER, "downtime": 1.5, "longest": 3.0}, (Way.DISCOUNTED, 0.5)),
+        (Kind.CONCURRENCY_SLOTS, {"end": End.POWER, "downtime": 1.5, "all_restarted": True}, (Way.DROPPED, 0.0)),
+        (Kind.CONCURRENCY_SLOTS, {"end": End.POWER, "downtime": 4.0}, (Way.DROPPED, 0.0)),
+        (Kind.COUNTER_VALUES, {}, (Way.QUERIED, 0.0)),
+        (Kind.COUNTER_VALUES, {"disk": Disk.NONE}, (Way.QUERIED, 0.0)),
+        (Kind.OVERLOAD_CONTROL, {"age": 1.0}, (Way.TAKEN, 1.0)),
+        (Kind.OVERLOAD_CONTROL, {"age": 3600.0}, (Way.QUERIED, 0.0)),
+        (Kind.OVERLOAD_CONTROL, {"disk": Disk.OLD}, (Way.QUERIED, 0.0)),
+        (Kind.OVERLOAD_CONTROL, {"disk": Disk.NONE}, (Way.QUERIED, 0.0)),
+        (Kind.WORKER_LATENCY, {"age": 2.5}, (Way.DISCOUNTED, 0.75)),
+        (Kind.WORKER_LATENCY, {"same_incarnation": False}, (Way.DROPPED, 0.0)),
+        (Kind.WORKER_LATENCY, {"age": 60.0}, (Way.QUERIED, 0.0)),
+        (Kind.WORKER_HEALTH, {"age": 4.0}, (Way.DISCOUNTED, 0.75)),
+        (Kind.WORKER_HEALTH, {"same_incarnation": False}, (Way.DROPPED, 0.0)),
+        (Kind.WORKER_HEALTH, {"disk": Disk.NONE}, (Way.QUERIED, 0.0)),
+        (Kind.MAINTENANCE, {"peers": Peers.OPEN}, (Way.QUERIED, 1.0)),
+        (Kind.MAINTENANCE, {"disk": Disk.OLD, "age": 30 * 86400.0}, (Way.TAKEN, 1.0)),
+        (Kind.MAINTENANCE, {"disk": Disk.OTHER}, (Way.TAKEN, 1.0)),
+        (Kind.MAINTENANCE, {"disk": Disk.SPOILT}, (Way.TAKEN, 1.0)),
         (Kind.DRAIN, {}, (Way.TAKEN, 1.0)),
         (Kind.DRAIN, {"disk": Disk.VOID}, (Way.TAKEN, 1.0)),
         (Kind.DRAIN, {"disk": Disk.OLD}, (Way.DROPPED, 0.0)),
         (Kind.DRAIN, {"disk": Disk.OTHER}, (Way.DROPPED, 0.0)),
-        (Kind.LIST, {}, (Way.ASKED, 1.0)),
-        (Kind.LOANS, {}, (Way.DROPPED, 0.0)),
+        (Kind.WORKER_LIST, {}, (Way.QUERIED, 1.0)),
+        (Kind.LEASES, {}, (Way.DROPPED, 0.0)),
         (Kind.GRANTS, {}, (Way.DROPPED, 0.0)),
-        (Kind.RETRIES, {}, (Way.DISCOUNTED, 0.5)),
-        (Kind.RETRIES, {"all_lost": True}, (Way.DROPPED, 0.0)),
-        (Kind.RETRIES, {"end": End.POWER}, (Way.DROPPED, 0.0)),
-        (Kind.WAITS, {"age": 5.0}, (Way.TAKEN, 1.0)),
-        (Kind.WAITS, {"age": 600.0}, (Way.DROPPED, 0.0)),
-        (Kind.WAITS, {"disk": Disk.OLD}, (Way.DROPPED, 0.0)),
+        (Kind.RETRY_BUDGET, {}, (Way.DISCOUNTED, 0.5)),
+        (Kind.RETRY_BUDGET, {"all_restarted": True}, (Way.DROPPED, 0.0)),
+        (Kind.RETRY_BUDGET, {"end": End.POWER}, (Way.DROPPED, 0.0)),
+        (Kind.CLIENT_WAITS, {"age": 5.0}, (Way.TAKEN, 1.0)),
+        (Kind.CLIENT_WAITS, {"age": 600.0}, (Way.DROPPED, 0.0)),
+        (Kind.CLIENT_WAITS, {"disk": Disk.OLD}, (Way.DROPPED, 0.0)),
     ],
 )
-def test_a_row_of_the_table(kind, case, expected):
-    assert row(kind, **case) == expected
+def test_verdict(kind, case, expected):
+    assert decision(kind, **case) == expected
 
 
-def test_each_verdict_says_why_unless_it_is_taken_whole_and_what_holds_while_it_is_open():
+def test_each_verdict_has_a_reason_unless_the_state_is_fully_trusted():
     for kind in Kind:
         for disk in Disk:
             for peers in Peers:
                 for end in End:
                     verdict = judge(kind, Case(disk, end, peers))
-                    assert verdict.why or verdict.way is Way.TAKEN, (kind, disk, peers, end)
+                    assert verdict.reason or verdict.way is Way.TAKEN, (kind, disk, peers, end)
                     assert 0 <= verdict.share <= 1
-    assert judge(Kind.CEILINGS, Case(peers=Peers.OPEN)).open
+    assert judge(Kind.CEILINGS, Case(peers=Peers.OPEN)).meanwhile
 
 
-def test_ceilings_are_believed_of_nobody_s_disk_but_the_own_latest():
+def test_ceilings_are_restored_only_from_the_latest_disk_of_the_gateway_itself():
     for disk in Disk:
         for end in End:
             for peers in (Peers.AGREE, Peers.SILENT):
@@ -93,70 +93,77 @@
 @pytest.mark.parametrize(
     ("until", "receivers", "planners", "expected"),
     [
-        (90.0, {}, {}, True),  # surely over, on record
+        (90.0, {}, {}, True),  # the recorded expiry has passed
         (110.0, {}, {}, False),
         (None, {}, {}, False),
-        (110.0, {"f1": 95.0, "f2": 96.0}, {"p1": 95.0}, True),  # all that could spend or grant it have begun anew
+        (110.0, {"f1": 95.0, "f2": 96.0}, {"p1": 95.0}, True),  # all that could spend or grant it have restarted
         (110.0, {"f1": 95.0, "f2": 80.0}, {"p1": 95.0}, False),
         (110.0, {"f1": 95.0}, {"p1": 40.0}, False),
     ],
 )
-def test_loans_are_over_by_the_record_or_with_all_who_held_them(until, receivers, planners, expected):
+def test_leases_end_at_the_recorded_time_or_after_all_holders_have_restarted(until, receivers, planners, expected):
     assert loans_over(100.0, until, receivers, planners, ended=94.0) is expected
 
 
-def knows(boot=0, up=100.0, back=False, **more):
+def answer(boot=0, up=100.0, back=False, **more):
     return RecoveryAnswer(boot, more.pop("ago", -1.0), more.pop("wall", 1000.0), up, back, **more)
 
 
-def test_everybody_is_asked_once_and_nobody_waited_for_longer_than_stated():
-    round_ = Questions(10.0, ["a", "b", "c"], 0.6)
-    assert round_.waits(10.1) == ["a", "b", "c"]
-    round_.answered(10.1, 1000.0, "a", knows())
-    round_.gone(10.2, "b")
-    assert round_.waits(10.2) == ["b", "c"]  # it may only be slower to come up
-    round_.gone(10.4, "b")
-    assert round_.waits(10.4) == ["c"] and round_.waits(10.6) == []
-    told = round_.told(10.6)
-    assert told.stayed == ("a",) and told.silent == ("c",) and not told.all_lost
-
-
-def test_who_came_back_in_the_same_moment_is_told_from_who_stayed():
-    round_ = Questions(10.0, ["a", "b", "c"], 0.6)
-    round_.answered(10.1, 1000.0, "a", knows(up=0.4, back=True))
-    round_.answered(10.1, 1000.0, "b", knows(up=2.0))  # up first, and open already
-    assert round_.told(10.2).all_lost and round_.told(10.2).back == ("a", "b")
-    round_.answered(10.1, 1000.0, "c", knows(up=TOGETHER + 1))
-    assert round_.told(10.2).stayed == ("c",)
-    # With the last word on record it is exact.
-    assert round_.told(10.2, lost=1.5).stayed == ("b", "c")
-
-
-def test_answers_that_contradict_each_other():
-    round_ = Questions(10.0, ["a", "b", "c"], 0.6)
-    round_.answered(10.1, 1000.0, "a", knows(boot=7, ago=3.0, workers=(("w", 1.0, False), ("v", 0.2, True))))
-    round_.answered(
-        10.1, 1000.0, "b", knows(boot=9, ago=1.0, workers=(("w", 0.5, True), ("v", 0.4, True)), wall=1000.2)
+def test_peers_are_waited_for_no_longer_than_the_timeout():
+    queries = Questions(10.0, ["a", "b", "c"], 0.6)
+    assert queries.waits(10.1) == ["a", "b", "c"]
+    queries.answered(10.1, 1000.0, "a", answer())
+    queries.gone(10.2, "b")
+    assert queries.waits(10.2) == ["b", "c"]  # it may just start more slowly
+    queries.gone(10.4, "b")
+    assert queries.waits(10.4) == ["c"] and queries.waits(10.6) == []
+    findings = queries.told(10.6)
+    assert findings.stayed == ("a",) and findings.silent == ("c",) and not findings.all_lost
+
+
+def test_peers_that_restarted_together_are_told_from_those_that_stayed_up():
+    queries = Questions(10.0, ["a", "b", "c"], 0.6)
+    queries.answered(10.1, 1000.0, "a", answer(up=0.4, back=True))
+    queries.answered(10.1, 1000.0, "b", answer(up=2.0))  # restarted first and serves already
+    assert queries.told(10.2).all_lost and queries.told(10.2).back == ("a", "b")
+    queries.answered(10.1, 1000.0, "c", answer(up=TOGETHER + 1))
+    assert queries.told(10.2).stayed == ("c",)
+    # The time of the last write makes the distinction exact.
+    assert queries.told(10.2, seconds_since_write=1.5).stayed == ("b", "c")
+
+
+def test_contradictory_answers_are_combined_by_median_and_majority():
+    queries = Questions(10.0, ["a", "b", "c"], 0.6)
+    queries.answered(10.1, 1000.0, "a", answer(boot=7, ago=3.0, workers=(("w", 1.0, False), ("v", 0.2, True))))
+    queries.answered(
+        10.1, 1000.0, "b", answer(boot=9, ago=1.0, workers=(("w", 0.5, True), ("v", 0.4, True)), wall=1000.2)
     )
-    round_.answered(
-        10.1, 1000.0, "c", knows(boot=3, ago=8.0, workers=(("w", 0.9, False),), wall=4600.0, distrusted=True)
+    queries.answered(
+        10.1, 1000.0, "c", answer(boot=3, ago=8.0, workers=(("w", 0.9, False),), wall=4600.0, distrusted=True)
     )
-    told = round_.told(10.2)
-    assert (told.boot, told.ago, told.void) == (9, 1.0, True)  # the latest life that any knows of
-    assert told.workers == {"w": (0.9, False), "v": (0.4, True)}  # a bad way is one's, a bad worker most see
-    assert not told.stepped  # one clock that is off is not this one's
-    round_.answered(10.1, 1000.0, "b", knows(wall=4600.5))
-    assert round_.told(10.2).stepped
-
-
-def test_of_those_that_come_back_too_nothing_is_asked_about_workers_where_others_stayed():
-    round_ = Questions(10.0, ["a", "b"], 0.6)
-    round_.answered(10.1, 1000.0, "a", knows(up=0.2, back=True, workers=(("w", 1.0, False),)))
-    assert round_.told(10.2).workers == {"w": (1.0, False)}
-    round_.answered(10.1, 1000.0, "b", knows(workers=(("w", 0.3, True),)))
-    assert round_.told(10.2).workers == {"w": (0.3, True)}
-
-
-def test_nobody_to_ask():
-    told = Questions(10.0, [], 0.6).told(10.0)
-    assert told.all_lost and told.boot == 0 and told.pace == 0.0 and not told.stepped
+    findings = queries.told(10.2)
+    assert (findings.boot, findings.last_heard_ago, findings.void) == (
+        9,
+        1.0,
+        True,
+    )  # the latest incarnation that a peer knows
+    assert findings.workers == {
+        "w": (0.9, False),
+        "v": (0.4, True),
+    }  # a broken path is seen by one peer, a broken worker by most
+    assert not findings.stepped  # one peer's clock is wrong
+    queries.answered(10.1, 1000.0, "b", answer(wall=4600.5))
+    assert queries.told(10.2).stepped
+
+
+def test_restarted_peers_are_ignored_about_workers_if_others_stayed_up():
+    queries = Questions(10.0, ["a", "b"], 0.6)
+    queries.answered(10.1, 1000.0, "a", answer(up=0.2, back=True, workers=(("w", 1.0, False),)))
+    assert queries.told(10.2).workers == {"w": (1.0, False)}
+    queries.answered(10.1, 1000.0, "b", answer(workers=(("w", 0.3, True),)))
+    assert queries.told(10.2).workers == {"w": (0.3, True)}
+
+
+def test_findings_without_peers():
+    findings = Questions(10.0, [], 0.6).told(10.0)
+    assert findings.all_lost and findings.boot == 0 and findings.pace == 0.0 and not findings.stepped
--- a/tests/recovery/test_stages.py
+++ b/tests/recovery/test_stages.py
@@ -1,4 +1,4 @@
-"""A start goes through its stages in order, and to its end whatever does not come."""
+"""Tests that a start passes through its stages in order and ends even if conditions are never met."""
 
 from random import Random
 
@@ -7,13 +7,13 @@
 from micagate.recovery.stages import GATHER, LIST, MEMORY, OPEN, ORDER, PEERS, ROOM, Limits, Recovery, gathers
 
 
-def test_with_nothing_to_wait_for_it_opens_at_once():
+def test_a_start_with_nothing_to_wait_for_opens_at_once():
     start = Recovery(10.0)
     assert start.look(10.0, {}) == OPEN and start.open
     assert [over.stage for over in start.over] == list(ORDER[:-1]) and not any(over.missing for over in start.over)
 
 
-def test_each_stage_waits_for_its_own_and_says_for_what():
+def test_each_stage_waits_for_its_own_condition_and_reports_it():
     start = Recovery(10.0)
     assert start.look(10.0, {PEERS: "g1, g2"}) == PEERS and start.waits_for == "g1, g2"
     assert start.look(10.1, {PEERS: "g2"}) == PEERS and start.waits_for == "g2"
@@ -21,13 +21,13 @@
     assert start.look(10.3, {}) == OPEN and start.waits_for == ""
 
 
-def test_what_does_not_come_is_named_and_not_waited_for_longer():
+def test_stages_time_out_and_name_what_is_missing():
     limits = Limits(peers=0.5, list=1.0)
     start = Recovery(10.0, limits)
-    never = {stage: "nobody" for stage in ORDER}
+    blocked = {stage: "nobody" for stage in ORDER}
     stages, now = [], 10.0
     while not start.open:
-        stages.append(start.look(now, never))
+        stages.append(start.look(now, blocked))
         now += 0.01
         assert now < 20.0
     total = sum(limits.of(stage) for stage in ORDER[:-1])
@@ -35,18 +35,18 @@
     assert [over.stage for over in start.over if over.missing] == list(ORDER[:-1])
 
 
-def test_starts_end_within_their_limits_in_any_order_of_what_comes():
-    """The variant, a wait with no end, is found."""
+def test_starts_end_within_their_limits_in_any_order_of_events():
+    """A stage with an endless timeout must fail the same check."""
     longest = {}
     for endless in (False, True):
         worst = 0.0
         for seed in range(1000):
             random = Random(seed)
-            comes = {stage: 10.0 + random.expovariate(1 / random.choice((0.1, 1.0, 1e9))) for stage in ORDER}
+            completes_at = {stage: 10.0 + random.expovariate(1 / random.choice((0.1, 1.0, 1e9))) for stage in ORDER}
             limits = Limits(list=1e9) if endless else Limits()
             start, now = Recovery(10.0, limits), 10.0
             while not start.open and now < 40.0:
-                start.look(now, {stage: "it" for stage, when in comes.items() if when > now})
+                start.look(now, {stage: "it" for stage, when in completes_at.items() if when > now})
                 now += random.random() * 0.1
             worst = max(worst, now - 10.0)
         longest[endless] = worst
@@ -55,13 +55,13 @@
     assert longest[True] >= 29.0
 
 
-def test_a_stage_may_begin_anew_before_clients_come_and_not_after():
+def test_a_start_can_return_to_an_earlier_stage_only_before_it_serves_clients():
     start = Recovery(10.0)
     start.look(10.0, {ROOM: "g1"})
-    start.back(10.1, PEERS)
+    start.return_to(10.1, PEERS)
     assert start.stage == PEERS
     start.look(10.2, {})
-    start.back(10.3, MEMORY)
+    start.return_to(10.3, MEMORY)
     assert start.open
 
 
@@ -72,16 +72,16 @@
         ([("g1", MEMORY, True)], "g1"),
         ([("g1", GATHER, True), ("g2", OPEN, True)], ""),
         ([("g1", PEERS, True), ("g2", GATHER, True)], "g1"),
-        ([("g1", PEERS, True), ("g2", OPEN, False)], ""),  # somebody serves all along: nobody is waited for
+        ([("g1", PEERS, True), ("g2", OPEN, False)], ""),  # a member that stayed up serves clients
         ([("g1", PEERS, False)], ""),
     ],
 )
-def test_who_is_gathered_with(others, expected):
+def test_members_waited_for_at_gather(others, expected):
     assert gathers("me", others) == expected
 
 
 @pytest.mark.parametrize("change", [{"peers": -1}, {"list": float("inf")}, {"room": True}, {"gather": "1"}])
-def test_wrong_limits_are_named(change):
+def test_invalid_limits_are_rejected_and_named(change):
     (name,) = change
     with pytest.raises(ValueError, match=name):
         Limits(**change)
--- a/tests/recovery/test_write_ahead.py
+++ b/tests/recovery/test_write_ahead.py
@@ -1,135 +1,141 @@
-"""Marks ahead: no ceiling is passed over any crash, and little is lost to one."""
+"""Tests of write-ahead marks: no crash lets a ceiling be exceeded, and little of it is lost."""
 
 import pytest
 
 from micagate import Plan
 from micagate.quotas import Quotas
 from micagate.recovery.high_water_mark import Mark
-from micagate.recovery.write_ahead import MOST, OPEN, Marks, of_all
+from micagate.recovery.write_ahead import MAX_MARKS_PER_STEP, UNMARKED_SPENDABLE_FRACTION, Marks, of_all
 from rig.crash_recovery import SURE, Variant, play
 
 PLAN = Plan("capped", rate=100.0, burst=100.0, ceiling_rate=12.0, ceiling_capacity=48.0)
 FREE = Plan("free", rate=3.0, burst=9.0)
 
 
-def quotas(now, kept=None, before=None):
-    made = Quotas(now, None, 100, "x")
-    made.ceiling_marks = Marks(now, kept, before)
-    return made
+def make_quotas(now, persisted=None, before=None):
+    quotas = Quotas(now, None, 100, "x")
+    quotas.ceiling_marks = Marks(now, persisted, before)
+    return quotas
 
 
 def mark(level, at, top=16.0, rate=4.0):
     return Mark("c/capped/a", level, at, top, rate)
 
 
-def full(account, less=0.0):
-    """A mark that lets only so much of the account be spent."""
-    return Mark(account.key, account.ceiling_balance - less, account.updated_at, account.ceiling_balance - less, 0.0)
+def mark_near_balance(account, spendable=0.0):
+    """Return a mark that leaves only `spendable` units of the account's balance to spend."""
+    return Mark(
+        account.key, account.ceiling_balance - spendable, account.updated_at, account.ceiling_balance - spendable, 0.0
+    )
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_no_schedule_of_crashes_passes_a_ceiling(part):
+def test_no_ceiling_is_exceeded_under_any_schedule_of_crashes(part):
     sent = crashes = 0
     for seed in range(part * 260, (part + 1) * 260):
-        told = play(seed, seconds=6.0)
-        assert told.excess <= SURE, seed
-        sent, crashes = sent + told.sent, crashes + told.crashes
+        result = play(seed, seconds=6.0)
+        assert result.excess <= SURE, seed
+        sent, crashes = sent + result.sent, crashes + result.crashes
     assert sent > 10_000 and crashes > 1000
 
 
 @pytest.mark.parametrize("variant", [variant for variant in Variant if variant is not Variant.NONE])
-def test_a_rule_left_out_is_found(variant):
+def test_the_schedules_find_a_missing_rule(variant):
     assert any(play(seed, variant).excess > SURE for seed in range(150))
 
 
-def test_a_life_with_nothing_known_begins_empty_and_may_spend_as_it_fills():
-    q = quotas(100.0)
-    account = q.account(100.5, "a", PLAN, 3)
-    assert account.ceiling_balance == pytest.approx(2.0) and account.ceiling_mark.stands(100.5) == 0.0
-    assert q.ceiling_allows(account, 2.0, False) and not q.ceiling_allows(account, 2.1, False)
+def test_a_start_without_persisted_state_begins_empty_and_refills():
+    quotas = make_quotas(100.0)
+    account = quotas.account(100.5, "a", PLAN, 3)
+    assert account.ceiling_balance == pytest.approx(2.0) and account.ceiling_mark.level_at(100.5) == 0.0
+    assert quotas.ceiling_allows(account, 2.0, False) and not quotas.ceiling_allows(account, 2.1, False)
 
 
-def test_an_account_begins_with_what_its_mark_says_filled_since():
-    q = quotas(100.0, {"c/capped/a": mark(5.0, 98.0)}, before=50.0)
-    account = q.account(100.0, "a", PLAN, 3)
+def test_an_account_starts_with_its_mark_plus_the_refill_since():
+    quotas = make_quotas(100.0, {"c/capped/a": mark(5.0, 98.0)}, before=50.0)
+    account = quotas.account(100.0, "a", PLAN, 3)
     assert account.ceiling_balance == pytest.approx(13.0)
-    assert account.ceiling_mark.stands(100.0) == 0.0  # what this life's mark for all says is on disk
+    assert account.ceiling_mark.level_at(100.0) == 0.0  # the default mark of this incarnation is on disk
 
 
-def test_a_mark_of_the_life_before_the_last_says_no_more_than_the_one_for_all_that_came_after():
-    q = quotas(100.0, {"c/capped/a": mark(16.0, 90.0)}, before=99.0)
+def test_a_mark_older_than_the_last_default_mark_is_bounded_by_it():
+    quotas = make_quotas(100.0, {"c/capped/a": mark(16.0, 90.0)}, before=99.0)
     assert (
-        q.account(100.0, "a", PLAN, 3).ceiling_balance
-        == pytest.approx(of_all("", 99.0, 16.0, 4.0).stands(100.0))
+        quotas.account(100.0, "a", PLAN, 3).ceiling_balance
+        == pytest.approx(of_all("", 99.0, 16.0, 4.0).level_at(100.0))
         == 0.0
     )
 
 
-def test_an_account_with_no_mark_begins_with_half_of_its_part_after_a_long_life():
-    q = quotas(1000.0, {}, before=10.0)
-    account = q.account(1000.0, "a", PLAN, 3)
-    assert account.ceiling_balance == pytest.approx((1 - OPEN) * 16.0)
-    assert q.ceiling_allows(account, 8.0, False)
-
-
-def test_spending_past_what_is_on_disk_waits_for_the_mark_and_asks_for_it():
-    q = quotas(100.0, {"c/capped/a": mark(16.0, 99.0)}, before=50.0)
-    account = q.account(110.0, "a", PLAN, 3)
-    account.ceiling_mark, account.largest_request = full(account, 1.0), 2.0
-    assert not q.ceiling_allows(account, 2.0, False)
-    (made,) = q.ceiling_marks.make(110.0)
-    assert made.key == account.key and made.level < account.ceiling_balance and not q.ceiling_marks.make(110.0)
-    assert not q.ceiling_allows(account, 2.0, False)  # on its way, not on disk
-    q.ceiling_marks.written([made], q.accounts.get)
-    assert q.ceiling_allows(account, 2.0, False)
-
-
-def test_a_mark_that_failed_may_be_made_again():
-    q = quotas(100.0)
-    account = q.account(110.0, "a", PLAN, 3)
-    account.ceiling_mark = full(account)
-    q.ceiling_allows(account, 1.0, False)
-    made = q.ceiling_marks.make(110.0)
-    q.ceiling_marks.failed(made)
-    assert not q.ceiling_allows(account, 1.0, False) and q.ceiling_marks.make(110.0) == made
-
-
-def test_a_plan_with_no_ceiling_has_no_marks():
-    q = quotas(100.0)
-    account = q.account(101.0, "a", FREE, 3)
-    assert account.ceiling_mark is None and q.ceiling_allows(account, 1.0, False)
-    q.spend(account, 1.0, True)
-    assert not q.ceiling_marks.make(101.0)
-
-
-def test_the_end_of_a_memory_lets_accounts_be_spent_as_without():
-    q = quotas(100.0)
-    account = q.account(104.0, "a", PLAN, 3)
-    account.ceiling_mark = full(account)
-    assert not q.ceiling_allows(account, 1.0, False)
-    q.ceiling_marks.end([account])
-    assert account.ceiling_mark is None and q.ceiling_allows(account, 1.0, False) and not q.ceiling_marks.due
-
-
-def test_marks_are_made_some_at_a_time_and_those_that_say_nothing_are_forgotten():
-    q = quotas(100.0)
-    for n in range(2 * MOST):
-        account = q.account(140.0, f"{n:x}", PLAN, 3)
-        account.ceiling_mark = full(account)
-        q.ceiling_allows(account, 1.0, False)
-    first = q.ceiling_marks.make(140.0)
-    assert len(first) == MOST
-    q.ceiling_marks.written(first, q.accounts.get)
+def test_an_account_without_a_mark_starts_with_half_of_its_share_after_a_long_run():
+    quotas = make_quotas(1000.0, {}, before=10.0)
+    account = quotas.account(1000.0, "a", PLAN, 3)
+    assert account.ceiling_balance == pytest.approx((1 - UNMARKED_SPENDABLE_FRACTION) * 16.0)
+    assert quotas.ceiling_allows(account, 8.0, False)
+
+
+def test_spending_below_the_mark_on_disk_waits_and_requests_a_new_mark():
+    quotas = make_quotas(100.0, {"c/capped/a": mark(16.0, 99.0)}, before=50.0)
+    account = quotas.account(110.0, "a", PLAN, 3)
+    account.ceiling_mark, account.largest_request = mark_near_balance(account, 1.0), 2.0
+    assert not quotas.ceiling_allows(account, 2.0, False)
+    (new_mark,) = quotas.ceiling_marks.make(110.0)
+    assert (
+        new_mark.key == account.key
+        and new_mark.level < account.ceiling_balance
+        and not quotas.ceiling_marks.make(110.0)
+    )
+    assert not quotas.ceiling_allows(account, 2.0, False)  # being written, not on disk
+    quotas.ceiling_marks.written([new_mark], quotas.accounts.get)
+    assert quotas.ceiling_allows(account, 2.0, False)
+
+
+def test_a_failed_mark_can_be_made_again():
+    quotas = make_quotas(100.0)
+    account = quotas.account(110.0, "a", PLAN, 3)
+    account.ceiling_mark = mark_near_balance(account)
+    quotas.ceiling_allows(account, 1.0, False)
+    marks = quotas.ceiling_marks.make(110.0)
+    quotas.ceiling_marks.failed(marks)
+    assert not quotas.ceiling_allows(account, 1.0, False) and quotas.ceiling_marks.make(110.0) == marks
+
+
+def test_a_plan_without_a_ceiling_has_no_marks():
+    quotas = make_quotas(100.0)
+    account = quotas.account(101.0, "a", FREE, 3)
+    assert account.ceiling_mark is None and quotas.ceiling_allows(account, 1.0, False)
+    quotas.spend(account, 1.0, True)
+    assert not quotas.ceiling_marks.make(101.0)
+
+
+def test_without_marks_accounts_are_spent_freely():
+    quotas = make_quotas(100.0)
+    account = quotas.account(104.0, "a", PLAN, 3)
+    account.ceiling_mark = mark_near_balance(account)
+    assert not quotas.ceiling_allows(account, 1.0, False)
+    quotas.ceiling_marks.end([account])
+    assert account.ceiling_mark is None and quotas.ceiling_allows(account, 1.0, False) and not quotas.ceiling_marks.due
+
+
+def test_marks_are_made_in_batches_and_redundant_ones_removed():
+    quotas = make_quotas(100.0)
+    for n in range(2 * MAX_MARKS_PER_STEP):
+        account = quotas.account(140.0, f"{n:x}", PLAN, 3)
+        account.ceiling_mark = mark_near_balance(account)
+        quotas.ceiling_allows(account, 1.0, False)
+    first = quotas.ceiling_marks.make(140.0)
+    assert len(first) == MAX_MARKS_PER_STEP
+    quotas.ceiling_marks.written(first, quotas.accounts.get)
     low = Mark("c/capped/low", 1.0, 140.0, 16.0, 4.0)
-    q.ceiling_marks.written([low], q.accounts.get)
-    assert low.key not in [key for _ in range(10) for key in q.ceiling_marks.idle(140.0, 100)]
-    assert q.ceiling_marks.idle(150.0, 100) == [low.key]  # filled above what the one for all says
+    quotas.ceiling_marks.written([low], quotas.accounts.get)
+    assert low.key not in [key for _ in range(10) for key in quotas.ceiling_marks.idle(140.0, 100)]
+    assert quotas.ceiling_marks.idle(150.0, 100) == [low.key]  # the default mark covers it
 
 
-def test_a_disk_that_turns_out_to_be_old_is_spent_from_the_start_of_this_life():
-    q = quotas(100.0, {"c/capped/a": mark(16.0, 90.0)}, before=50.0)
-    account = q.account(101.0, "a", PLAN, 3)
+def test_ceilings_start_empty_at_the_present_start_if_the_disk_is_outdated():
+    quotas = make_quotas(100.0, {"c/capped/a": mark(16.0, 90.0)}, before=50.0)
+    account = quotas.account(101.0, "a", PLAN, 3)
     assert account.ceiling_balance == 16.0
-    q.ceiling_marks.distrust(101.0, [account])
+    quotas.ceiling_marks.distrust(101.0, [account])
     assert account.ceiling_balance == pytest.approx(4.0)
-    assert q.account(101.0, "b", PLAN, 3).ceiling_balance == pytest.approx(4.0)
+    assert quotas.account(101.0, "b", PLAN, 3).ceiling_balance == pytest.approx(4.0)
