--- a/micagate/membership/members.py
+++ b/micagate/membership/members.py
@@ -137,10 +137,10 @@
         clock: HybridClock | None = None,
     ) -> None:
         if name not in names:
-            raise ValueError(f"{name!r} is none of the members")
+            raise ValueError(f"{name!r} is not one of the members")
         self.name, self.names, self.terms = name, tuple(names), terms or Terms()
         self._random, self._rings = random, hash_rings(names)
-        self._ring_positions = [{each: at for at, each in enumerate(ring)} for ring in self._rings]
+        self._ring_positions = [{member: position for position, member in enumerate(ring)} for ring in self._rings]
         self._pruned_at = now
         self.clock = clock or HybridClock(name)
         self.records: dict[str, Record] = {}
@@ -148,17 +148,15 @@
         self.links: dict[str, Link] = {}
         self._records_digest = 0
         self._suspicions_end_at: dict[str, float] = {}  # by suspect
-        self._suppressed: dict[
-            str, tuple[float, float]
-        ] = {}  # peers that others can hear: end and duration of the suppression
+        # Peers that others can hear: end and duration of the suppression of suspicions.
+        self._suppressed: dict[str, tuple[float, float]] = {}
         self._next_try: dict[str, float] = {}
         self._ticked_at, self._lateness = now, 1.0
         self.updates: list[News] = []  # changes for the owner
         self.duplicate_name = False  # another process has this name and started later
         self.duplicate_incarnation = 0  # its incarnation
-        self.earlier_incarnations: dict[
-            str, int
-        ] = {}  # the latest known incarnation of each member before its present one
+        # The latest known incarnation of each member before its present one.
+        self.earlier_incarnations: dict[str, int] = {}
         self.heard_of: dict[str, float] = {}  # when each member was last known to be alive
         self.heartbeats_sent = 0
         self.urgent = False  # clients wait for this member: retry refused connections sooner
@@ -297,6 +295,7 @@
         return messages
 
     def _make_heartbeat(self, now: float, wall: float, peer: str, link: Link) -> list[tuple[str, Message]]:
+        """Make a heartbeat with the pending changes, and a state summary after repeated digest mismatches."""
         records = list(link.pending_records)[:MAX_ENTRIES]
         facts = list(link.pending_facts)[:MAX_ENTRIES]
         for name in records:
@@ -324,6 +323,7 @@
         return [(peer, beat)]
 
     def _summary(self, answer: bool) -> StateSummary:
+        """Summarise all records and facts; `answer` asks the peer for its summary."""
         return StateSummary(tuple((r.name, *r.order()) for r in self.records.values()), self.facts.stamps(), answer)
 
     def digest(self) -> int:
@@ -362,6 +362,7 @@
         return []
 
     def _process_acknowledgement(self, now: float, wall: float, link: Link, heartbeat: Heartbeat) -> None:
+        """Update a link's acknowledged number, round trip and clock offset."""
         link.last_received = max(link.last_received, heartbeat.number)
         if heartbeat.seen > link.acked:
             link.acked = heartbeat.seen
@@ -431,12 +432,14 @@
             self._update_own_record(version=max(me.version, record.version) + 1)
 
     def _update_own_record(self, version: int = 0, about: dict[str, Any] | None = None) -> None:
+        """Replace this member's record by one with a higher version."""
         me = self.me
         self._set_record(
             Record(self.name, me.incarnation, version or me.version + 1, about=me.about if about is None else about)
         )
 
     def _set_record(self, record: Record, source: str = "") -> None:
+        """Store a record and spread it to all peers but `source`."""
         known = self.records.get(record.name)
         if known is not None:
             self._records_digest ^= digest(known.name, known.order())
@@ -447,6 +450,7 @@
                 link.pending_records[record.name] = None
 
     def _store_fact(self, fact: Fact, source: str = "") -> None:
+        """Store a fact and, if it is new, spread it to all peers but `source`."""
         self.clock.observe(fact.stamp)
         if self.facts.put(fact):
             self.updates.append(News("fact", fact.key, fact.kind))
@@ -457,6 +461,7 @@
     # Suspicion.
 
     def _raise_suspicion(self, now: float, name: str, cause: str) -> None:
+        """Suspect a member, or join the suspicion of others."""
         known = self.records.get(name)
         if known is None or known.status == DEAD or self.name in known.by and known.cause == cause:
             return
@@ -466,6 +471,7 @@
         self._shorten_suspicion(now, name, by, cause)
 
     def _shorten_suspicion(self, now: float, name: str, by: tuple[str, ...], cause: str) -> None:
+        """Move the end of a suspicion forward if there are more accusers or a graver cause."""
         end = now + self._suspicion_duration(len(by), cause)
         self._suspicions_end_at[name] = min(self._suspicions_end_at.get(name, math.inf), end)
 
--- a/micagate/planning/holder.py
+++ b/micagate/planning/holder.py
@@ -95,9 +95,8 @@
         self.released_levels: list[BucketLevels] = []  # bucket levels taken out with shares, for the planner
         self.worker_loads: dict[str, WorkerLoad] = {}  # for the next report
         self.capacities: dict[str, float] = {}  # by worker, not yet passed to the gateway
-        self.applied_expiries: tuple[float, float] | None = (
-            None  # (lent_until, borrowed_until) as passed to the gateway
-        )
+        # (lent_until, borrowed_until) as passed to the gateway.
+        self.applied_expiries: tuple[float, float] | None = None
         self.changed_keys: dict[str, None] = {}  # resources whose lent or borrowed amount has changed
 
     def record_report(self, now: float, number: int) -> None:
--- a/micagate/recovery/persisted_state.py
+++ b/micagate/recovery/persisted_state.py
@@ -230,8 +230,9 @@
         return latency_verdict.share > 0
 
 
-def _case_for_row(case: Case, age: float, same: bool) -> Case:
-    return Case(case.disk, case.end, case.peers, age, case.downtime, case.all_restarted, same, case.longest)
+def _case_for_row(case: Case, age: float, same_incarnation: bool) -> Case:
+    """Return the case of a restart for one row of a worker."""
+    return Case(case.disk, case.end, case.peers, age, case.downtime, case.all_restarted, same_incarnation, case.longest)
 
 
 def _is_number(value: Any) -> bool:
--- a/micagate/recovery/recovery_policy.py
+++ b/micagate/recovery/recovery_policy.py
@@ -99,8 +99,8 @@
     meanwhile: str = ""
 
 
-WORKER_LATENCY_LIFETIME_SECONDS = 10.0  # time in which a learned latency loses its weight (`worker.FORGET`)
-WORKER_HEALTH_LIFETIME_SECONDS = 16.0  # time after which a failing worker is tried again anyway (`worker`)
+WORKER_LATENCY_LIFETIME_SECONDS = 10.0  # time in which a learned latency loses its weight (`micagate.worker`)
+WORKER_HEALTH_LIFETIME_SECONDS = 16.0  # time after which a failing worker is tried again anyway (`micagate.worker`)
 CAPACITY_LIFETIME_SECONDS = 60.0  # for this long, the rate that the fleet served is taken for its capacity
 WAITS_LIFETIME_SECONDS = 60.0  # for this long, clients' wait times are taken to be unchanged
 UNSAVED_SECONDS = 1.0  # work that may not be written when an incarnation ends without a shutdown
--- a/micagate/recovery/write_ahead.py
+++ b/micagate/recovery/write_ahead.py
@@ -24,10 +24,10 @@
 # A lead covers so many of the largest requests seen, or the use of so many seconds if that is more.
 LEAD_REQUESTS, LEAD_SECONDS = 1.0, 1.0
 REFRESH_SECONDS = 1.0  # how often accounts well above their mark get a new one
-SMALL_RATE = (
-    2.0  # units a second; the rate of a smaller share may have been lowered by a meter reading (`quotas.MOVED`)
-)
-SMALL_RATE_FACTOR = 0.5  # ... but not below this fraction
+# The rate of a local share below SMALL_RATE units a second may have been lowered by a meter reading
+# (`micagate.quotas`), but not below SMALL_RATE_FACTOR of it.
+SMALL_RATE = 2.0
+SMALL_RATE_FACTOR = 0.5
 MAX_MARKS_PER_STEP = 200  # bounds the time of one step
 
 
--- a/tests/planning/test_pace.py
+++ b/tests/planning/test_pace.py
@@ -11,7 +11,7 @@
 from micagate.planning.messages import WorkerLoad
 from micagate.planning.pace import Estimate
 
-EVERY = 0.1
+REPORT_INTERVAL = 0.1
 
 
 class Worker:
@@ -23,14 +23,14 @@
 
     def send(self, rate, seconds):
         """Send `rate` requests a second for some seconds; return the estimate at the end."""
-        for _ in range(round(seconds / EVERY)):
-            self.now += EVERY
-            self.queued += rate * EVERY
-            done = min(self.queued, self.capacity * EVERY)
+        for _ in range(round(seconds / REPORT_INTERVAL)):
+            self.now += REPORT_INTERVAL
+            self.queued += rate * REPORT_INTERVAL
+            done = min(self.queued, self.capacity * REPORT_INTERVAL)
             self.queued -= done
-            slow = self.base_latency * (1 + 10 * self.queued / self.capacity) if self.capacity else 0.0
+            latency = self.base_latency * (1 + 10 * self.queued / self.capacity) if self.capacity else 0.0
             self.estimate.report(
-                self.now, WorkerLoad("w", round(done), round(done) * slow, self.queued * EVERY, 0, 0, 0)
+                self.now, WorkerLoad("w", round(done), round(done) * latency, self.queued * REPORT_INTERVAL, 0, 0, 0)
             )
             self.estimate.decide(self.now)
         return self.estimate.capacity
@@ -45,7 +45,9 @@
 
 def test_without_a_queue_the_estimate_rises_to_a_bound_above_the_load():
     worker = Worker(capacity=1000.0)
-    assert 100.0 < worker.send(100.0, 20.0) <= 100.0 / pace.MIN_UTILIZATION * math.exp(pace.FAST * EVERY) * 1.05
+    assert (
+        100.0 < worker.send(100.0, 20.0) <= 100.0 / pace.MIN_UTILIZATION * math.exp(pace.FAST * REPORT_INTERVAL) * 1.05
+    )
 
 
 def test_constant_high_latency_is_not_taken_for_a_queue():
@@ -60,7 +62,7 @@
     assert worker.send(60.0, 1.0) < 0.35 * before
     worker.capacity, worker.queued = 400.0, 0.0
     for _ in range(80):  # at 0.9 of the estimate
-        worker.send(0.9 * worker.estimate.capacity, EVERY)
+        worker.send(0.9 * worker.estimate.capacity, REPORT_INTERVAL)
     assert worker.estimate.capacity > 0.75 * before
 
 
@@ -69,22 +71,22 @@
         estimate = Estimate(0.0)
         for n in range(60):
             seen = {"answered": 10, "load": 10.0, "busy": 1.0, "refused": 0, "missed": 0, "failed": 0}
-            estimate.report(n * EVERY, WorkerLoad("w", **{**seen, outcome: 3 if n > 30 else 0}))
-            estimate.decide(n * EVERY)
+            estimate.report(n * REPORT_INTERVAL, WorkerLoad("w", **{**seen, outcome: 3 if n > 30 else 0}))
+            estimate.decide(n * REPORT_INTERVAL)
         assert estimate.capacity < 1.1 * 100, outcome
 
 
 def test_a_worker_that_never_responds_still_gets_a_few_requests():
     estimate = Estimate(0.0)
     for n in range(50):
-        estimate.report(n * EVERY, WorkerLoad("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
-        estimate.decide(n * EVERY)
+        estimate.report(n * REPORT_INTERVAL, WorkerLoad("w", 0, 0.0, 20 * REPORT_INTERVAL, 0, 0, 0))
+        estimate.decide(n * REPORT_INTERVAL)
     assert 0 < estimate.capacity <= 1.0
     worker = Worker(capacity=200.0)
     before = worker.send(150.0, 5.0)
     for _ in range(80):
-        worker.now += EVERY
-        worker.estimate.report(worker.now, WorkerLoad("w", 0, 0.0, 20 * EVERY, 0, 0, 0))
+        worker.now += REPORT_INTERVAL
+        worker.estimate.report(worker.now, WorkerLoad("w", 0, 0.0, 20 * REPORT_INTERVAL, 0, 0, 0))
         worker.estimate.decide(worker.now)
     assert (
         0.3 * pace.MIN_FRACTION_OF_BEST * before < worker.estimate.capacity < 1.5 * pace.MIN_FRACTION_OF_BEST * before
--- a/tests/recovery/test_persisted_state.py
+++ b/tests/recovery/test_persisted_state.py
@@ -13,10 +13,10 @@
 PLAN = interface.Plan("metered", rate=3.0, burst=12.0)
 
 
-def gateway(now=0.0, cold=None, count=4):
-    made = Gateway(interface.Settings(**SETTINGS), 1, now)
-    made.handle(now, workers(count, **({} if cold is None else {"started": cold})))
-    return made
+def gateway(now=0.0, worker_start=None, count=4):
+    created = Gateway(interface.Settings(**SETTINGS), 1, now)
+    created.handle(now, workers(count, **({} if worker_start is None else {"started": worker_start})))
+    return created
 
 
 def rows(driver):
@@ -52,15 +52,15 @@
     account = driver.gateway.quotas.account(0.0, "a", PLAN, 3)
     account.balance, account.forecast = 1.0, 0.5
     driver.now = 1.0
-    made = {("account", account.key): account_row(account)}
+    persisted = {("account", account.key): account_row(account)}
     for end, expected in ((End.ASKED, 1.0 + 2.0), (End.KILLED, 0.5 + 2.0)):
         quotas = gateway(2.0).quotas
         quotas.ceiling_marks = Marks(2.0)
-        quotas.ceiling_marks.recall = Kept(made, Case(Disk.OWN, end, age=1.0)).account
+        quotas.ceiling_marks.recall = Kept(persisted, Case(Disk.OWN, end, age=1.0)).account
         assert quotas.account(2.0, "a", PLAN, 3).balance == pytest.approx(expected)
     quotas = gateway(2.0).quotas
     quotas.ceiling_marks = Marks(2.0)
-    quotas.ceiling_marks.recall = Kept(made, Case(Disk.OLD)).account
+    quotas.ceiling_marks.recall = Kept(persisted, Case(Disk.OLD)).account
     assert quotas.account(2.0, "a", PLAN, 3).balance == 4.0  # as for a new account
 
 
@@ -73,15 +73,15 @@
         2,
         driver.now + 3.0,
     )
-    made = rows(driver)
+    persisted = rows(driver)
     after = gateway(driver.now)
-    assert Kept(made, Case(Disk.OWN)).worker(after, driver.now + 1.0, "w0")
+    assert Kept(persisted, Case(Disk.OWN)).worker(after, driver.now + 1.0, "w0")
     assert after.fleet.workers["w0"].relative_latency == pytest.approx(1 + 4 * 0.9)
     assert after.fleet.workers["w0"].consecutive_failures == 2 and after.fleet.workers[
         "w0"
     ].backoff_until == pytest.approx(driver.now + 3.0)
-    restarted = gateway(driver.now, cold=driver.now)
-    assert not Kept(made, Case(Disk.OWN)).worker(restarted, driver.now + 1.0, "w0")
+    restarted = gateway(driver.now, worker_start=driver.now)
+    assert not Kept(persisted, Case(Disk.OWN)).worker(restarted, driver.now + 1.0, "w0")
     assert (
         restarted.fleet.workers["w0"].relative_latency == 1.0 and not restarted.fleet.workers["w0"].consecutive_failures
     )
@@ -113,7 +113,7 @@
 
 
 def test_overload_control_starts_with_slow_start_follows_it_and_ends_with_it():
-    after = gateway(100.0, cold=99.0)
+    after = gateway(100.0, worker_start=99.0)
     assert slow_start.begin(after, 100.0, 50.0, 1.0)
     warm = slow_start.warmth(after, 100.0)
     assert after.throttle.active and after.throttle.rate == pytest.approx(50.0 * warm) and warm < 0.5
@@ -125,12 +125,12 @@
 
 def test_overload_control_does_not_start_with_warm_workers_low_load_or_no_rate():
     assert not slow_start.begin(gateway(100.0), 100.0, 50.0, 1.0)
-    assert not slow_start.begin(gateway(100.0, cold=92.0), 100.0, 50.0, 0.5)
-    assert not slow_start.begin(gateway(100.0, cold=99.0), 100.0, 0.0, 1.0)
+    assert not slow_start.begin(gateway(100.0, worker_start=92.0), 100.0, 50.0, 0.5)
+    assert not slow_start.begin(gateway(100.0, worker_start=99.0), 100.0, 0.0, 1.0)
 
 
 def test_overload_signals_keep_control_active_after_slow_start():
-    after = gateway(100.0, cold=99.0)
+    after = gateway(100.0, worker_start=99.0)
     slow_start.begin(after, 100.0, 50.0, 1.0)
     after.throttle.advance(108.0)  # later signals count for the present rate
     after.throttle.record_signal(108.9, "w0", "free", 108.8)
@@ -138,7 +138,7 @@
     assert after.throttle.active
 
 
-def play(seed, on):
+def play(seed, persist):
     walks = {}
 
     def step():
@@ -148,20 +148,20 @@
             case.clock.after(0.05, step)
 
     def remember(gate, now):
-        made = {(kind, key): value for kind, key, value in walks[id(gate)].all(now)}
+        persisted = {(kind, key): value for kind, key, value in walks[id(gate)].all(now)}
 
         def restore(after, later):
-            restored = Kept(made, Case(Disk.OWN, End.POWER, age=1.0, all_restarted=True))
+            restored = Kept(persisted, Case(Disk.OWN, End.POWER, age=1.0, all_restarted=True))
             restored.learned(after, later)
             slow_start.begin(after, later, restored.pace(), restored.load())
 
         return restore
 
-    case = Return(seed, remember=remember if on else None, follow=slow_start.follow)
+    case = Return(seed, remember=remember if persist else None, follow=slow_start.follow)
     step()
-    calm = sum(by_second(case.served(5))[2:]) / 3
+    normal_rate = sum(by_second(case.served(5))[2:]) / 3
     case.lose()
-    return sum(by_second(case.served(8))) / 8 / calm
+    return sum(by_second(case.served(8))) / 8 / normal_rate
 
 
 def test_a_fleet_with_persisted_state_serves_more_during_slow_start():
