--- a/micagate/membership/members.py
+++ b/micagate/membership/members.py
@@ -38,7 +38,7 @@
     StateSummary,
 )
 
-RING_COUNT = 4
+RING_COUNT = 4  # rings of hashed names in a large fleet
 LATE_INTERVALS = 2.0  # a `tick` so many intervals after the last one shows a pause of this member itself
 MAX_LATENESS_FACTOR = 8.0  # largest factor by which a late member extends its timeouts (Lifeguard)
 LATENESS_DECAY = 0.8  # the factor is multiplied by this at each `tick` in time
@@ -94,10 +94,10 @@
     pending_records: dict[str, None] = field(default_factory=dict)  # changes to send, in order
     pending_facts: dict[tuple[str, str], None] = field(default_factory=dict)
     digest_mismatches: int = 0  # heartbeats in a row with another digest
-    took: float = 0.0  # seconds, smoothed
+    took: float = 0.0  # round trip in seconds, smoothed
     offset: float | None = None  # seconds by which the peer's wall clock is ahead
     next_heartbeat_at: float = 0.0  # time of the next heartbeat
-    began: float = 0.0
+    began: float = 0.0  # time the link was opened
 
 
 @dataclass(frozen=True, slots=True)
--- a/micagate/planning/ledger.py
+++ b/micagate/planning/ledger.py
@@ -284,7 +284,7 @@
         """
         self._update_expiries(now)
         changed, self._changed = self._changed, {}
-        if now - self._rechecked_at >= self._terms.interval:  # amounts charged to them may have expired
+        if now - self._rechecked_at >= self._terms.interval:  # charged amounts may have expired
             self._rechecked_at = now
             changed |= self._unmet
         for key in changed:
--- a/micagate/planning/pace.py
+++ b/micagate/planning/pace.py
@@ -70,7 +70,7 @@
         return max(0.1, AVERAGING_SECONDS * -math.expm1((self._started_at - now) / AVERAGING_SECONDS))
 
     def decide(self, now: float) -> float:
-        """Update and return the capacity; call it once each interval."""
+        """Update and return the capacity in responses a second, 0 if unknown. Call it once each interval."""
         self._decay(now)
         elapsed, self._decided_at = max(0.0, now - self._decided_at), now
         answered, load, busy, refused, missed, _ = self._sums
--- a/micagate/recovery/stages.py
+++ b/micagate/recovery/stages.py
@@ -18,7 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The timeout of each stage in seconds; 0 does not wait."""
+    """The timeout of each stage in seconds; 0 does not wait.
+
+    `memory`: reading the persisted state. `peers`: answers of the other members. `list`: the list of workers.
+    `planners`: the expiry of leases of the previous incarnation. `room` and `gather`: see the module.
+    """
 
     memory: float = 3.0
     peers: float = 0.6
