--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -1,4 +1,8 @@
-"""The side of the clients: HTTP/1.1 connections, what a request must look like, and replies in order."""
+"""The HTTP/1.1 front end: client connections, request validation, and replies in request order.
+
+`Server` holds the client connections of the process and their limits; `Client` is the protocol of one connection. A
+valid request goes to the `RequestDispatcher`, which calls back with the final reply, or with a streamed response.
+"""
 
 from __future__ import annotations
 
@@ -18,33 +22,34 @@
 from micagate.bodies import buffering
 from micagate.invariants import Reason, RequestState, close_refusal
 from micagate.operating.presence import Presence
-from oliveloft.backend.limits import HOP_BY_HOP, MAX_BODY, MAX_HEAD, STANDS
+from oliveloft.backend.limits import HOP_BY_HOP, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, STALL_TIMEOUT_SECONDS
 from oliveloft.bodies.body import Body
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
 from oliveloft.shared_types import BodySource
 
 log = logging.getLogger("oliveloft")
 
-IDLE = 2.0  # seconds after which an idle client connection is closed
-SILENT = 2.0  # the same for one that has not sent a request that could be served
-SLOW = 2.5  # seconds that a client may take over sending a request, or over reading a reply
-LINGER = 0.5  # seconds that a turned-down client has to read the reply and to close
-LINGER_BYTES = 2 * MAX_BODY  # of the rest of a turned-down request that are read off in that time
-SENT = 128 * 1024  # bytes of a long answer that the system may take for a client that reads slowly
-MISTAKES = 3  # requests turned down on one connection, after which it is closed
-PIPELINE = 16  # requests held of one connection before it is read no further, or bytes of their bodies
-PIPELINE_BYTES = MAX_BODY
-QUIET = 0.1  # seconds without a new connection after which the last one has come
-FLUSH = 0.05  # seconds that the last replies have to leave
-SPARE = 24  # connections beyond the bound that still hear a refusal
-MOST_WEIGHTS = 256  # forms of X-Weight kept as read
-LONGEST_WAIT = 86400.0  # seconds: a longer X-Timeout is absurd
-
-VERSIONS = ("1.0", "1.1")
-DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-NAME = re.compile(rb"[A-Za-z0-9._~-]{1,128}")
-REASONS = {
+IDLE_TIMEOUT_SECONDS = 2.0  # an idle client connection is closed after this time
+FIRST_REQUEST_TIMEOUT_SECONDS = 2.0  # the same for a connection that has not sent a valid request yet
+SLOW_CLIENT_TIMEOUT_SECONDS = 2.5  # time for a client to send a request, or to read a reply
+LINGER_SECONDS = 0.5  # time for the client of a rejected request to read the reply and to close
+MAX_LINGER_BYTES = 2 * MAX_BUFFERED_BODY_BYTES  # input that is read and discarded in that time
+STREAM_SEND_BUFFER_BYTES = 128 * 1024  # SO_SNDBUF of a connection that carries a streamed response
+MAX_REJECTED_REQUESTS = 3  # 404 or 405 replies until the connection is closed; other rejections close it at once
+# Requests queued on one connection, and bytes of their bodies, at which reading from it pauses.
+MAX_PIPELINED_REQUESTS = 16
+MAX_PIPELINED_BYTES = MAX_BUFFERED_BODY_BYTES
+SHUTDOWN_QUIET_SECONDS = 0.1  # a shutdown is complete after this time without a new connection
+SHUTDOWN_FLUSH_SECONDS = 0.05  # time for the last replies to be sent at the end of a shutdown
+MAX_OVERFLOW_CONNECTIONS = 24  # connections beyond the limit that still get a 503 reply
+MAX_CACHED_WEIGHTS = 256  # distinct X-Weight values whose parsed form is cached
+MAX_TIMEOUT_SECONDS = 86400.0  # a longer X-Timeout is rejected as invalid
+
+SUPPORTED_VERSIONS = ("1.0", "1.1")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+REQUEST_ID_PATTERN = re.compile(rb"[A-Za-z0-9._~-]{1,128}")
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -59,409 +64,426 @@
     504: b"Gateway Timeout",
     505: b"HTTP Version Not Supported",
 }
-# Of the gatekeeper's own making, or for this hop only; the rest of a request's headers goes on.
-NOT_ON = HOP_BY_HOP | {b"x-timeout", b"expect"}
+# Headers that apply to one hop only or that the gatekeeper sets itself; all others are forwarded to the worker.
+NOT_FORWARDED_HEADERS = HOP_BY_HOP | {b"x-timeout", b"expect"}
 
 
 class BadRequest(Exception):
-    """A request that is turned down unseen; the status and what is wrong."""
+    """A request that is rejected without being dispatched: `status` of the reply, and the reason as its body."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
-class Incoming:
-    """A request as it comes in."""
+class IncomingRequest:
+    """A request while it is being received."""
 
     __slots__ = (
-        "seen",
+        "received_at",
         "method",
         "url",
-        "fields",
-        "lines",
-        "twice",
-        "body",
+        "headers",
+        "forwarded_lines",
+        "duplicate_header",
+        "body_chunks",
         "size",
-        "keep",
-        "refusal",
-        "long",
-        "length",
-        "begun",
-        "old",
+        "keep_alive",
+        "rejection",
+        "streamed_body",
+        "content_length",
+        "dispatched",
+        "is_http_1_0",
     )
 
-    def __init__(self, seen: float) -> None:
-        self.seen = seen  # when its last byte was seen, once it is whole: its time counts from there
+    def __init__(self, received_at: float) -> None:
+        self.received_at = received_at  # when its last byte was received, once it is complete: its deadline counts on
         self.method = b""
         self.url = b""
-        self.fields: dict[bytes, bytes] = {}
-        self.lines: list[bytes] = []  # the header lines that go on
-        self.twice = b""
-        self.body: list[bytes] = []
-        self.size = 0
-        self.keep = True
-        self.refusal: tuple[int, str] | None = None
-        self.long: Body | None = None  # a body that is passed on while it comes
-        self.length: int | None = None  # of the body, as announced
-        self.begun = False  # passed on, or answered, before it is whole
-        self.old = False  # HTTP/1.0
+        self.headers: dict[bytes, bytes] = {}
+        self.forwarded_lines: list[bytes] = []  # the header lines that are forwarded to the worker
+        self.duplicate_header = b""  # an X- header that occurs more than once
+        self.body_chunks: list[bytes] = []
+        self.size = 0  # bytes of the head, then of the body
+        self.keep_alive = True
+        self.rejection: tuple[int, str] | None = None
+        self.streamed_body: Body | None = None  # set if the body is too large to buffer: forwarded as it is received
+        self.content_length: int | None = None  # the announced length of the body
+        self.dispatched = False  # dispatched, or answered, before all of it was received
+        self.is_http_1_0 = False
 
 
 class Client(asyncio.Protocol):
-    """One client connection: requests are served one after another, replies go out in their order."""
+    """The protocol of one client connection: serves pipelined requests one after another and replies in order."""
 
     __slots__ = (
         "_server",
         "_transport",
         "_parser",
         "_incoming",
-        "_headed",
+        "_head_complete",
         "_queue",
         "_current",
-        "_keep",
-        "_waiting",
+        "_keep_alive",
+        "_queued_size",
         "_busy",
-        "_paused",
-        "_stopped",
-        "_ended",
-        "_mistakes",
-        "_unread",
+        "_write_paused",
+        "_input_ignored",
+        "_final_reply_sent",
+        "_rejected_count",
+        "_unparsed_bytes",
         "lingering",
-        "since",
-        "overflow",
-        "good",
-        "_moved",
-        "_held",
-        "_source",
+        "waiting_since",
+        "over_limit",
+        "sent_valid_request",
+        "_last_progress",
+        "_body_paused",
+        "_response_source",
         "_chunked",
-        "_old",
-        "_owed",
-        "_left",
-        "_deaf",
+        "_http_1_0",
+        "_budgeted_bytes",
+        "_unsent_bytes",
+        "_read_paused",
     )
 
     def __init__(self, server: Server) -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self._incoming: Incoming | None = None
-        self._headed = False
-        self._queue: deque[Incoming] = deque()
+        self._incoming: IncomingRequest | None = None
+        self._head_complete = False
+        self._queue: deque[IncomingRequest] = deque()
         self._current: Request | None = None
-        self._waiting = 0  # what the queue holds, roughly
-        self._busy = False  # a request is being answered
-        self._keep = True
-        self._paused = False  # the client does not read its replies
-        self._stopped = False  # nothing further is read of it
-        self._ended = False  # the last reply is out
-        self.lingering = False
-        self.since = 0.0  # when it became idle, or when the request on its way began
-        self.overflow = False  # one too many: its first request is refused
-        self.good = False  # it has sent a request that could be served
-        self._moved = 0.0  # when a body last moved
-        self._held = False  # it is read no further, for want of room for what it sends
-        self._deaf = False  # it is read no further, so that nothing tells of its leaving
-        self._source: BodySource | None = None  # of a long answer on its way
-        self._owed = 0  # bytes of the budget that answers which the client has not read hold
-        self._left = 0  # bytes that waited for it at the last look
-        self._chunked = self._old = False  # how that goes out; whether its request was HTTP/1.0
-        self._mistakes = 0  # requests of it that were turned down
-        self._unread = 0  # bytes in which no message was whole, nor its head; then those of a given up client
-
-    # The transport's side.
+        self._queued_size = 0  # approximate size of the queued requests in bytes
+        self._busy = False  # a request has been taken from the queue and not been answered yet
+        self._keep_alive = True  # whether the connection stays open after the current reply
+        self._write_paused = False  # the transport's write buffer is full: the client does not read its replies
+        self._input_ignored = False  # further input is discarded
+        self._final_reply_sent = False  # the last reply on this connection has been written
+        self.lingering = False  # waiting for the client to read a rejection and to close
+        self.waiting_since = 0.0  # when the connection became idle, or when the current request began to arrive
+        self.over_limit = False  # the connection exceeds the limit: its first request is refused
+        self.sent_valid_request = False  # at least one valid request was received
+        self._last_progress = 0.0  # when a byte of a request or response body was last transferred
+        self._body_paused = False  # reading is paused because the buffers for request bodies are full
+        self._read_paused = False  # reading is paused, so that the event loop does not report a close by the peer
+        self._response_source: BodySource | None = None  # the sender of the streamed response in progress
+        self._budgeted_bytes = 0  # unread bytes of streamed responses that are charged to the body budget
+        self._unsent_bytes = 0  # size of the transport's write buffer when it was last checked
+        self._chunked = self._http_1_0 = False  # framing of the streamed response; version of its request
+        self._rejected_count = 0  # rejected requests on this connection
+        # Bytes received since the last complete head or message; once input is ignored, the bytes discarded.
+        self._unparsed_bytes = 0
+
+    # Transport callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected."""
+        """Register the new connection with the server."""
         self._transport = cast(asyncio.Transport, transport)
-        self.since = self._server.loop.time()
-        self._server.joined(self)
+        self.waiting_since = self._server.loop.time()
+        self._server.client_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client has left; what it asked for is owed no more."""
+        """Cancel the requests of a client that has disconnected."""
         self._transport = self._parser = None  # parser and protocol refer to each other
         incoming, self._incoming = self._incoming, None
         self._queue.clear()
         current, self._current = self._current, None
-        source, self._source = self._source, None
-        if incoming is not None and incoming.long is not None:
-            incoming.long.drop()
+        source, self._response_source = self._response_source, None
+        if incoming is not None and incoming.streamed_body is not None:
+            incoming.streamed_body.drop()
         if source is not None:
             source.cancel()
-        self._pay()
-        self._server.left(self)
+        self._release_budget()
+        self._server.client_disconnected(self)
         if current is not None:
             self._server.dispatcher.client_disconnected(current)
 
     def pause_writing(self) -> None:
-        """The client does not read: nothing more is begun for it."""
-        self._paused = True
-        self.since = self._server.loop.time()
+        """Start no further request until the client reads its replies."""
+        self._write_paused = True
+        self.waiting_since = self._server.loop.time()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
-        self._paused = False
-        self._moved = self._server.loop.time()
-        self._pay()
-        if self._source is not None:
-            self._source.resume()
-        self._next()
-
-    def _pay(self) -> None:
-        """Give back what the client has read of long answers."""
-        left = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        if left < self._left:
-            self._moved = self._server.loop.time()
-        self._left = left
-        if (read := self._owed - left) > 0:
-            self._owed -= read
-            self._server.budget.give(read)
+        """Resume the streamed response, or start the next request: the client reads again."""
+        self._write_paused = False
+        self._last_progress = self._server.loop.time()
+        self._release_budget()
+        if self._response_source is not None:
+            self._response_source.resume()
+        self._serve_next()
+
+    def _release_budget(self) -> None:
+        """Return the bytes of streamed responses that the client has read to the body budget."""
+        unsent_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
+        if unsent_bytes < self._unsent_bytes:
+            self._last_progress = self._server.loop.time()
+        self._unsent_bytes = unsent_bytes
+        if (read_bytes := self._budgeted_bytes - unsent_bytes) > 0:
+            self._budgeted_bytes -= read_bytes
+            self._server.body_budget.give(read_bytes)
 
     def data_received(self, data: bytes) -> None:
-        """A piece of a request, or several requests."""
-        if self._stopped or self._parser is None:
-            # Guards the processor: what a client goes on sending once it is given up is read off, as a reply
-            # could be lost to a reset, but only so much of it.
-            self._unread += len(data)
-            if self._unread > LINGER_BYTES and self._transport is not None:
+        """Parse received bytes: part of a request, or several requests."""
+        if self._input_ignored or self._parser is None:
+            # Input after a rejection is discarded, since closing with unread input would reset the connection and
+            # could lose the reply. The limit bounds the CPU time that this takes.
+            self._unparsed_bytes += len(data)
+            if self._unparsed_bytes > MAX_LINGER_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
-        self._unread += len(data)
-        if self._headed:
-            self._moved = self._server.loop.time()
+        self._unparsed_bytes += len(data)
+        if self._head_complete:
+            self._last_progress = self._server.loop.time()
         try:
             self._parser.feed_data(data)
-            # Guards the memory: the parser gathers a header or trailer to its end, and tells only then.
-            if self._incoming is not None and self._incoming.long is not None:
-                self._unread = 0  # a bound of its own holds
-            if self._unread > MAX_HEAD + 4 * MAX_BODY or (self._unread > 2 * MAX_HEAD and not self._headed):
-                self._turn_down(431, "head too large")
+            # The parser buffers a header or trailer until it is complete, so its size is limited here.
+            if self._incoming is not None and self._incoming.streamed_body is not None:
+                self._unparsed_bytes = 0  # a streamed body has a limit of its own
+            if self._unparsed_bytes > MAX_HEAD_BYTES + 4 * MAX_BUFFERED_BODY_BYTES or (
+                self._unparsed_bytes > 2 * MAX_HEAD_BYTES and not self._head_complete
+            ):
+                self._reject_input(431, "head too large")
         except httptools.HttpParserUpgrade:
-            pass  # turned down when its head was read
+            pass  # rejected in on_headers_complete
         except httptools.HttpParserError as error:
             cause = error.__context__
             if isinstance(cause, BadRequest):
-                self._turn_down(cause.status, str(cause))
+                self._reject_input(cause.status, str(cause))
             elif isinstance(error, httptools.HttpParserCallbackError):
-                # A fault of this side's: what it was about may have been answered, and a 400 would be a second answer.
-                log.error("fault at a client's request", exc_info=cause)
-                self._stopped, self._keep = True, False  # what is owed a reply gets it, and the close comes with it
+                # An internal error: the request may have been answered already, and a 400 would be a second reply.
+                log.error("internal error while parsing a client's request", exc_info=cause)
+                # A request that still waits for its reply gets it, and the connection closes with that reply.
+                self._input_ignored, self._keep_alive = True, False
                 self.abort()
             else:
-                self._turn_down(400, "malformed request")
+                self._reject_input(400, "malformed request")
 
-    # The parser's side.
+    # Parser callbacks.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a new request."""
         now = self._server.loop.time()
-        self._incoming = Incoming(now)
-        if self.good and not self._busy:
-            self.since = now  # of the first request on a connection the time counts from connecting
+        self._incoming = IncomingRequest(now)
+        if self.sent_valid_request and not self._busy:
+            self.waiting_since = now  # the first request on a connection is timed from the connect instead
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
-        incoming = cast(Incoming, self._incoming)
+        """Append a part of the request target."""
+        incoming = cast(IncomingRequest, self._incoming)
         incoming.url += url
-        self._count(incoming, len(url))
+        self._add_head_bytes(incoming, len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which is left."""
-        incoming = cast(Incoming, self._incoming)
-        self._count(incoming, len(name) + len(value) + 4)
-        if self._headed:
+        """Store a header. Trailers count towards the size limit and are otherwise ignored."""
+        incoming = cast(IncomingRequest, self._incoming)
+        self._add_head_bytes(incoming, len(name) + len(value) + 4)
+        if self._head_complete:
             return
-        lower = name.lower()
-        value = value.strip(b" \t")  # white space round a value is no part of it (RFC 9110, 5.5)
-        if lower in incoming.fields:
-            incoming.twice = lower if lower.startswith(b"x-") else incoming.twice
-        incoming.fields[lower] = value
-        if lower not in NOT_ON:
-            incoming.lines.append(b"%b: %b\r\n" % (name, value))
-
-    def _count(self, incoming: Incoming, size: int) -> None:
+        lower_name = name.lower()
+        value = value.strip(b" \t")  # surrounding whitespace is not part of the value (RFC 9110, 5.5)
+        if lower_name in incoming.headers:
+            incoming.duplicate_header = lower_name if lower_name.startswith(b"x-") else incoming.duplicate_header
+        incoming.headers[lower_name] = value
+        if lower_name not in NOT_FORWARDED_HEADERS:
+            incoming.forwarded_lines.append(b"%b: %b\r\n" % (name, value))
+
+    def _add_head_bytes(self, incoming: IncomingRequest, size: int) -> None:
         incoming.size += size
-        if incoming.size > MAX_HEAD:
+        if incoming.size > MAX_HEAD_BYTES:
             raise BadRequest(431, "head too large")
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
-        incoming = cast(Incoming, self._incoming)
-        self._headed, self._unread = True, 0
+        """Validate the framing of the request and decide whether its body is buffered or streamed."""
+        incoming = cast(IncomingRequest, self._incoming)
+        self._head_complete, self._unparsed_bytes = True, 0
         parser = cast(httptools.HttpRequestParser, self._parser)
         incoming.method, incoming.size = parser.get_method(), 0
         if parser.should_upgrade():
             raise BadRequest(501, "no upgrade is served")
-        if parser.get_http_version() not in VERSIONS:
+        if parser.get_http_version() not in SUPPORTED_VERSIONS:
             raise BadRequest(505, "HTTP version")
-        coding = incoming.fields.get(b"transfer-encoding")
+        coding = incoming.headers.get(b"transfer-encoding")
         if coding is not None and (coding.lower() != b"chunked" or parser.get_http_version() == "1.0"):
-            raise BadRequest(501, "Transfer-Encoding")  # the parser lets more through than is decoded here
-        length = incoming.fields.get(b"content-length")
-        incoming.old = parser.get_http_version() == "1.0"
-        self._moved = self._server.loop.time()
+            raise BadRequest(501, "Transfer-Encoding")  # the parser accepts codings that are not decoded here
+        length = incoming.headers.get(b"content-length")
+        incoming.is_http_1_0 = parser.get_http_version() == "1.0"
+        self._last_progress = self._server.loop.time()
         if length is not None:
-            incoming.length = int(length)
-            if incoming.length > self._server.longest:
+            incoming.content_length = int(length)
+            if incoming.content_length > self._server.max_body_bytes:
                 raise BadRequest(413, "body too large")
-            if incoming.length > MAX_BODY:
-                self._long(incoming)
+            if incoming.content_length > MAX_BUFFERED_BODY_BYTES:
+                self._start_streaming_body(incoming)
         if (
-            incoming.fields.get(b"expect", b"").lower() == b"100-continue"
+            incoming.headers.get(b"expect", b"").lower() == b"100-continue"
             and not self._busy
             and self._transport is not None
         ):
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body."""
-        incoming = cast(Incoming, self._incoming)
+        """Buffer a chunk of the body, or forward it if the body is streamed."""
+        incoming = cast(IncomingRequest, self._incoming)
         incoming.size += len(data)
-        if incoming.size > MAX_BODY and incoming.long is None:
-            self._long(incoming)
-        if incoming.long is None:
-            incoming.body.append(data)
+        if incoming.size > MAX_BUFFERED_BODY_BYTES and incoming.streamed_body is None:
+            self._start_streaming_body(incoming)
+        if incoming.streamed_body is None:
+            incoming.body_chunks.append(data)
             return
-        if incoming.size > self._server.longest:
+        if incoming.size > self._server.max_body_bytes:
             raise BadRequest(413, "body too large")
-        incoming.long.append(data)
-        self._pass_on(incoming)
-
-    def _long(self, incoming: Incoming) -> None:
-        """A body turns out to be long: what has come of it is held under the bound on all such."""
-        incoming.long = Body(self._server.budget, incoming.length)
-        incoming.long.drained = self._drained
-        for piece in incoming.body:
-            incoming.long.append(piece)
-        incoming.body.clear()
-
-    def _pass_on(self, incoming: Incoming) -> None:
-        """Begin with a long request before it is whole, if it is time, and hold its sender where it can't go on."""
-        body = incoming.long
+        incoming.streamed_body.append(data)
+        self._forward_streamed_body(incoming)
+
+    def _start_streaming_body(self, incoming: IncomingRequest) -> None:
+        """Switch to a streamed body: move the chunks received so far to a `Body` under the shared body budget."""
+        incoming.streamed_body = Body(self._server.body_budget, incoming.content_length)
+        incoming.streamed_body.on_room = self._resume_body
+        for chunk in incoming.body_chunks:
+            incoming.streamed_body.append(chunk)
+        incoming.body_chunks.clear()
+
+    def _forward_streamed_body(self, incoming: IncomingRequest) -> None:
+        """Dispatch a request with a streamed body once enough of it is here; pause reading while its buffer is full."""
+        body = incoming.streamed_body
         if body is None:
             return
         if (
-            not incoming.begun
+            not incoming.dispatched
             and not self._busy
             and not self._queue
-            and buffering.begins(body.size, False, body.scarce)
+            and buffering.begins(body.size, False, body.over_budget)
         ):
-            incoming.seen = self._server.loop.time()
-            incoming.begun, incoming.keep = True, cast(httptools.HttpRequestParser, self._parser).should_keep_alive()
-            self._busy, self._keep = True, incoming.keep and not self.overflow
+            incoming.received_at = self._server.loop.time()
+            incoming.dispatched, incoming.keep_alive = (
+                True,
+                cast(httptools.HttpRequestParser, self._parser).should_keep_alive(),
+            )
+            self._busy, self._keep_alive = True, incoming.keep_alive and not self.over_limit
             try:
-                self._begin(incoming)
+                self._dispatch(incoming)
             except BadRequest as error:
-                # Answered at once; what still comes is read off and left.
+                # The reply is sent at once; the rest of the request is read and discarded.
                 body.drop()
-                self._reject(error.status, str(error))
-        if not body.reads_on() and not self._held and self._transport is not None:
-            self._held = self._deaf = True
+                self._reply_rejection(error.status, str(error))
+        if not body.reads_on() and not self._body_paused and self._transport is not None:
+            self._body_paused = self._read_paused = True
             self._transport.pause_reading()
-            self._server.budget.wait(self._drained)
+            self._server.body_budget.wait(self._resume_body)
 
-    def _drained(self) -> None:
-        """There is room again for what a client sends."""
+    def _resume_body(self) -> None:
+        """Resume reading a request body when there is room in the buffers again."""
         incoming = self._incoming
-        if not self._held or self._transport is None:
+        if not self._body_paused or self._transport is None:
             return
-        if incoming is not None and incoming.long is not None and not incoming.long.reads_on():
-            self._server.budget.wait(self._drained)
+        if incoming is not None and incoming.streamed_body is not None and not incoming.streamed_body.reads_on():
+            self._server.body_budget.wait(self._resume_body)
             return
-        self._held, self._moved = False, self._server.loop.time()
-        self._hear()
+        self._body_paused, self._last_progress = False, self._server.loop.time()
+        self._resume_reading()
 
-    def _hear(self) -> None:
-        """Read it again, where it was read no further."""
-        self._deaf = False
+    def _resume_reading(self) -> None:
+        """Resume reading from the client."""
+        self._read_paused = False
         if self._transport is not None:
             self._transport.resume_reading()
 
-    def _gone(self) -> bool:
-        """Whether it has left, where nothing is read of it: the system knows, also behind what it has sent."""
-        if not self._deaf or self._transport is None or self._transport.is_closing():
+    def _peer_closed(self) -> bool:
+        """Whether the client has closed the connection while reading is paused.
+
+        Polls the socket: POLLRDHUP is reported even if unread data precedes the close.
+        """
+        if not self._read_paused or self._transport is None or self._transport.is_closing():
             return False
         poll = select.poll()
         poll.register(self._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def on_message_complete(self) -> None:
-        """A request is whole."""
-        incoming, self._incoming = cast(Incoming, self._incoming), None
-        incoming.seen = self._server.loop.time()
-        incoming.keep = cast(httptools.HttpRequestParser, self._parser).should_keep_alive()
-        self._headed, self._unread = False, 0
-        if incoming.long is not None:
-            incoming.long.finish()
-        if incoming.begun:
-            self._sent_whole()
+        """Queue a complete request and serve it, or complete one that was dispatched while it was received."""
+        incoming, self._incoming = cast(IncomingRequest, self._incoming), None
+        incoming.received_at = self._server.loop.time()
+        incoming.keep_alive = cast(httptools.HttpRequestParser, self._parser).should_keep_alive()
+        self._head_complete, self._unparsed_bytes = False, 0
+        if incoming.streamed_body is not None:
+            incoming.streamed_body.finish()
+        if incoming.dispatched:
+            self._streamed_request_complete()
             return
         self._queue.append(incoming)
-        self._next()
+        self._serve_next()
         if self._queue:
-            self._waiting += 1 + incoming.size
-        if (len(self._queue) >= PIPELINE or self._waiting >= PIPELINE_BYTES) and self._transport is not None:
-            self._deaf = True
-            self._transport.pause_reading()  # guards the memory: what waits here is bounded
+            self._queued_size += 1 + incoming.size
+        if (
+            len(self._queue) >= MAX_PIPELINED_REQUESTS or self._queued_size >= MAX_PIPELINED_BYTES
+        ) and self._transport is not None:
+            self._read_paused = True
+            self._transport.pause_reading()  # bounds the memory that pipelined requests use
 
-    def _sent_whole(self) -> None:
-        """The last byte of a request that was begun before has come."""
+    def _streamed_request_complete(self) -> None:
+        """Handle the end of a request that was dispatched before it was complete."""
         if self._current is not None:
             self._server.dispatcher.request_complete(self._current)
-        elif not self._busy:  # it was answered before
-            self.since = self._server.loop.time()
-            if self._keep and not self._ended:
-                self._next()
+        elif not self._busy:  # it has been answered already
+            self.waiting_since = self._server.loop.time()
+            if self._keep_alive and not self._final_reply_sent:
+                self._serve_next()
             elif self._transport is not None:
                 self._transport.close()
 
-    # Serving.
+    # Serving requests.
 
-    def _turn_down(self, status: int, why: str) -> None:
-        """Answer what cannot be read in its turn, then close; nothing after it is read."""
-        self._stopped, self._parser, self._unread = True, None, 0
-        incoming = self._incoming or Incoming(self._server.loop.time())
+    def _reject_input(self, status: int, reason: str) -> None:
+        """Queue a rejection of input that cannot be parsed, behind earlier replies; ignore all further input."""
+        self._input_ignored, self._parser, self._unparsed_bytes = True, None, 0
+        incoming = self._incoming or IncomingRequest(self._server.loop.time())
         self._incoming = None
-        if incoming.long is not None:
-            incoming.long.drop()
-        if incoming.begun:
-            # It was passed on in part: whoever has that sees that it is not whole, and the client a close.
+        if incoming.streamed_body is not None:
+            incoming.streamed_body.drop()
+        if incoming.dispatched:
+            # Part of it has been forwarded: the worker sees an incomplete request, the client a closed connection.
             if self._transport is not None:
                 self._transport.abort()
             return
-        incoming.refusal, incoming.keep = (status, why), False
+        incoming.rejection, incoming.keep_alive = (status, reason), False
         self._queue.append(incoming)
-        self._next()
+        self._serve_next()
 
-    def _next(self) -> None:
-        """Begin the next request, if none is on its way."""
-        while self._queue and not (self._busy or self._paused or self._ended) and self._transport is not None:
-            if self._gone():
-                self._transport.abort()  # what waits here is not begun for nobody
+    def _serve_next(self) -> None:
+        """Take requests from the queue until one is in progress."""
+        while (
+            self._queue
+            and not (self._busy or self._write_paused or self._final_reply_sent)
+            and self._transport is not None
+        ):
+            if self._peer_closed():
+                self._transport.abort()  # the queued requests have no client any more
                 return
             incoming = self._queue.popleft()
-            if not self._queue and self._waiting:
-                self._waiting = 0
-                self._hear()
+            if not self._queue and self._queued_size:
+                self._queued_size = 0
+                self._resume_reading()
             self._busy = True
-            self._keep = incoming.keep and not self.overflow
-            if incoming.refusal is not None:
-                self._reject(*incoming.refusal)
+            self._keep_alive = incoming.keep_alive and not self.over_limit
+            if incoming.rejection is not None:
+                self._reply_rejection(*incoming.rejection)
                 continue
             try:
-                self._begin(incoming)
+                self._dispatch(incoming)
             except BadRequest as error:
-                self._reject(error.status, str(error))
-        if self._incoming is not None and self._incoming.long is not None and not self._ended:
-            self._pass_on(self._incoming)
+                self._reply_rejection(error.status, str(error))
+        if self._incoming is not None and self._incoming.streamed_body is not None and not self._final_reply_sent:
+            self._forward_streamed_body(self._incoming)
 
-    def _begin(self, incoming: Incoming) -> None:
+    def _dispatch(self, incoming: IncomingRequest) -> None:
+        """Answer a health check, or submit the request to the dispatcher. Raises BadRequest if it is invalid."""
         path, _, query = incoming.url.partition(b"?")
         if path[:1] != b"/":
             if path == b"*" or incoming.method == b"CONNECT":
                 raise BadRequest(400, "target")
             try:
-                parsed = httptools.parse_url(incoming.url)  # the absolute form, which a server must take
+                parsed = httptools.parse_url(incoming.url)  # a server must accept absolute-form (RFC 9112, 3.2.2)
             except httptools.HttpParserError as error:
                 raise BadRequest(400, "target") from error
             path, query = parsed.path or b"/", parsed.query or b""
@@ -472,32 +494,33 @@
             self.reply(200 if ready else 503, b"", b"ok\n" if ready and incoming.method == b"GET" else b"")
             return
         server, now = self._server, self._server.loop.time()
-        event, head, deadline = server.read(incoming, path, query, now)
-        server.served(self)
-        if self.overflow or server.ended:
+        event, head, deadline = server.parse_request(incoming, path, query, now)
+        server.valid_request_received(self)
+        if self.over_limit or server.shutdown_expired:
             self.reply(503, b"Retry-After: 0.1\r\n", b"")
             return
-        # A reply may come before `submit` returns; then there is nothing left to abandon.
-        self._old = incoming.old
-        body = b"".join(incoming.body) if incoming.long is None else incoming.long
+        # The reply may be written before `submit` returns; then a disconnect has nothing left to cancel.
+        self._http_1_0 = incoming.is_http_1_0
+        body = b"".join(incoming.body_chunks) if incoming.streamed_body is None else incoming.streamed_body
         request = server.dispatcher.submit(event, head, body, deadline, self.reply, self)
-        if not request.ended:
+        if not request.is_over:
             self._current = request
 
-    def _reject(self, status: int, why: str) -> None:
-        """A request that was never taken on: the reason goes out, and the connection is closed.
+    def _reply_rejection(self, status: int, reason: str) -> None:
+        """Reply to an invalid request with the reason, and close the connection.
 
-        A reader that is still sending would lose the reply to a reset, so what it sends is read off. Nothing
-        asked of what isn't there is answered for long, as answers cost others their processor.
+        After a 404 or 405 the connection stays open, up to MAX_REJECTED_REQUESTS, which bounds the CPU time spent on
+        such replies. Before the close, further input is read and discarded: a client that is still sending would lose
+        the reply to a reset.
         """
-        self._mistakes += 1
-        self._keep = self._keep and status in (404, 405) and self._mistakes < MISTAKES
-        self._stopped = self._stopped or not self._keep
-        self.lingering = not self._keep
-        self.reply(status, b"Content-Type: text/plain\r\n", why.encode() + b"\n")
+        self._rejected_count += 1
+        self._keep_alive = self._keep_alive and status in (404, 405) and self._rejected_count < MAX_REJECTED_REQUESTS
+        self._input_ignored = self._input_ignored or not self._keep_alive
+        self.lingering = not self._keep_alive
+        self.reply(status, b"Content-Type: text/plain\r\n", reason.encode() + b"\n")
 
     def reply(self, status: int, headers: bytes, body: bytes) -> None:
-        """The final reply to the request on its way."""
+        """Write the final reply to the current request; a second one is refused and counted."""
         if not self._busy:
             self._server.guard.refuse(Reason.REPLIED_TWICE, "write reply", status=status)
             return
@@ -506,67 +529,74 @@
         transport = self._transport
         if transport is None:
             return
-        coming = self._incoming if self._incoming is not None and self._incoming.begun else None
-        if coming is not None and coming.long is not None:
-            coming.long.drop()  # the rest is read off and left
-        hands = self._server.hand is not None
-        # What is whole behind it has been taken: it is answered before the connection ends.
-        keep = self._keep and (
-            hands or bool(self._queue) or not self._server.closing and not self._server.presence.closes()
+        incomplete = self._incoming if self._incoming is not None and self._incoming.dispatched else None
+        if incomplete is not None and incomplete.streamed_body is not None:
+            incomplete.streamed_body.drop()  # the rest is read and discarded
+        handing_off = self._server.hand is not None
+        # Complete requests that are queued behind this one are answered before the connection closes.
+        keep_alive = self._keep_alive and (
+            handing_off or bool(self._queue) or not self._server.closing and not self._server.presence.closes()
         )
-        self.since = self._server.loop.time()
-        if self.good:
-            self._server.rested(self)
+        self.waiting_since = self._server.loop.time()
+        if self.sent_valid_request:
+            self._server.reply_sent(self)
         transport.write(
             b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b"
-            % (status, REASONS[status], headers, len(body), b"" if keep else b"Connection: close\r\n", body)
+            % (
+                status,
+                REASON_PHRASES[status],
+                headers,
+                len(body),
+                b"" if keep_alive else b"Connection: close\r\n",
+                body,
+            )
         )
-        if keep:
-            if self._queue or self._incoming is not None and coming is None:
-                self._server.loop.call_soon(self._next)
-            elif hands:
-                self._server.loop.call_soon(self.hand)
+        if keep_alive:
+            if self._queue or self._incoming is not None and incomplete is None:
+                self._server.loop.call_soon(self._serve_next)
+            elif handing_off:
+                self._server.loop.call_soon(self.hand_off)
             return
-        if coming is not None:
-            self.lingering = False  # closed once all of the request has come: a reset could take the reply away
-            self._ended = True
+        if incomplete is not None:
+            self.lingering = False  # closed once all of the request is received: a reset could lose the reply
+            self._final_reply_sent = True
             return
-        self._stopped = self._ended = True
+        self._input_ignored = self._final_reply_sent = True
         self._queue.clear()
         if self.lingering:
             transport.write_eof()
-            self._server.loop.call_later(LINGER, self.abort)
+            self._server.loop.call_later(LINGER_SECONDS, self.abort)
         else:
             transport.close()
 
-    # A long answer, as it comes.
+    # Streamed responses (ResponseSink).
 
     def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """The answer begins, of this many bytes if that is known."""
+        """Write the head of a streamed response; `length` is that of its body in bytes, if known."""
         self._current = None
         transport = self._transport
         if transport is None:
             source.cancel()
             return
-        self._source, self._moved = source, self._server.loop.time()
-        # Else the system takes so much that a slow reader's progress shows only every ten seconds or more.
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SENT)
-        self._chunked = length is None and not self._old
-        if length is None and self._old:
-            self._keep = False  # the close ends it
+        self._response_source, self._last_progress = source, self._server.loop.time()
+        # With the default send buffer a slow reader's progress would be visible only every ten seconds or more.
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, STREAM_SEND_BUFFER_BYTES)
+        self._chunked = length is None and not self._http_1_0
+        if length is None and self._http_1_0:
+            self._keep_alive = False  # the close of the connection marks the end of the response
         if self._server.closing or self._server.presence.closes():
-            self._keep = self._keep and (self._server.hand is not None or bool(self._queue))
+            self._keep_alive = self._keep_alive and (self._server.hand is not None or bool(self._queue))
         framing = (
             b"Transfer-Encoding: chunked\r\n"
             if self._chunked
             else (b"Content-Length: %d\r\n" % length if length is not None else b"")
         )
         transport.write(
-            b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (headers, framing, b"" if self._keep else b"Connection: close\r\n")
+            b"HTTP/1.1 200 OK\r\n%b%b%b\r\n" % (headers, framing, b"" if self._keep_alive else b"Connection: close\r\n")
         )
 
     def write(self, data: bytes) -> bool:
-        """A piece of the answer; whether the client takes more at once."""
+        """Write a chunk of the response; return whether more may follow at once."""
         transport = self._transport
         if transport is None or not data:
             return True
@@ -574,354 +604,371 @@
             transport.writelines((b"%x\r\n" % len(data), data, b"\r\n"))
         else:
             transport.write(data)
-        if not self._paused:
+        if not self._write_paused:
             return True
-        # What the client has not read yet is held here as far as there is room: the worker, and its customer's place,
-        # are free sooner.
-        if not self._server.budget.take(len(data)):
+        # What the client has not read yet is buffered here as far as the budget allows: the worker, and the customer's
+        # concurrency slot, are released sooner.
+        if not self._server.body_budget.take(len(data)):
             return False
-        self._owed += len(data)
+        self._budgeted_bytes += len(data)
         return True
 
     def end(self) -> None:
-        """The answer is whole."""
-        self._source = None
+        """Complete the response, then serve the next request or close."""
+        self._response_source = None
         self._busy = False
         transport = self._transport
         if transport is None:
             return
         if self._chunked:
             transport.write(b"0\r\n\r\n")
-        self.since = self._server.loop.time()
-        if self.good:
-            self._server.rested(self)
-        if not self._keep or self._server.closing and self._server.hand is None and not self._queue:
-            self._stopped = self._ended = True
+        self.waiting_since = self._server.loop.time()
+        if self.sent_valid_request:
+            self._server.reply_sent(self)
+        if not self._keep_alive or self._server.closing and self._server.hand is None and not self._queue:
+            self._input_ignored = self._final_reply_sent = True
             transport.close()
         elif self._queue:
-            self._server.loop.call_soon(self._next)
+            self._server.loop.call_soon(self._serve_next)
         elif self._server.hand is not None:
-            self._server.loop.call_soon(self.hand)
+            self._server.loop.call_soon(self.hand_off)
 
     def abort_response(self) -> None:
-        """The answer never will be whole: the client sees its connection end before."""
-        self._source = None
+        """Close the connection: the client sees that the response is incomplete."""
+        self._response_source = None
         if self._transport is not None:
             self._transport.abort()
 
-    def hand(self) -> None:
-        """Give the connection to the process that serves now, unless something of a request is on it.
+    def hand_off(self) -> None:
+        """Pass the connection to the successor process, unless a request is in progress on it.
 
-        What the client has sent and nobody has read goes along, so that no request is refused, reset or unread.
+        Unread input stays in the socket's buffer and goes along, so that no request is refused, reset or lost.
         """
-        transport, give = self._transport, self._server.hand
-        if transport is None or give is None or not self.idle() or transport.get_write_buffer_size():
-            return  # later: with its reply, or at the next look at all of them
+        transport, hand_off = self._transport, self._server.hand
+        if transport is None or hand_off is None or not self.is_idle() or transport.get_write_buffer_size():
+            return  # retried after the reply, and in each sweep
         transport.pause_reading()
-        if give(os.dup(transport.get_extra_info("socket").fileno()), self.good):
+        if hand_off(os.dup(transport.get_extra_info("socket").fileno()), self.sent_valid_request):
             transport.abort()
         else:
             transport.resume_reading()
 
-    def idle(self) -> bool:
-        """Whether nothing of a request is on its way, and nothing has begun to close it."""
+    def is_idle(self) -> bool:
+        """Whether no request is in progress or queued, and the connection is not being closed."""
         if self._transport is None or self._transport.is_closing():
             return False
         return not self._busy and self._incoming is None and not self._queue and not self.lingering
 
     def close(self) -> None:
-        """Close between requests, or once a client has been given up."""
+        """Close after the write buffer is sent, unless a reply is pending."""
         if self._transport is not None and self._may_close():
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once and drop the write buffer, unless a reply is pending."""
         if self._transport is not None and self._may_close():
             self._transport.abort()
 
     def _may_close(self) -> bool:
+        """Whether no reply is pending; a close that would lose one is refused and counted."""
         current = self._current
-        owed = current is not None and current.state is RequestState.PENDING
-        if (reason := close_refusal(owed)) is not None and current is not None:
+        reply_pending = current is not None and current.state is RequestState.PENDING
+        if (reason := close_refusal(reply_pending)) is not None and current is not None:
             self._server.guard.refuse(reason, "close client", id=current.event.request, state=current.state.value)
         return reason is None
 
-    def sweep(self, now: float) -> None:
-        """Close what has been idle, or slow, for too long."""
-        waited = now - self.since
+    def check_timeouts(self, now: float) -> None:
+        """Close the connection if it has been idle, slow or stalled for too long."""
+        waited_seconds = now - self.waiting_since
         if self._transport is None or self.lingering:
             return
-        if self._gone():
+        if self._peer_closed():
             self._transport.abort()
             return
-        if self._paused or self._owed:
-            self._pay()
-        if self._source is not None or self._owed:
-            if self._paused and now - self._moved > STANDS:
-                self.abort()  # a client that reads nothing of a long answer
-        elif self._incoming is not None and self._headed:
-            # A body is judged by its progress, but not while it is held here for want of room.
-            if not self._held and now - self._moved > SLOW:
-                self._turn_down(408, "the body stands still")
-        elif self._paused or self._transport.is_closing():
-            if waited > SLOW:
-                self.abort()  # guards memory and descriptors against a client that does not read
-        elif self.idle():
-            if waited > (IDLE if self.good else SILENT):
+        if self._write_paused or self._budgeted_bytes:
+            self._release_budget()
+        if self._response_source is not None or self._budgeted_bytes:
+            if self._write_paused and now - self._last_progress > STALL_TIMEOUT_SECONDS:
+                self.abort()  # the client does not read its streamed response
+        elif self._incoming is not None and self._head_complete:
+            # A body times out when it makes no progress, except while its reading is paused for lack of buffer space.
+            if not self._body_paused and now - self._last_progress > SLOW_CLIENT_TIMEOUT_SECONDS:
+                self._reject_input(408, "the body stands still")
+        elif self._write_paused or self._transport.is_closing():
+            if waited_seconds > SLOW_CLIENT_TIMEOUT_SECONDS:
+                self.abort()  # a client that does not read would hold memory and a descriptor
+        elif self.is_idle():
+            if waited_seconds > (IDLE_TIMEOUT_SECONDS if self.sent_valid_request else FIRST_REQUEST_TIMEOUT_SECONDS):
                 self._transport.close()
-        elif not self._busy and self._incoming is not None and waited > SLOW:
-            self._turn_down(408, "too slow")
+        elif not self._busy and self._incoming is not None and waited_seconds > SLOW_CLIENT_TIMEOUT_SECONDS:
+            self._reject_input(408, "too slow")
 
 
 class Server:
-    """All client connections, and the bound on them."""
+    """The client connections of the process, their limits, and the validation of requests.
+
+    `max_units` bounds the units of one request. At most `connection_limit` connections are open, at most `max_proven`
+    of them after a valid request. `max_body_bytes` bounds one request body, `body_budget_bytes` all buffered bodies.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: interface.Settings,
-        units_top: float,
-        limit: int,
-        kept: int,
+        max_units: float,
+        connection_limit: int,
+        max_proven: int,
         dispatcher: RequestDispatcher,
         presence: Presence | None = None,
-        longest: int = buffering.LONGEST,
-        held: int = buffering.HELD,
+        max_body_bytes: int = buffering.LONGEST,
+        body_budget_bytes: int = buffering.HELD,
     ) -> None:
         self.loop, self.dispatcher = loop, dispatcher
         self.guard = dispatcher.guard
         self.presence = Presence() if presence is None else presence
-        self.longest, self.budget = max(longest, MAX_BODY), buffering.Budget(held)
-        self.closing = False  # every further reply closes its connection
-        self.ended = False  # nothing further is begun
-        self._met = 0  # connections that have come
-        self.emptied: asyncio.Event = asyncio.Event()
-        self._limit, self._kept = limit, kept
-        self._units_top, self._gateways = units_top, settings.gateways
+        self.max_body_bytes, self.body_budget = (
+            max(max_body_bytes, MAX_BUFFERED_BODY_BYTES),
+            buffering.Budget(body_budget_bytes),
+        )
+        self.closing = False  # shutdown has begun: every further reply closes its connection
+        self.shutdown_expired = False  # the shutdown deadline has passed: further requests are refused
+        self._connection_count = 0  # connections accepted since the start
+        self.all_closed: asyncio.Event = asyncio.Event()
+        self._connection_limit, self._max_proven = connection_limit, max_proven
+        self._max_units, self._gateways = max_units, settings.gateways
         self._classes = {c.name.encode(): c for c in settings.classes}
         self._clients: dict[Client, None] = {}
-        self._fresh: dict[Client, None] = {}  # those that have sent nothing of use yet, oldest first
-        self._usual: dict[Client, None] = {}  # those that have, the one whose last reply is oldest first
+        self._unproven: dict[Client, None] = {}  # no valid request yet; ordered by connect time
+        self._proven: dict[Client, None] = {}  # at least one valid request; ordered by the time of the last reply
         self._plans = {p.name.encode() for p in settings.plans}
-        self._able = self._retired = False
-        self.accepts = False  # clients' connections
-        # Takes an idle connection, and whether it was of use, once another process serves in this one's place.
+        self._has_workers = self._stopping = False
+        self.accepts = False  # the process accepts client connections
+        # Set during a hot restart: passes a descriptor, and whether a valid request was received on it, to the
+        # successor process, and returns whether that took it.
         self.hand: Callable[[int, bool], bool] | None = None
-        self._weights: dict[bytes, tuple[float, int, int]] = {}
+        self._weight_cache: dict[bytes, tuple[float, int, int]] = {}
 
     def able(self) -> None:
-        """There are workers to serve with."""
-        self._able = True
+        """Record that workers are known."""
+        self._has_workers = True
 
     def retire(self) -> None:
-        """Clients should be sent elsewhere; those that come are still served."""
-        self._retired = True
+        """Report not ready from now on; requests that still arrive are served."""
+        self._stopping = True
 
     def ready(self) -> bool:
-        """Whether clients may be sent here."""
-        return self._able and not self._retired and self.accepts and self.presence.left is None
+        """Whether load may be sent to this process; answered at /healthz."""
+        return self._has_workers and not self._stopping and self.accepts and self.presence.left is None
 
     def health(self) -> tuple[bool, str]:
-        """Whether clients may be sent here, and why not."""
+        """Whether load may be sent to this process, and a description or the reason why not."""
         if self.hand is not None:
             return False, "another process serves in this one's place"
         if self.ready():
             return True, f"serving, {len(self._clients)} connections"
-        if self._retired:
+        if self._stopping:
             return False, "stopping"
         return False, "sending clients away" if self.presence.left is not None else "no workers are known yet"
 
-    def joined(self, client: Client) -> None:
-        """A connection has come up; beyond the bound another makes room, or this one is refused.
+    def client_connected(self, client: Client) -> None:
+        """Register a connection. At the limit, close another one to make room, or refuse this one.
 
-        Those that have sent nothing of use go first, as usual clients send as soon as they have connected;
-        then the one that has been idle the longest.
+        The oldest connection without a valid request is closed first, as well-behaved clients send a request as soon as
+        they have connected; then the one that has been idle the longest.
         """
-        if len(self._clients) >= self._limit:
-            if (other := next(iter(self._fresh), None)) is not None:
-                self._fresh.pop(other)
+        if len(self._clients) >= self._connection_limit:
+            if (other := next(iter(self._unproven), None)) is not None:
+                self._unproven.pop(other)
                 other.abort()
-            elif (other := self._resting()) is not None:
-                other.close()  # its last reply may still be on its way out
-            elif len(self._clients) < self._limit + SPARE:
-                client.overflow = True
+            elif (other := self._longest_idle()) is not None:
+                other.close()  # not aborted: its last reply may still be in the write buffer
+            elif len(self._clients) < self._connection_limit + MAX_OVERFLOW_CONNECTIONS:
+                client.over_limit = True
             else:
-                client.abort()  # guards the descriptors that workers and discovery need
-        self._met += 1
-        self._clients[client] = self._fresh[client] = None
+                client.abort()  # keeps descriptors free for workers and discovery
+        self._connection_count += 1
+        self._clients[client] = self._unproven[client] = None
 
     def make_room(self) -> None:
-        """There is no descriptor for a further client: the usual one that has been idle the longest is closed.
+        """Free a descriptor for a new client: close the connection that has been idle the longest.
 
-        Where there is none, the oldest that has sent nothing of use is.
+        If no connection with a valid request is idle, the oldest idle one without is closed.
         """
-        other = self._resting() or next((client for client in self._fresh if client.idle()), None)
+        other = self._longest_idle() or next((client for client in self._unproven if client.is_idle()), None)
         if other is not None:
             other.close()
 
-    def served(self, client: Client) -> None:
-        """A connection has sent a request that can be served."""
-        if client.good:
+    def valid_request_received(self, client: Client) -> None:
+        """Record the first valid request on a connection; close the longest idle one if too many are proven."""
+        if client.sent_valid_request:
             return
-        client.good = True
-        self._fresh.pop(client, None)
-        self._usual[client] = None
-        if len(self._usual) > self._kept and (other := self._resting()) is not None:
-            # Guards against clients that ask once on each connection and keep it: they may hold so many, and
-            # once those all rest here they can ask for nothing more.
+        client.sent_valid_request = True
+        self._unproven.pop(client, None)
+        self._proven[client] = None
+        if len(self._proven) > self._max_proven and (other := self._longest_idle()) is not None:
+            # Clients that open a connection for each request and keep it would otherwise reach their own limit on
+            # open connections, and could send no further request.
             other.close()
 
-    def rested(self, client: Client) -> None:
-        """A client has had its reply."""
-        self._usual.pop(client, None)
-        self._usual[client] = None
+    def reply_sent(self, client: Client) -> None:
+        """Move a connection to the end of the idle order after a reply."""
+        self._proven.pop(client, None)
+        self._proven[client] = None
 
-    def _resting(self) -> Client | None:
-        """The usual client that has been idle the longest."""
-        return next((client for client in self._usual if client.idle()), None)
+    def _longest_idle(self) -> Client | None:
+        """The connection with a valid request that has been idle the longest, or None."""
+        return next((client for client in self._proven if client.is_idle()), None)
 
-    def left(self, client: Client) -> None:
-        """A connection is gone."""
+    def client_disconnected(self, client: Client) -> None:
+        """Remove a closed connection."""
         self._clients.pop(client, None)
-        self._fresh.pop(client, None)
-        self._usual.pop(client, None)
+        self._unproven.pop(client, None)
+        self._proven.pop(client, None)
         if self.closing and not self._clients:
-            self.emptied.set()
+            self.all_closed.set()
 
     def sweep(self) -> None:
-        """Look after idle and slow clients."""
+        """Apply the timeouts to all connections; hand off, or close, the idle ones where that is due."""
         now = self.loop.time()
         if self.hand is not None:
             self.hand_over()
-        clears = self.presence.clears(now)
+        closing_idle = self.presence.clears(now)
         for client in list(self._clients):
-            if clears and client.idle():
+            if closing_idle and client.is_idle():
                 client.close()
             else:
-                client.sweep(now)
+                client.check_timeouts(now)
 
     def hand_over(self) -> None:
-        """Give all idle connections to the process that serves now, if one does."""
+        """Pass all idle connections to the successor process, if there is one."""
         if self.hand is not None:
             for client in list(self._clients):
-                client.hand()
+                client.hand_off()
 
-    async def adopt(self, sock: socket.socket, good: bool) -> None:
-        """Take a connection that another process has accepted; what nobody has read of it is read here."""
+    async def adopt(self, sock: socket.socket, sent_valid_request: bool) -> None:
+        """Take over an idle connection from the predecessor process; its unread input is read here."""
         client = Client(self)
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
             sock.close()
             return
-        if good:
-            self.served(client)
+        if sent_valid_request:
+            self.valid_request_received(client)
 
-    async def finish(self, until: float) -> None:
-        """Answer what is held, each reply with `Connection: close`, until all clients have gone, or up to a time.
+    async def finish(self, deadline: float) -> None:
+        """Answer each request with `Connection: close` until all connections are closed, or until `deadline`.
 
-        The close of an idle connection may cross a request, which its client then sends once more on a new one: so
-        the end is only there once no more have come for a while. Who still waits when the time is up is answered then.
+        The close of an idle connection may cross a request, which the client then sends again on a new connection.
+        So the drain ends only after SHUTDOWN_QUIET_SECONDS without a new connection. Requests that are still pending at
+        the deadline are answered then.
         """
         self.closing = True
         self.hand_over()
         for client in list(self._clients):
-            if client.idle():
+            if client.is_idle():
                 client.close()
-        met = -1
-        while (left := until - self.loop.time()) > 0 and (self._clients or met != self._met):
-            if await self._empty(left):
-                met = self._met
-                await asyncio.sleep(min(QUIET, max(0.0, until - self.loop.time())))
+        connection_count = -1
+        while (remaining_seconds := deadline - self.loop.time()) > 0 and (
+            self._clients or connection_count != self._connection_count
+        ):
+            if await self._wait_until_empty(remaining_seconds):
+                connection_count = self._connection_count
+                await asyncio.sleep(min(SHUTDOWN_QUIET_SECONDS, max(0.0, deadline - self.loop.time())))
         if self._clients:
-            self.ended = True
-            self.dispatcher.leave()
-            if not await self._empty(FLUSH):
-                log.warning("%d connections left open at the end", len(self._clients))
+            self.shutdown_expired = True
+            self.dispatcher.end_all_requests()
+            if not await self._wait_until_empty(SHUTDOWN_FLUSH_SECONDS):
+                log.warning("%d client connections still open after the shutdown deadline", len(self._clients))
 
-    async def _empty(self, patience: float) -> bool:
-        """Wait until no client is left; whether that came in time."""
+    async def _wait_until_empty(self, timeout_seconds: float) -> bool:
+        """Wait until all connections are closed; return whether that happened in time."""
         if self._clients:
-            self.emptied.clear()
+            self.all_closed.clear()
             try:
-                await asyncio.wait_for(self.emptied.wait(), patience)
+                await asyncio.wait_for(self.all_closed.wait(), timeout_seconds)
             except TimeoutError:
                 return False
         return True
 
-    def read(self, incoming: Incoming, path: bytes, query: bytes, now: float) -> tuple[interface.Request, bytes, float]:
-        """The module's event, the head for a worker and the deadline, or what is wrong with a request."""
-        first = path[1:].partition(b"/")[0]
-        fields = incoming.fields
-        named = fields.get(b"x-priority-class")
-        klass = self._classes.get(first)
+    def parse_request(
+        self, incoming: IncomingRequest, path: bytes, query: bytes, now: float
+    ) -> tuple[interface.Request, bytes, float]:
+        """Validate a request; return the gateway's event, the head for the worker and the deadline (loop time).
+
+        Raises BadRequest.
+        """
+        first_segment = path[1:].partition(b"/")[0]
+        headers = incoming.headers
+        class_name = headers.get(b"x-priority-class")
+        klass = self._classes.get(first_segment)
         if klass is None:
-            raise BadRequest(404, "path")  # one that begins with no class is none of this service's
-        if named != first:
-            raise BadRequest(400, "X-Priority-Class")  # the class stands in both places
+            raise BadRequest(404, "path")  # the first path segment must name a request class
+        if class_name != first_segment:
+            raise BadRequest(400, "X-Priority-Class")  # header and path must name the same class
         if incoming.method != (b"GET" if klass.effect == interface.PURE else b"POST"):
             raise BadRequest(405, "method")
-        if (incoming.body or incoming.long is not None) and klass.effect == interface.PURE:
+        if (incoming.body_chunks or incoming.streamed_body is not None) and klass.effect == interface.PURE:
             raise BadRequest(400, "body")
-        if incoming.twice:
-            raise BadRequest(400, incoming.twice.decode("latin-1"))
-        name, timeout = fields.get(b"x-request-id", b""), fields.get(b"x-timeout", b"")
-        if not NAME.fullmatch(name):
+        if incoming.duplicate_header:
+            raise BadRequest(400, incoming.duplicate_header.decode("latin-1"))
+        request_id, timeout = headers.get(b"x-request-id", b""), headers.get(b"x-timeout", b"")
+        if not REQUEST_ID_PATTERN.fullmatch(request_id):
             raise BadRequest(400, "X-Request-ID")
-        if not DECIMAL.fullmatch(timeout) or float(timeout) > LONGEST_WAIT:
+        if not DECIMAL_PATTERN.fullmatch(timeout) or float(timeout) > MAX_TIMEOUT_SECONDS:
             raise BadRequest(400, "X-Timeout")
-        plan = fields.get(b"x-tariff", b"")
+        plan = headers.get(b"x-tariff", b"")
         if plan not in self._plans:
             raise BadRequest(400, "X-Tariff")
         customers = [part[9:] for part in query.split(b"&") if part.startswith(b"customer=")]
-        if len(customers) != 1 or not CUSTOMER.fullmatch(customers[0]) or int(customers[0], 16) >= 2**33:
+        if len(customers) != 1 or not CUSTOMER_PATTERN.fullmatch(customers[0]) or int(customers[0], 16) >= 2**33:
             raise BadRequest(400, "customer")
-        weight = fields.get(b"x-weight", b"")
-        units_spread = self._weights.get(weight)  # there are few different ones
-        if units_spread is None:
-            units_spread = self._weight(weight)
-            if len(self._weights) < MOST_WEIGHTS:
-                self._weights[weight] = units_spread
-        units, spread, set_first = units_spread
-        deadline = incoming.seen + min(float(timeout), klass.deadline)
-        request = name.decode()
-        if self.dispatcher.holds(request):
+        weight = headers.get(b"x-weight", b"")
+        parsed_weight = self._weight_cache.get(weight)  # few distinct values are in use
+        if parsed_weight is None:
+            parsed_weight = self._parse_weight(weight)
+            if len(self._weight_cache) < MAX_CACHED_WEIGHTS:
+                self._weight_cache[weight] = parsed_weight
+        units, gateway_count, first_gateway = parsed_weight
+        deadline = incoming.received_at + min(float(timeout), klass.deadline)
+        request_name = request_id.decode()
+        if self.dispatcher.has_request(request_name):
             raise BadRequest(400, "X-Request-ID is in use")
         event = interface.Request(
-            request=request,
-            klass=named.decode(),
+            request=request_name,
+            klass=class_name.decode(),
             plan=plan.decode(),
             customer=customers[0].decode().lower(),
             time_left=max(0.0, deadline - now),
             units=units,
-            gateway_count=spread,
-            client_retry=fields.get(b"x-retried") == b"1",
-            first_gateway=set_first,
-            complete=incoming.long is None or incoming.long.whole,
+            gateway_count=gateway_count,
+            client_retry=headers.get(b"x-retried") == b"1",
+            first_gateway=first_gateway,
+            complete=incoming.streamed_body is None or incoming.streamed_body.is_complete,
         )
         target = path + b"?" + query
-        size = sum(map(len, incoming.body))
-        if incoming.long is not None:
-            if incoming.long.whole:
-                incoming.long.length = incoming.long.size
-            size = incoming.long.length or 0
+        size = sum(map(len, incoming.body_chunks))
+        if incoming.streamed_body is not None:
+            if incoming.streamed_body.is_complete:
+                incoming.streamed_body.content_length = incoming.streamed_body.size
+            size = incoming.streamed_body.content_length or 0
         length = b"Content-Length: %d\r\n" % size if incoming.method == b"POST" or size else b""
-        if incoming.long is not None and incoming.long.length is None:
+        if incoming.streamed_body is not None and incoming.streamed_body.content_length is None:
             length = b"Transfer-Encoding: chunked\r\n"
-        head = b"%b %b HTTP/1.1\r\n%b%b" % (incoming.method, target, b"".join(incoming.lines), length)
+        head = b"%b %b HTTP/1.1\r\n%b%b" % (incoming.method, target, b"".join(incoming.forwarded_lines), length)
         return event, head, deadline
 
-    def _weight(self, text: bytes) -> tuple[float, int, int]:
-        """Units, spread and first of X-Weight."""
+    def _parse_weight(self, text: bytes) -> tuple[float, int, int]:
+        """The units, gateway count (`spread`) and first gateway of an X-Weight header. Raises BadRequest."""
         parts = dict(part.strip().partition(b"=")[::2] for part in text.split(b","))
-        units, spread, first = (parts.get(key, b"") for key in (b"units", b"spread", b"first"))
-        if not all(DECIMAL.fullmatch(part) for part in (units, spread, first)):
+        units, gateway_count, first_gateway = (parts.get(key, b"") for key in (b"units", b"spread", b"first"))
+        if not all(DECIMAL_PATTERN.fullmatch(part) for part in (units, gateway_count, first_gateway)):
             raise BadRequest(400, "X-Weight")
         if (
-            b"." in spread + first
-            or not 0 < float(units) <= self._units_top
-            or not 1 <= int(spread) <= self._gateways
-            or int(first) >= self._gateways
+            b"." in gateway_count + first_gateway
+            or not 0 < float(units) <= self._max_units
+            or not 1 <= int(gateway_count) <= self._gateways
+            or int(first_gateway) >= self._gateways
         ):
             raise BadRequest(400, "X-Weight")
-        return float(units), int(spread), int(first)
+        return float(units), int(gateway_count), int(first_gateway)
--- a/oliveloft/front/listener.py
+++ b/oliveloft/front/listener.py
@@ -1,7 +1,7 @@
-"""The clients' listening socket: accepts connections, also while the system refuses to give descriptors.
+"""The listening socket for clients: accepts connections, and survives a shortage of file descriptors.
 
-The event loop's own server closes a connection that it has no descriptor for, and with it a request that the client may
-have sent already. Here such a connection waits in the socket's queue until there is one.
+The event loop's own server closes a connection that it has no descriptor for, and loses a request that the client may
+have sent already. Here such a connection waits in the socket's backlog until a descriptor is free.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 log = logging.getLogger("oliveloft")
 
-BACKLOG = 1024
-ACCEPT_BATCH = 64  # connections accepted before other events have their turn
-MOST_FAILURES = 8  # in a row that are taken for those of single connections
-ACCEPT_RETRY_SECONDS = 0.01  # after a failure that another attempt may not meet
-NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE))  # one that nobody needs has to be given up first
-# The connection that was to be accepted is gone, or may not be taken; the next one may be (accept(2)).
-CONNECTION_GONE = frozenset(
+BACKLOG = 1024  # connections that the system queues
+ACCEPT_BATCH = 64  # connections accepted before other events are handled
+MAX_CONSECUTIVE_FAILURES = 8  # from this many failures in a row on, accepting pauses after each
+ACCEPT_RETRY_SECONDS = 0.01  # the pause after a failure that may be temporary
+DESCRIPTOR_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE))  # a connection has to be closed first
+# Errors of the one connection that was to be accepted; the next one may be accepted at once (accept(2)).
+CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EPERM,
@@ -40,7 +40,10 @@
 
 
 class ClientListener:
-    """Accepts connections on a listening socket and gives each to a new protocol."""
+    """Accepts connections on a listening socket and serves each with a new protocol.
+
+    `make_room` is called when no descriptor is free, and closes a connection if it can.
+    """
 
     def __init__(
         self,
@@ -60,13 +63,13 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where clients connect."""
+        """The address that clients connect to."""
         assert self._socket is not None
         host, port = self._socket.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
-        """Accept no more; connections that were accepted live on."""
+        """Stop accepting; accepted connections stay open."""
         sock, self._socket = self._socket, None
         if sock is None:
             return
@@ -82,7 +85,7 @@
             try:
                 accepted, _ = self._socket.accept()
             except OSError as error:
-                if not self._goes_on(error):
+                if not self._accept_next(error):
                     return
                 continue
             self._failures, self._warned = 0, False
@@ -91,22 +94,22 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _goes_on(self, error: OSError) -> bool:
-        """Whether to accept the next connection at once after a failure.
+    def _accept_next(self, error: OSError) -> bool:
+        """Return whether to accept the next connection at once after a failure; pause accepting if not.
 
-        A pause follows a failure that is not of a single connection, and one of many failures in a row: the socket
-        stays readable, and would be reported without end.
+        A pause follows a failure that does not concern a single connection, and many failures in a row: the socket
+        stays readable, so the event loop would report it in a busy loop.
         """
         self._failures += 1
-        if self._failures < MOST_FAILURES:
+        if self._failures < MAX_CONSECUTIVE_FAILURES:
             if isinstance(error, BlockingIOError):
                 return False
-            if error.errno in CONNECTION_GONE:
+            if error.errno in CONNECTION_ERRORS:
                 return True
         if not self._warned and not isinstance(error, BlockingIOError):
             self._warned = True
-            log.warning("cannot accept: %s; clients wait in the queue", error)
-        if error.errno in NO_DESCRIPTOR:
+            log.warning("cannot accept client connections: %s; they wait in the backlog", error)
+        if error.errno in DESCRIPTOR_SHORTAGE:
             self._make_room()
         self._pause()
         return False
@@ -115,7 +118,7 @@
         try:
             await self._loop.connect_accepted_socket(self._protocol_factory, accepted)
         except OSError as error:
-            log.warning("a client's connection was lost as it came up: %s", error)
+            log.warning("a client connection was lost while being accepted: %s", error)
             accepted.close()
 
     def _pause(self) -> None:
@@ -129,7 +132,7 @@
 
 
 def listening_socket(address: tuple[str, int]) -> socket.socket:
-    """A socket that listens at an address; OSError says why there is none."""
+    """Create a socket that listens at an address. Raises OSError."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -12,7 +12,7 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.config.loading import address
 
-STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.REMOVED}
+WORKER_STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,18 +27,21 @@
     """The sender of a streamed response."""
 
     def resume(self) -> None:
-        """Continue: the client accepts more data."""
+        """Continue sending: the client accepts more data."""
 
     def cancel(self) -> None:
-        """Stop: nobody reads the response any more."""
+        """Stop sending: the client has disconnected."""
 
 
 class ResponseSink(Protocol):
     """The receiver of a streamed response."""
 
     def begin(self, headers: bytes, length: int | None, source: BodySource) -> None:
-        """The answer begins, of this many bytes if that is known; the source gets `resume` when it takes more
-        again, and `cancel` when nobody is there any more."""
+        """Start the response; `length` is that of its body in bytes, if known.
+
+        `source.resume` is called when the receiver accepts more data again, `source.cancel` when the client has
+        disconnected.
+        """
 
     def write(self, data: bytes) -> bool:
         """Write a chunk; return whether more may follow at once."""
@@ -50,66 +53,73 @@
         """The response cannot be completed: make that visible to the client."""
 
 
-def endpoint(raw: Any) -> tuple[Endpoint, float]:
-    """An entry of the list, and its start in Unix time (seconds; 0: long ago). ValueError says what is wrong."""
-    if not isinstance(raw, dict):
-        raise ValueError("no object")
-    name, state = raw.get("name"), raw.get("status")
+def parse_endpoint(entry_json: Any) -> tuple[Endpoint, float]:
+    """Parse an entry of the discovery list; return it with its start in Unix time (seconds; 0: long ago).
+
+    Raises ValueError.
+    """
+    if not isinstance(entry_json, dict):
+        raise ValueError("not an object")
+    name, state = entry_json.get("name"), entry_json.get("status")
     if not isinstance(name, str) or not name:
-        raise ValueError("name: missing or no text")
-    if state not in STATES:
+        raise ValueError("name: missing or not a string")
+    if state not in WORKER_STATES:
         raise ValueError(f"status: {state!r}")
-    where = ("", 0) if state == "removed" else address(raw.get("address"))
-    zone, cell = raw.get("zone", ""), raw.get("group", 0)
+    worker_address = ("", 0) if state == "removed" else address(entry_json.get("address"))
+    zone, cell = entry_json.get("zone", ""), entry_json.get("group", 0)
     if not isinstance(zone, str) or not isinstance(cell, int):
-        raise ValueError("zone or group")
-    size, since = raw.get("weight", 1.0), raw.get("since_ms", 0) or 0
+        raise ValueError("zone: not a string, or group: not an integer")
+    size, since = entry_json.get("weight", 1.0), entry_json.get("since_ms", 0) or 0
     for value in (size, since):
         if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < 1e15:
-            raise ValueError(f"weight or since_ms: {value!r}")
+            raise ValueError(f"weight or since_ms: not a number in the allowed range: {value!r}")
     entry = interface.WorkerEntry(
         worker=name,
         zone=zone,
         cell=cell,
-        state=STATES[state],
+        state=WORKER_STATES[state],
         size=float(size),
     )
-    return Endpoint(entry, where), since / 1000
+    return Endpoint(entry, worker_address), since / 1000
 
 
 class DiscoveryUpdate:
-    """An update from discovery. Start times are unknown until `date` is called."""
+    """A parsed update from discovery: a snapshot (`whole`) or a delta, of version `index`.
+
+    `skipped` is the error of the last malformed entry, or empty. Start times are unknown until `date` is called.
+    Raises ValueError if the update as a whole is malformed.
+    """
 
-    __slots__ = ("index", "whole", "endpoints", "skipped", "_starts")
+    __slots__ = ("index", "whole", "endpoints", "skipped", "_start_times")
 
-    def __init__(self, raw: Any) -> None:
-        if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
-            raise ValueError("no list of endpoints")
-        index = raw.get("index")
+    def __init__(self, update_json: Any) -> None:
+        if not isinstance(update_json, dict) or not isinstance(update_json.get("endpoints"), list):
+            raise ValueError("endpoints: missing or not a list")
+        index = update_json.get("index")
         if not isinstance(index, int) or isinstance(index, bool):
             raise ValueError(f"index: {index!r}")
-        self.index, self.whole = index, bool(raw.get("snapshot"))
+        self.index, self.whole = index, bool(update_json.get("snapshot"))
         self.endpoints: list[Endpoint] = []
-        self._starts: list[float] = []
+        self._start_times: list[float] = []
         self.skipped = ""
-        for item in raw["endpoints"]:
+        for item in update_json["endpoints"]:
             try:
-                found, start = endpoint(item)
+                found, start = parse_endpoint(item)
             except ValueError as error:
                 self.skipped = str(error)
                 continue
             self.endpoints.append(found)
-            self._starts.append(start)
+            self._start_times.append(start)
 
     def date(self, times: StartTimes, now: float) -> None:
-        """Set the start times of the endpoints; only for an update that is applied."""
-        there = set()
-        for place, (found, wall) in enumerate(zip(self.endpoints, self._starts, strict=True)):
+        """Set the start times of the endpoints; call it only for an update that is applied."""
+        listed = set()
+        for position, (found, started_wall) in enumerate(zip(self.endpoints, self._start_times, strict=True)):
             name = found.entry.worker
             if found.entry.state == interface.REMOVED:
                 times.forget(name)
                 continue
-            there.add(name)
-            if (started := times.started(now, name, wall)) is not None:
-                self.endpoints[place] = replace(found, entry=replace(found.entry, started=started))
-        times.listed(self.whole, there)
+            listed.add(name)
+            if (started := times.started(now, name, started_wall)) is not None:
+                self.endpoints[position] = replace(found, entry=replace(found.entry, started=started))
+        times.listed(self.whole, listed)
--- a/tests/backend/test_connections.py
+++ b/tests/backend/test_connections.py
@@ -1,4 +1,4 @@
-"""Worker connections: what is used again, what is not, and what drains do to them."""
+"""Connections to workers: which are reused, which are closed, and what a drain does to them."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from rig.fake_servers import Client, Worker, answer, reset, run, scene, until
 
 
-def held() -> tuple[asyncio.Event, object]:
-    """An event, and a script that answers once it is set."""
+def gated_answer() -> tuple[asyncio.Event, object]:
+    """An event, and a worker script that answers once it is set."""
     event = asyncio.Event()
 
     async def script(request, writer):
@@ -17,7 +17,7 @@
     return event, script
 
 
-def test_a_connection_is_used_again():
+def test_a_connection_is_reused():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
@@ -28,11 +28,11 @@
     run(scenario())
 
 
-def test_the_most_recent_connection_is_used_first():
+def test_the_most_recently_used_connection_is_reused_first():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, _, client):
-            first, second = held(), held()
+            first, second = gated_answer(), gated_answer()
             other = await gatekeeper.client()
             worker.script = first[1]
             client.send(Client.request("write"))
@@ -46,13 +46,13 @@
             assert (await client.receive()).status == 200
             worker.script = answer()
             assert (await client.ask("write")).status == 200
-            assert worker.over == [1, 2, 1]  # the first one was free last
+            assert worker.over == [1, 2, 1]  # the first connection became idle last
 
     run(scenario())
 
 
-def test_what_is_spoilt_is_not_used_again():
-    async def stray(request, writer):
+def test_a_connection_with_unsolicited_data_or_an_announced_close_is_not_reused():
+    async def unsolicited(request, writer):
         await answer()(request, writer)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 
@@ -64,7 +64,7 @@
         worker = Worker("w")
         twice = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndoneHTTP/1.1 500 X\r\n\r\n"
         async with scene(worker) as (_, _, client):
-            for script in (stray, closing, answer(headers="Connection: close\r\n"), answer(raw=twice)):
+            for script in (unsolicited, closing, answer(headers="Connection: close\r\n"), answer(raw=twice)):
                 worker.script = script
                 assert (await client.ask("write")).body == b"done"
                 await until(lambda: worker.closed == worker.connections)
@@ -73,7 +73,7 @@
     run(scenario())
 
 
-def test_stray_bytes_on_an_idle_connection_end_it():
+def test_unsolicited_bytes_on_an_idle_connection_close_it():
     async def scenario():
         writers = []
 
@@ -103,7 +103,7 @@
     run(scenario())
 
 
-def test_worker_connections_are_bounded_and_idle_ones_make_room():
+def test_worker_connections_are_limited_and_idle_ones_are_closed_to_make_room():
     async def scenario():
         workers = [Worker(f"w{n}") for n in range(12)]
         async with scene(*workers, sockets=64) as (_, _, client):  # room for 7 connections to workers
@@ -114,9 +114,9 @@
     run(scenario())
 
 
-def test_a_draining_worker_gets_nothing_new_and_what_it_has_is_finished():
+def test_a_draining_worker_gets_no_new_request_and_completes_those_in_flight():
     async def scenario():
-        event, script = held()
+        event, script = gated_answer()
         worker, other = Worker("w", script), Worker("v")
         async with scene(worker) as (gatekeeper, discovery, client):
             client.send(Client.request("write"))
@@ -129,13 +129,13 @@
                 assert (await second.ask("write")).status == 200
             event.set()
             assert (await client.receive()).status == 200
-            await until(lambda: worker.closed == 1)  # idle now, and of no more use
+            await until(lambda: worker.closed == 1)  # idle now, and not needed any more
             assert len(worker.seen) == 1 and len(other.seen) == 5
 
     run(scenario())
 
 
-def test_a_worker_back_at_a_new_address_or_start_is_a_fresh_process():
+def test_a_worker_with_a_new_address_or_start_time_is_a_new_incarnation():
     async def scenario():
         old, new = Worker("w"), Worker("w")
         async with scene(old) as (_, discovery, client):
@@ -152,7 +152,7 @@
     run(scenario())
 
 
-def test_a_removed_worker_gets_nothing_and_its_idle_connection_is_closed():
+def test_a_removed_worker_gets_no_request_and_its_idle_connection_is_closed():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, discovery, client):
@@ -164,13 +164,13 @@
     run(scenario())
 
 
-def test_connections_that_die_at_rest_are_soon_rested_no_longer():
+def test_the_idle_timeout_shrinks_when_idle_connections_fail_on_reuse():
     async def scenario():
         loop, last = asyncio.get_running_loop(), {}
 
-        async def forgetful(request, writer):  # it has forgotten what has rested for 50 ms, and tells nobody
-            rested = loop.time() - last.get(writer, loop.time())
-            await (answer() if rested < 0.05 else reset)(request, writer)
+        async def forgetful(request, writer):  # drops connections that were idle for 50 ms, without a close
+            idle_seconds = loop.time() - last.get(writer, loop.time())
+            await (answer() if idle_seconds < 0.05 else reset)(request, writer)
             last[writer] = loop.time()
 
         worker = Worker("w", forgetful)
@@ -184,13 +184,13 @@
     run(scenario())
 
 
-def test_a_rest_is_given_up_only_where_new_connections_do_better_and_is_tried_again_later():
-    for new_break, given_up in ((0, True), (1, False)):
-        rest = IdleTimeout(8.0, 0.0)
+def test_an_idle_time_is_excluded_only_if_new_connections_do_better_and_is_tried_again_later():
+    for new_connections_fail, excluded in ((0, True), (1, False)):
+        idle_timeout = IdleTimeout(8.0, 0.0)
         for n in range(40):
-            rest.tell(None, bool(new_break and n % 2))
-            rest.tell(0.01, False)
-            rest.tell(1.5, n % 2 == 0)
-        assert (0.01 < rest.limit <= 1.5) is given_up
-        rest.look(300.0)
-        assert rest.limit == 8.0
+            idle_timeout.record(None, bool(new_connections_fail and n % 2))
+            idle_timeout.record(0.01, False)
+            idle_timeout.record(1.5, n % 2 == 0)
+        assert (0.01 < idle_timeout.limit_seconds <= 1.5) is excluded
+        idle_timeout.decay(300.0)
+        assert idle_timeout.limit_seconds == 8.0
--- a/tests/backend/test_losses.py
+++ b/tests/backend/test_losses.py
@@ -1,4 +1,4 @@
-"""Answers that get lost on the way from workers that live: what they may cost, and what not."""
+"""Lost responses of healthy workers: the request may fail, but other requests must not be delayed."""
 
 import asyncio
 from collections import Counter
@@ -8,14 +8,14 @@
 from rig.fake_servers import Message, Worker, answer, hang, run, scene, until
 
 
-async def loses_writes(request: Message, writer: asyncio.StreamWriter) -> None:
+async def lose_write_responses(request: Message, writer: asyncio.StreamWriter) -> None:
     """A script that serves reads and never answers a write."""
     await (hang if request.first.startswith("POST") else answer())(request, writer)
 
 
-def test_lost_answers_hold_nothing_else_up():
+def test_lost_responses_delay_no_other_request():
     async def scenario():
-        workers = [Worker(name, loses_writes) for name in "uvw"]
+        workers = [Worker(name, lose_write_responses) for name in "uvw"]
         async with scene(*workers) as (gatekeeper, _, client):
             for _ in range(30):
                 assert (await client.ask("read")).status == 200
@@ -34,12 +34,12 @@
     run(scenario())
 
 
-def test_a_worker_that_lost_an_answer_is_tried_again_long_before_the_deadline():
+def test_a_worker_that_lost_a_response_is_used_again_long_before_the_deadline():
     d = Driver(1, hedging=False)
     d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b"),)))
     answered(d, 30)
-    d.ask("write")  # lost: nothing ever comes of it
-    (near,) = {"w0", "far"} - set(answered(d, 40)[25:])  # left alone, as stalled
+    d.ask("write")  # its response is lost
+    (near,) = {"w0", "far"} - set(answered(d, 40)[25:])  # not used while it counts as stalled
     seen = []
     for _ in range(40):  # the other is busy
         d.pass_time(0.01)
@@ -50,15 +50,15 @@
     assert d.now < 4.0 and seen.count(near) > 3
 
 
-def test_what_may_not_be_repeated_keeps_away_from_where_answers_get_lost():
-    met: dict[str, Counter[str]] = {"read": Counter(), "write": Counter()}
+def test_requests_that_must_not_run_twice_avoid_workers_that_lose_responses():
+    sent: dict[str, Counter[str]] = {"read": Counter(), "write": Counter()}
     d = Driver()
     for n in range(600):
         klass = ("read", "write")[n % 2]
         name, actions = d.ask(klass, after=0.02)
         (worker,) = sends(actions)
         if n > 300:
-            met[klass][worker] += 1
+            sent[klass][worker] += 1
         lost = worker in ("w0", "w3") and n % 3 == 0
         d.answer(
             name,
@@ -68,12 +68,12 @@
             took=0.02,
             terminal=True,
         )
-    bad = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in met.items()}
-    assert bad["write"] < 0.06  # a third loses them
+    bad = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in sent.items()}
+    assert bad["write"] < 0.06  # those workers lose a third of the responses
 
 
-def test_a_worker_that_loses_one_class_is_spared_it_and_keeps_the_other():
-    met: dict[str, Counter[str]] = {"read": Counter(), "write": Counter()}
+def test_a_worker_that_loses_the_responses_of_one_class_gets_less_of_it_and_as_much_of_the_other():
+    sent: dict[str, Counter[str]] = {"read": Counter(), "write": Counter()}
     d = Driver(hedging=False)
     answered(d, 30)
     losing(d)
@@ -84,18 +84,18 @@
         for other, place in asked:
             d.answer(other, place, after=0.002, took=0.02)
         if n > 30:
-            met["read"][worker] += 1
-            met["write"].update(place for _, place in asked)
+            sent["read"][worker] += 1
+            sent["write"].update(place for _, place in asked)
         while worker in ("w0", "w3"):
             actions = d.pass_time(0.01)
-            if actions:  # it is given up, and sent again
+            if actions:  # the attempt is cancelled, and retried at another worker
                 (worker,) = sends(d.answer(name, worker, interface.CANCELLED))
         d.answer(name, worker, after=0.01, took=0.02)
-    shares = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in met.items()}
+    shares = {klass: (seen["w0"] + seen["w3"]) / seen.total() for klass, seen in sent.items()}
     assert shares["read"] < 0.25 < shares["write"]
 
 
-def test_under_control_what_a_lossy_worker_swallows_has_its_second_chance_and_signals_nothing():
+def test_during_overload_control_a_response_lost_by_a_lossy_worker_is_retried_and_is_no_overload_signal():
     for losses, expected in ((4, 1), (0, 0)):
         d = Driver(1, hedging=False)
         answered(d, 60)
@@ -108,7 +108,7 @@
         d.gateway.throttle._due = d.now + 9.0
         name, actions = d.ask()
         d.give(interface.WorkerList((interface.WorkerEntry("far", zone="b"),)))
-        d.gateway.fleet.recent._missed = 900.0  # silence would be taken for load
+        d.gateway.fleet.recent._missed = 900.0  # a missing response would count as a sign of overload
         assert d.pass_time(0.9).count(interface.Cancel(name, 0)) == expected
         d.pass_time(0.2)
         assert len(d.gateway.throttle._signals) == 1 - expected
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch: where it starts, what it skips, and what it does when discovery fails."""
+"""The discovery watch: its start, malformed input, and failures of discovery."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 from rig.fake_servers import BusyDiscovery, Discovery, Worker, config, launch, run, scene, until
 
 
-def watch_of(agent, told, offset=0.0, **how):
-    """A watch on an agent that appends to `told`."""
+def watch_of(agent, updates, offset=0.0, **options):
+    """A watch on an agent that appends its updates to `updates`."""
     loop = asyncio.get_running_loop()
-    return DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(offset), told.append, **how)
+    return DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(offset), updates.append, **options)
 
 
-def test_it_starts_from_what_it_knew_while_discovery_is_down():
+def test_a_gatekeeper_starts_from_its_known_list_while_discovery_is_down():
     async def scenario():
         worker = await Worker("w").start()
         discovery = Discovery([worker.entry()])
@@ -30,7 +30,7 @@
             assert (await (await gatekeeper.client()).ask("write")).status == 200
             await gatekeeper.logged("keeping the list")
             other = await Worker("v").start()
-            discovery.entries, discovery.index = [other.entry()], 2  # the whole list: w is gone
+            discovery.entries, discovery.index = [other.entry()], 2  # a snapshot without w
             await discovery.start()
             await until(lambda: worker.closed == 1)
             assert (await (await gatekeeper.client()).ask("write")).status == 200 and len(other.seen) == 1
@@ -41,7 +41,7 @@
     run(scenario())
 
 
-def test_watches_follow_one_another_and_name_the_last_version():
+def test_calls_follow_one_another_and_name_the_last_version():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, discovery, client):
@@ -57,7 +57,7 @@
     run(scenario())
 
 
-def test_malformed_entries_are_skipped_with_a_line_and_the_rest_is_taken():
+def test_malformed_entries_are_skipped_and_logged_and_the_others_are_applied():
     async def scenario():
         worker, other = Worker("w"), Worker("v")
         await other.start()
@@ -84,7 +84,7 @@
     run(scenario())
 
 
-def test_a_failing_answer_keeps_the_list_and_is_asked_again():
+def test_after_a_failed_answer_the_list_is_kept_and_discovery_is_called_again():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, discovery, client):
@@ -97,7 +97,7 @@
                 asked, discovery.raw = len(discovery.asked), raw
                 discovery.change()
                 await until(lambda: len(discovery.asked) > asked + 1)  # noqa: B023
-                # Turned away, it asks for what came since; what cannot be read makes it ask for the whole list.
+                # After an error status it asks for the changes; after a malformed answer for a snapshot.
                 assert discovery.asked[-1].startswith("/v1/servers?index=" if b"500" in raw else "/v1/servers")
                 assert b"500" in raw or discovery.asked[-1] == "/v1/servers"
                 discovery.raw = None
@@ -107,7 +107,7 @@
     run(scenario())
 
 
-def test_an_answer_that_closes_its_connection_is_followed_by_the_next_watch():
+def test_an_answer_that_closes_its_connection_is_followed_by_the_next_call():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, discovery, client):
@@ -122,48 +122,51 @@
     run(scenario())
 
 
-def test_a_silent_agent_is_left_and_an_open_wait_is_not(monkeypatch):
+def test_an_unresponsive_agent_is_called_again_and_an_open_long_poll_is_not_cut_short(monkeypatch):
     monkeypatch.setattr(policy, "WAIT_SECONDS", 0.05)
     monkeypatch.setattr(policy, "ANSWER_TIMEOUT_SECONDS", 0.2)
-    told: list[DiscoveryUpdate] = []
+    updates: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = await Discovery([{"name": "w", "address": "h:1", "status": "up", "since_ms": 5000}]).start()
-        watch = watch_of(agent, told, offset=2.0)
+        watch = watch_of(agent, updates, offset=2.0)
         watch.start()
-        await until(lambda: len(agent.asked) > 4)  # waits that ended with no change
-        assert agent.asked.count("/v1/servers") == 1 and told[0].whole and not told[1].whole
+        await until(lambda: len(agent.asked) > 4)  # long polls that ended with no change
+        assert agent.asked.count("/v1/servers") == 1 and updates[0].whole and not updates[1].whole
         assert len(agent._ends) == 1  # all over one connection
-        assert told[0].endpoints[0].entry.started == 3.0  # on the loop's clock
+        assert updates[0].endpoints[0].entry.started == 3.0  # on the loop's clock
         agent.silent = True
         before = len(agent.asked)
-        await until(lambda: len(agent.asked) > before + 2)  # left twice, with no list lost
-        assert agent.asked.count("/v1/servers") == 1  # only what came since is asked for
-        agent.silent, agent.index, heard = False, 5, len(told)
-        await until(lambda: len(told) > heard)
-        assert told[heard].whole  # since it had missed so much
+        await until(lambda: len(agent.asked) > before + 2)  # called twice more, with no list lost
+        assert agent.asked.count("/v1/servers") == 1  # it asks for the changes only
+        agent.silent, agent.index, update_count = False, 5, len(updates)
+        await until(lambda: len(updates) > update_count)
+        assert updates[update_count].whole  # a snapshot, since it had missed so many versions
         watch.stop()
         agent.stop()
 
     run(scenario())
 
 
-def test_forty_that_start_together_on_a_slow_service_all_hear_it_and_call_it_a_bounded_number_of_times(monkeypatch):
-    """A service that takes a call at a time, and turns away what would wait for longer than it lets callers wait."""
-    many = 40  # all forty at once would be too many
+def test_forty_gatekeepers_that_start_together_on_a_slow_service_are_all_served_by_a_bounded_number_of_calls(
+    monkeypatch,
+):
+    """The service handles one call at a time, and refuses calls that would wait for too long."""
+    gatekeeper_count = 40  # too many calls at the same time for the service
     monkeypatch.setattr(policy, "EACH_SECONDS", 0.006)
-    told: dict[int, list[DiscoveryUpdate]] = {n: [] for n in range(many)}
+    updates: dict[int, list[DiscoveryUpdate]] = {n: [] for n in range(gatekeeper_count)}
 
     async def scenario():
         service = BusyDiscovery(0.004, 0.04)
-        loop, where = asyncio.get_running_loop(), await service.start()
+        loop, address = asyncio.get_running_loop(), await service.start()
         watches = [
-            DiscoveryWatch(loop, where, StartTimes(0.0), told[n].append, 3, many, n, seed=n) for n in range(many)
+            DiscoveryWatch(loop, address, StartTimes(0.0), updates[n].append, 3, gatekeeper_count, n, seed=n)
+            for n in range(gatekeeper_count)
         ]
         for watch in watches:
             watch.start()
-        await until(lambda: all(told.values()))
-        assert service.served == many and service.calls <= 2 * many
+        await until(lambda: all(updates.values()))
+        assert service.served == gatekeeper_count and service.calls <= 2 * gatekeeper_count
         for watch in watches:
             watch.stop()
         service.stop()
@@ -171,22 +174,22 @@
     run(scenario())
 
 
-def test_a_shared_service_that_is_slower_than_the_caller_waits_is_given_longer_each_time(monkeypatch):
+def test_the_timeout_of_a_shared_service_that_answers_too_late_doubles(monkeypatch):
     monkeypatch.setattr(policy, "ANSWER_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(policy, "SHARED_BACKOFF_SECONDS", 0.01)
     monkeypatch.setattr(policy, "EACH_SECONDS", 0.001)
-    told: list[DiscoveryUpdate] = []
+    updates: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = await Discovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
         agent.silent = True
-        watch = watch_of(agent, told, gatekeepers=2)
+        watch = watch_of(agent, updates, gatekeepers=2)
         watch.start()
         await until(lambda: len(agent.asked) == 4)
-        assert watch._answer_timeout_seconds >= 0.4 and not told
+        assert watch._answer_timeout_seconds >= 0.4 and not updates
         agent.silent = False
-        await until(lambda: bool(told))
-        assert told[0].whole
+        await until(lambda: bool(updates))
+        assert updates[0].whole
         await until(lambda: watch._answer_timeout_seconds <= 0.2)  # halved with each answer
         watch.stop()
         agent.stop()
@@ -195,19 +198,19 @@
 
 
 @pytest.mark.parametrize("gatekeepers", [1, 2])
-def test_an_answer_that_comes_long_after_its_time_out_is_taken(gatekeepers):
-    told: list[DiscoveryUpdate] = []
+def test_an_answer_long_after_its_timeout_is_applied(gatekeepers):
+    updates: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = FakeAgent([{"name": "w", "address": "h:1", "status": "up"}])
-        agent.faults.delay_seconds = lambda: 2.0  # longer than any first time-out
+        agent.faults.delay_seconds = lambda: 2.0  # longer than any first timeout
         await agent.start()
         loop = asyncio.get_running_loop()
-        watch = watch_of(agent, told, gatekeepers=gatekeepers)
+        watch = watch_of(agent, updates, gatekeepers=gatekeepers)
         watch.start()
         began = loop.time()
-        await until(lambda: bool(told))
-        assert loop.time() - began < 2.5  # that of the first call: no later one could have been answered yet
+        await until(lambda: bool(updates))
+        assert loop.time() - began < 2.5  # the answer to the first call: no later one could have been answered yet
         assert len(agent.calls) <= 2.0 / policy.SNAPSHOT_INTERVAL_SECONDS + 2
         watch.stop()
         agent.stop()
@@ -215,23 +218,23 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("silent_seconds", [0.0, 0.5, 3.0, 20.0])
+@pytest.mark.parametrize("outage_seconds", [0.0, 0.5, 3.0, 20.0])
 @pytest.mark.parametrize("delay", [0.05, 0.2, 0.4, 0.8, 1.2, 1.8, 3.0, 5.0, 8.0])
-def test_however_late_an_agent_answers_after_a_silence_some_call_is_left_open_for_so_long(delay, silent_seconds):
-    """Calls that were made while it was silent are never answered."""
+def test_some_call_stays_open_for_long_enough_however_late_an_agent_answers_after_an_outage(delay, outage_seconds):
+    """Calls that were made while the agent was unresponsive are never answered."""
     calls, now = [], 0.0
-    while not any(made >= silent_seconds and now - made >= delay for made in calls):
-        calls = [made for made in calls if now - made <= policy.PATIENCE_SECONDS]
+    while not any(made >= outage_seconds and now - made >= delay for made in calls):
+        calls = [made for made in calls if now - made <= policy.OPEN_CALL_TIMEOUT_SECONDS]
         if len(calls) >= policy.OWN_AGENT_OPEN_CALLS:
             del calls[policy.call_to_drop([now - made for made in calls])]
         calls.append(now)
         now += policy.PROBE_INTERVAL_SECONDS
-        assert now < silent_seconds + 2.5 * delay + 0.5
-    assert now >= silent_seconds + delay
+        assert now < outage_seconds + 2.5 * delay + 0.5
+    assert now >= outage_seconds + delay
 
 
-def test_a_late_answer_that_a_later_one_has_overtaken_changes_nothing():
-    told: list[DiscoveryUpdate] = []
+def test_a_late_answer_that_is_older_than_the_list_changes_nothing():
+    updates: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = FakeAgent([{"name": "w", "address": "h:1", "status": "up"}], index=3)
@@ -239,62 +242,63 @@
         agent.faults.delay_seconds = lambda: next(delays, 0.0)
         agent.faults.always_snapshot = True
         await agent.start()
-        watch = watch_of(agent, told, index=3)
+        watch = watch_of(agent, updates, index=3)
         watch.start()
         await until(lambda: len(agent.calls) >= 1)
-        await agent.change({"name": "w", "address": "h:1", "status": "draining"})  # the second call's answer has it
-        await until(lambda: bool(told))
-        await asyncio.sleep(0.8)  # the first one's, of the version before, would have come
-        assert {news.index for news in told} == {4} and watch.index == 4
-        assert all(news.endpoints[0].entry.state == "draining" for news in told)
+        # Reported by the answer to the second call.
+        await agent.change({"name": "w", "address": "h:1", "status": "draining"})
+        await until(lambda: bool(updates))
+        await asyncio.sleep(0.8)  # the first answer, of the version before, has arrived
+        assert {update.index for update in updates} == {4} and watch.index == 4
+        assert all(update.endpoints[0].entry.state == "draining" for update in updates)
         watch.stop()
         agent.stop()
 
     run(scenario())
 
 
-def test_an_old_snapshot_is_taken_only_as_the_answer_to_a_call_for_the_whole_list():
-    """Its agent may have begun anew; but a snapshot that was held up on its way brings no draining endpoint back."""
-    told: list[DiscoveryUpdate] = []
+def test_an_old_snapshot_is_applied_only_as_the_answer_to_a_call_for_a_snapshot():
+    """The agent may have restarted; but a delayed old snapshot must not make a draining worker healthy again."""
+    updates: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = FakeAgent([{"name": "w", "address": "h:1", "status": "draining"}], index=7)
         answers, compose = [], agent._compose
 
-        async def held_up(path):
+        async def delayed(path):
             if "index=7&" in path and not answers:
                 answers.append(path)
                 return b'{"index":5,"snapshot":true,"endpoints":[{"name":"w","address":"h:1","status":"up"}]}'
             return await compose(path)
 
-        agent._compose = held_up
+        agent._compose = delayed
         await agent.start()
-        watch = watch_of(agent, told)
+        watch = watch_of(agent, updates)
         watch.start()
-        await until(lambda: len(told) > 1)
-        assert answers and agent.calls.count("/v1/servers") == 2  # asked for anew
-        assert [news.endpoints[0].entry.state for news in told] == ["draining"] * len(told)
+        await until(lambda: len(updates) > 1)
+        assert answers and agent.calls.count("/v1/servers") == 2  # asked for again
+        assert [update.endpoints[0].entry.state for update in updates] == ["draining"] * len(updates)
         watch.stop()
         agent.stop()
 
     run(scenario())
 
 
-def test_versions_that_begin_anew_are_noticed_and_the_whole_list_is_asked_for():
-    told: list[DiscoveryUpdate] = []
+def test_versions_that_start_again_from_the_beginning_cause_a_call_for_a_snapshot():
+    updates: list[DiscoveryUpdate] = []
 
     async def scenario():
         agent = await Discovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
         agent.index = 7
-        watch = watch_of(agent, told, index=7)
+        watch = watch_of(agent, updates, index=7)
         watch.start()
         await agent.watched()
         agent.raw = b'HTTP/1.1 200 OK\r\nContent-Length: 48\r\n\r\n{"index": 2, "snapshot": false, "endpoints": []}'
         agent.change()
         await until(lambda: "/v1/servers" in agent.asked)
         agent.raw = None
-        await until(lambda: bool(told))
-        assert told[0].whole and told[0].endpoints[0].entry.worker == "w"
+        await until(lambda: bool(updates))
+        assert updates[0].whole and updates[0].endpoints[0].entry.worker == "w"
         watch.stop()
         agent.stop()
 
--- a/tests/endings/test_client_disconnects.py
+++ b/tests/endings/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that leave while their request waits: nothing of it reaches a worker, and what it took is given back."""
+"""Clients that disconnect while their request waits: it reaches no worker, and its quota is returned."""
 
 import asyncio
 import socket
@@ -10,15 +10,15 @@
 from rig.driver import Driver, sends
 from rig.fake_servers import Client, Plugged, Worker, answer, hang, once, run, scene, tcp_states, until
 
-SLOW = {"Caps": {"ConnectTimeoutUs": 10_000_000}}  # so that only a client's leaving ends what is coming up
+SLOW = {"Caps": {"ConnectTimeoutUs": 10_000_000}}  # long enough that only the disconnect ends the attempt
 
 
-def left_open(port: int) -> int:
-    """How many clients of a gatekeeper have closed, and it has not: CLOSE-WAIT."""
+def count_close_wait(port: int) -> int:
+    """The number of connections that the client has closed and the gatekeeper has not (CLOSE-WAIT)."""
     return tcp_states(port, "08", local=True)
 
 
-def leave(client: Client, how: str) -> None:
+def disconnect(client: Client, how: str) -> None:
     """Close a client's connection with a FIN or with a reset."""
     if how == "RST":
         client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -26,24 +26,25 @@
 
 
 @pytest.mark.parametrize("how", ["FIN", "RST"])
-@pytest.mark.parametrize(("klass", "many"), [("read", 1), ("write", 1), ("write", 20)])
-def test_leaving_while_the_connection_to_the_worker_comes_up(klass, many, how):
+@pytest.mark.parametrize(("klass", "client_count"), [("read", 1), ("write", 1), ("write", 20)])
+def test_a_disconnect_while_the_connection_to_the_worker_is_established_sends_nothing(klass, client_count, how):
     async def scenario():
         worker = Plugged("w")
         async with scene(worker, changes=SLOW) as (gatekeeper, _, client):
-            plugs = worker.coming
-            gone = [await gatekeeper.client() for _ in range(many)]
-            for one in gone:
+            initial = worker.coming
+            clients = [await gatekeeper.client() for _ in range(client_count)]
+            for one in clients:
                 one.send(one.request(klass, timeout="3.9"))
-            await until(lambda: worker.coming == plugs + many)
-            for one in gone:
-                leave(one, how)
+            await until(lambda: worker.coming == initial + client_count)
+            for one in clients:
+                disconnect(one, how)
                 await one.writer.wait_closed()
-            await gatekeeper.health()  # answered behind whatever came before: it has seen them leave
-            await until(lambda: left_open(gatekeeper.port) == 0)
+            await gatekeeper.health()  # answered after earlier events: the gatekeeper has seen the disconnects
+            await until(lambda: count_close_wait(gatekeeper.port) == 0)
             await worker.open()
-            await until(lambda: worker.coming == 0)  # all that was coming up stands: what is written goes through
-            for _ in range(many + 1):
+            # All connections are established: what is written reaches the worker.
+            await until(lambda: worker.coming == 0)
+            for _ in range(client_count + 1):
                 assert (await client.ask("write", timeout="3.9", id="stays")).status == 200
             assert {message.id for message in worker.seen} == {"stays"}
 
@@ -51,7 +52,7 @@
 
 
 @pytest.mark.parametrize("how", ["FIN", "RST"])
-def test_leaving_while_reading_is_paused_sends_nothing_of_what_is_queued(how):
+def test_a_disconnect_while_reading_is_paused_drops_the_queued_requests(how):
     async def scenario():
         worker, go = Worker("w"), asyncio.Event()
         worker.script = once(go)
@@ -59,16 +60,16 @@
             other = await gatekeeper.client()
             client.send(b"".join(client.request("write", timeout="3.9", id=f"queued{n}") for n in range(20)))
             await until(lambda: worker.seen)
-            leave(client, how)
+            disconnect(client, how)
             await client.writer.wait_closed()
-            go.set()  # its first reply is due, and what is queued behind it would be next
+            go.set()  # the first reply is sent, and the first queued request would be next
             assert (await other.ask("write", id="other")).status == 200
             assert [m.id for m in worker.seen] == ["queued0", "other"]
 
     run(scenario())
 
 
-def test_leaving_while_reading_is_paused_is_seen_long_before_the_reply():
+def test_a_disconnect_while_reading_is_paused_is_detected_long_before_the_reply():
     async def scenario():
         worker = Worker("w", hang)
         async with scene(worker) as (gatekeeper, _, client):
@@ -76,16 +77,16 @@
             await until(lambda: worker.seen)
             began = asyncio.get_running_loop().time()
             client.writer.close()
-            await until(lambda: left_open(gatekeeper.port) == 1)
-            await until(lambda: left_open(gatekeeper.port) == 0)
-            assert asyncio.get_running_loop().time() - began < 2.0  # and not with the reply
+            await until(lambda: count_close_wait(gatekeeper.port) == 1)
+            await until(lambda: count_close_wait(gatekeeper.port) == 0)
+            assert asyncio.get_running_loop().time() - began < 2.0  # not only with the reply
             assert len(worker.seen) == 1
 
     run(scenario())
 
 
 @pytest.mark.parametrize("klass", ["read", "write"])
-def test_what_a_worker_has_runs_to_its_end_and_its_connection_is_kept(klass):
+def test_a_request_that_a_worker_has_completely_runs_to_its_end_and_its_connection_is_reused(klass):
     async def scenario():
         worker, go = Worker("w"), asyncio.Event()
         worker.script = once(go)
@@ -94,7 +95,7 @@
             await until(lambda: worker.seen)
             client.writer.close()
             await client.writer.wait_closed()
-            await until(lambda: left_open(gatekeeper.port) == 0)
+            await until(lambda: count_close_wait(gatekeeper.port) == 0)
             other = await gatekeeper.client()
             worker.script = answer()
             go.set()
@@ -106,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "back"),
+    ("status", "returned"),
     [
         (interface.NOT_SENT, True),
         (interface.UNREACHABLE, True),
@@ -115,7 +116,7 @@
         (interface.CANCELLED, False),
     ],
 )
-def test_units_and_ceiling_go_back_where_no_worker_had_the_request(status, back):
+def test_units_return_to_quota_and_ceiling_if_no_worker_received_the_request(status, returned):
     plan = interface.Plan("free", rate=1.0, burst=8.0, ceiling_rate=2.0, ceiling_capacity=16.0, ceiling_slack=1.0)
     d = Driver(plans=(plan,))
     d.pass_time(60.0)
@@ -125,7 +126,7 @@
     before = account.balance, account.ceiling_balance, account.quota_estimate.level
     d.give(interface.ClientDisconnected(name))
     d.answer(name, worker, status)
-    more = 3.0 if back else 0.0
+    more = 3.0 if returned else 0.0
     assert account.balance == pytest.approx(before[0] + more, abs=0.2)
     assert account.ceiling_balance == pytest.approx(before[1] + more, abs=0.2)
     assert account.quota_estimate.level == pytest.approx(before[2] + more, abs=0.2)
--- a/tests/endings/test_hedges.py
+++ b/tests/endings/test_hedges.py
@@ -1,4 +1,4 @@
-"""A second copy whose connection comes up after the answer: it is never written."""
+"""A hedge whose connection is established after the final reply is never written."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
 )
 
 
-class Module:
-    """In the module's place: two copies of each request at once, and nothing is ever called off."""
+class FakeGateway:
+    """A fake gateway that sends two attempts of each request at once and cancels none."""
 
     def __init__(self):
         self.outcomes = []
@@ -25,24 +25,24 @@
         if isinstance(event, interface.Outcome):
             self.outcomes.append((event.worker, event.status, event.terminal))
         return (
-            [interface.Send("r", "here"), interface.Send("r", "there")] if isinstance(event, interface.Request) else []
+            [interface.Send("r", "fast"), interface.Send("r", "slow")] if isinstance(event, interface.Request) else []
         )
 
 
 @pytest.mark.parametrize("raw", [None, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 100_000])
-def test_a_copy_that_comes_up_after_the_final_answer_is_not_sent_on(raw):
-    """Also where that is a long answer, which is over for the module as soon as it begins."""
+def test_a_hedge_whose_connection_is_established_after_the_final_reply_is_not_sent(raw):
+    """Also if the response is streamed, which ends the request for the gateway as soon as it starts."""
 
     async def scenario():
-        loop, replies, module = asyncio.get_running_loop(), [], Module()
-        here, there = await Worker("here", answer(raw=raw)).start(), await Plugged("there").start()
+        loop, replies, gateway = asyncio.get_running_loop(), [], FakeGateway()
+        fast, slow = await Worker("fast", answer(raw=raw)).start(), await Plugged("slow").start()
         workers = ConnectionPool(loop, 10, 10.0, 15.0)
-        dispatcher = RequestDispatcher(loop, SETTINGS, module, workers)
+        dispatcher = RequestDispatcher(loop, SETTINGS, gateway, workers)
         dispatcher.update_workers(
-            DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [here.entry(), there.entry()]})
+            DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [fast.entry(), slow.entry()]})
         )
 
-        class Taker:
+        class Sink:
             def begin(self, headers, length, source):
                 replies.append(200)
 
@@ -59,16 +59,16 @@
             b"",
             loop.time() + 4.0,
             lambda status, headers, body: replies.append(status),
-            Taker(),
+            Sink(),
         )
         await until(lambda: replies and replies[0] == 200)
-        await until(lambda: len(module.outcomes) == 2)
-        assert sorted(module.outcomes) == [("here", interface.SUCCESS, True), ("there", interface.NOT_SENT, True)]
-        await there.open()
-        await until(lambda: there.coming == 0 and there.connections > 0)
-        await until(lambda: len(workers._processes["there"].idle) == 1)  # it stands, for whoever is next
-        assert not there.seen and not dispatcher.holds("r")
-        here.stop()
-        there.stop()
+        await until(lambda: len(gateway.outcomes) == 2)
+        assert sorted(gateway.outcomes) == [("fast", interface.SUCCESS, True), ("slow", interface.NOT_SENT, True)]
+        await slow.open()
+        await until(lambda: slow.coming == 0 and slow.connections > 0)
+        await until(lambda: len(workers._endpoints["slow"].idle) == 1)  # kept for the next request
+        assert not slow.seen and not dispatcher.has_request("r")
+        fast.stop()
+        slow.stop()
 
     run(scenario())
--- a/tests/endings/test_late_responses.py
+++ b/tests/endings/test_late_responses.py
@@ -1,4 +1,4 @@
-"""A second answer that comes some time after the first is never taken for that to another request."""
+"""A second response to a request, received some time after the first, is never taken for that to another request."""
 
 import asyncio
 
@@ -11,20 +11,20 @@
 HEAD = b"POST / HTTP/1.1\r\nX-Request-ID: %b\r\nContent-Length: 0\r\n"
 
 
-def test_once_one_came_late_a_connection_is_not_used_again_before_it_has_settled():
+def test_after_an_unsolicited_response_a_connection_is_not_reused_before_it_has_been_idle_for_a_while():
     async def scenario():
-        loop, ends, writers = asyncio.get_running_loop(), {}, []
+        loop, outcomes, writers = asyncio.get_running_loop(), {}, []
 
         async def script(request, writer):
             writers.append(writer)
-            if request.id == "3":  # the second answer to request 2 crosses request 3
+            if request.id == "3":  # the second response to request 2 crosses request 3
                 writers[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n2")
                 await writers[1].drain()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request.id.encode())
 
         worker = await Worker("w", script).start()
         workers = ConnectionPool(loop, 10, 0.25, 15.0)
-        workers.settles = 60.0
+        workers.quarantine_min_idle_seconds = 60.0
         workers.update(DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [worker.entry()]}).endpoints, True)
 
         async def ask(name):
@@ -37,22 +37,22 @@
                     b"",
                     loop.time() + 5.0,
                     loop.time(),
-                    lambda attempt, status, answer: ends.__setitem__(name, (status, answer)),
+                    lambda attempt, status, answer: outcomes.__setitem__(name, (status, answer)),
                 )
             )
-            await until(lambda: name in ends)
-            assert ends[name][0] == interface.SUCCESS and ends[name][1].body == name.encode()
+            await until(lambda: name in outcomes)
+            assert outcomes[name][0] == interface.SUCCESS and outcomes[name][1].body == name.encode()
 
         await ask("0")
         await ask("1")
-        assert worker.over == [1, 1]  # as long as none has come, a connection is used at once
+        assert worker.over == [1, 1]  # without an unsolicited response a connection is reused at once
         writers[1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
         await until(lambda: worker.closed == 1)
         writers[:1] = []
         await ask("2")
         await ask("3")
         assert worker.over == [1, 1, 2, 3]
-        workers.settles = 0.0  # settled
+        workers.quarantine_min_idle_seconds = 0.0  # idle for long enough
         await ask("4")
         assert worker.over[-1] == 3
         worker.stop()
--- a/tests/endings/test_shutdown.py
+++ b/tests/endings/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: what was taken is answered before the process ends or is ended, and what crosses a close comes again."""
+"""SIGTERM: accepted requests are answered before SIGKILL, and requests that cross a close are served when retried."""
 
 import asyncio
 import copy
@@ -6,11 +6,11 @@
 
 from rig.fake_servers import FACTS, Client, Worker, answer, hang, once, run, scene, until
 
-LATEST = 3.7  # seconds after SIGTERM: SIGKILL comes no sooner, whatever the deadlines beyond 3 s
+KILL_SECONDS = 3.7  # the earliest SIGKILL after SIGTERM, if deadlines are 3 s or longer
 
 
 def deadlines(seconds):
-    """The usual settings with another deadline for all classes."""
+    """The default settings with another deadline for all classes."""
     facts = copy.deepcopy(FACTS)
     for klass in facts["Classes"]:
         klass["DeadlineUs"] = int(seconds * 1_000_000)
@@ -18,33 +18,34 @@
 
 
 def with_deadlines(seconds, monkeypatch):
+    """Give all classes this deadline."""
     monkeypatch.setattr("rig.fake_servers.FACTS", deadlines(seconds))
 
 
-def test_what_is_out_beyond_the_kill_is_answered_before_it(monkeypatch):
+def test_requests_in_flight_beyond_the_kill_are_answered_before_it(monkeypatch):
     with_deadlines(8.0, monkeypatch)
 
     async def scenario():
         worker = Worker("w", hang)
         async with scene(worker, ends=True) as (gatekeeper, _, client):
-            piped = await gatekeeper.client()
+            pipelined = await gatekeeper.client()
             client.send(client.request("write", timeout="8.0"))
-            piped.send(piped.request("read", timeout="8.0") + piped.request("write", timeout="8.0"))
+            pipelined.send(pipelined.request("read", timeout="8.0") + pipelined.request("write", timeout="8.0"))
             await until(lambda: len(worker.seen) == 2)
             began = asyncio.get_running_loop().time()
             gatekeeper.process.send_signal(signal.SIGTERM)
-            replies = [await client.receive(), await piped.receive(), await piped.receive()]
+            replies = [await client.receive(), await pipelined.receive(), await pipelined.receive()]
             assert await gatekeeper.process.wait() == 0
-            assert asyncio.get_running_loop().time() - began < LATEST
-            # What may have run has failed; what was never sent on was refused, with no attempt made.
+            assert asyncio.get_running_loop().time() - began < KILL_SECONDS
+            # A request that may have run fails; one that was never sent is refused, with no attempt made.
             assert [reply and reply.status for reply in replies] == [502, 502, 503]
             assert len(worker.seen) == 2
-            assert await client.ended() and await piped.ended()
+            assert await client.ended() and await pipelined.ended()
 
     run(scenario())
 
 
-def test_a_request_that_crossed_the_close_of_its_connection_is_served_when_it_comes_again():
+def test_a_request_that_crossed_the_close_of_its_connection_is_served_when_it_is_sent_again():
     async def scenario():
         go = asyncio.Event()
         workers = [Worker(name, once(go)) for name in "vw"]
@@ -55,7 +56,7 @@
             for worker in workers:
                 worker.script = answer()
             gatekeeper.process.send_signal(signal.SIGTERM)
-            assert await idle.ended()  # a request of it may be on its way: its client sends that once more
+            assert await idle.ended()  # a request may have crossed the close: the client sends it again
             again = await gatekeeper.client()
             reply = await again.ask("write")
             assert reply.status == 200 and reply.headers["connection"] == "close"
@@ -66,7 +67,7 @@
     run(scenario())
 
 
-def test_what_was_taken_behind_another_request_is_answered_too():
+def test_pipelined_requests_are_answered_too():
     async def scenario():
         worker, go = Worker("w", hang), asyncio.Event()
         async with scene(worker, ends=True) as (gatekeeper, _, client):
@@ -85,7 +86,7 @@
     run(scenario())
 
 
-def test_with_short_deadlines_all_fits_before_the_kill(monkeypatch):
+def test_with_short_deadlines_shutdown_ends_long_before_the_kill(monkeypatch):
     with_deadlines(0.3, monkeypatch)
 
     async def scenario():
--- a/tests/endings/test_stalled_watch.py
+++ b/tests/endings/test_stalled_watch.py
@@ -1,4 +1,5 @@
-"""A watch that falls silent, and an agent that returns: what was missed is heard before it counts as told."""
+"""Long polls that are not answered, and an agent that recovers: missed changes are fetched before the platform counts
+them as notified."""
 
 import asyncio
 
@@ -9,14 +10,16 @@
 from oliveloft.discovery.watch import DiscoveryWatch
 from rig.fake_servers import Discovery, run, until
 
-TOLD = 6.0  # seconds after a watch fell silent, or ...
-AFTER_WAIT = 2.0  # ... after its wait was over, if that is later
-GRACE = 0.25  # seconds that the shortest grace of a drain lasts
+# A change counts as notified this many seconds after a long poll stops being answered, or after its wait is over,
+# whichever is later.
+NOTIFIED_SECONDS = 6.0
+NOTIFIED_AFTER_WAIT_SECONDS = 2.0
+DRAIN_GRACE_SECONDS = 0.25  # the shortest grace period of a drain
 LIST = [{"name": "w", "address": "h:1", "status": "up"}]
 
 
-class Mute(Discovery):
-    """An agent whose first open watch falls silent: it is never answered, and what comes after it is."""
+class UnansweredLongPoll(Discovery):
+    """An agent that never answers the first long poll, and answers the calls after it."""
 
     @property
     def silent(self):
@@ -24,61 +27,61 @@
 
     @silent.setter
     def silent(self, value):
-        assert value is False  # as it begins
+        assert value is False  # set by the base class
 
 
 @pytest.mark.parametrize("gatekeepers", [1, 4])
-def test_what_a_silent_watch_missed_is_asked_for_anew_in_time(gatekeepers):
-    told = []
+def test_a_change_missed_by_an_unanswered_long_poll_is_fetched_in_time(gatekeepers):
+    updates = []
 
     async def scenario():
-        loop, agent = asyncio.get_running_loop(), await Mute(LIST).start()
-        watch = DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(0.0), told.append, None, gatekeepers)
+        loop, agent = asyncio.get_running_loop(), await UnansweredLongPoll(LIST).start()
+        watch = DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(0.0), updates.append, None, gatekeepers)
         watch.start()
         await until(lambda: len(agent.asked) == 2)
-        silent, asked = loop.time(), len(agent.asked)  # the open watch never hears of what is told from now on
+        stalled_at, asked = loop.time(), len(agent.asked)  # the open long poll does not report changes from now on
         agent.index, agent.entries = 2, [{**LIST[0], "status": "draining"}]
         await until(lambda: len(agent.asked) > asked)
-        await until(lambda: told[-1].endpoints and told[-1].endpoints[0].entry.state == "draining")
-        assert loop.time() - silent < TOLD - 0.4
+        await until(lambda: updates[-1].endpoints and updates[-1].endpoints[0].entry.state == "draining")
+        assert loop.time() - stalled_at < NOTIFIED_SECONDS - 0.4
         watch.stop()
         agent.stop()
 
     run(scenario())
 
 
-def test_the_constants_leave_time_after_each_silence():
-    """Of an agent alone, of one that many load, and of the first calls of a large fleet."""
+def test_the_constants_leave_time_after_an_unanswered_call():
+    """For a process's own agent, for a shared service, and for the first calls of a large fleet."""
     for wait in (policy.WAIT_SECONDS, policy.PROBE_WAIT_SECONDS):
         ends = wait + policy.ANSWER_TIMEOUT_SECONDS + policy.SHARED_UNANSWERED_BACKOFF_SECONDS
-        assert ends < max(TOLD, wait + AFTER_WAIT)
+        assert ends < max(NOTIFIED_SECONDS, wait + NOTIFIED_AFTER_WAIT_SECONDS)
     longest_backoff = policy.OWN_AGENT_BACKOFF_SECONDS * 2**policy.OWN_AGENT_DOUBLINGS
-    assert policy.PROBE_INTERVAL_SECONDS + longest_backoff < GRACE
+    assert policy.PROBE_INTERVAL_SECONDS + longest_backoff < DRAIN_GRACE_SECONDS
     for gatekeepers in (2, 40, 200, 1000):
-        last = policy.watch_policy(gatekeepers, gatekeepers - 1, holds_list=True)
-        assert last.first_call_seconds <= policy.SPREAD_SECONDS < TOLD
-        assert last.longest_backoff_seconds <= policy.MOST_SECONDS < TOLD
+        last_policy = policy.watch_policy(gatekeepers, gatekeepers - 1, has_list=True)
+        assert last_policy.first_call_seconds <= policy.MAX_SPREAD_SECONDS < NOTIFIED_SECONDS
+        assert last_policy.max_backoff_seconds <= policy.MAX_SHARED_BACKOFF_SECONDS < NOTIFIED_SECONDS
 
 
-def test_an_agent_that_is_silent_is_asked_so_often_that_its_return_is_noticed_at_once():
-    told = []
+def test_an_unresponsive_agent_is_called_so_often_that_its_recovery_is_noticed_at_once():
+    updates = []
 
     async def scenario():
         loop, agent = asyncio.get_running_loop(), await Discovery(LIST).start()
-        watch = DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(0.0), told.append)
+        watch = DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(0.0), updates.append)
         watch.start()
         await agent.watched()
-        agent.silent = True  # a call that it lets go is never answered
+        agent.silent = True  # a call made now is never answered
         for _, writer in agent._ends:
             writer.transport.abort()
         asked = len(agent.asked)
         await until(lambda: len(agent.asked) > asked)
         began = loop.time()
         await until(lambda: len(agent.asked) > asked + 5)
-        assert (loop.time() - began) / 5 < GRACE
-        agent.silent, agent.index, heard = False, 2, len(told)
+        assert (loop.time() - began) / 5 < DRAIN_GRACE_SECONDS
+        agent.silent, agent.index, update_count = False, 2, len(updates)
         returned = loop.time()
-        await until(lambda: len(told) > heard)
+        await until(lambda: len(updates) > update_count)
         assert loop.time() - returned < 0.5
         watch.stop()
         agent.stop()
--- a/tests/front/test_clients.py
+++ b/tests/front/test_clients.py
@@ -1,4 +1,4 @@
-"""What clients may send, and what they hear."""
+"""Client connections: valid and invalid requests, pipelining, timeouts and limits."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from rig.memory import resident
 
 CHUNKED = Client.request("write").replace(b"Content-Length: 0\r\n", b"Transfer-Encoding: chunked\r\n")
-BAD = {
+INVALID = {
     "chunks and length": CHUNKED.replace(b"\r\n\r\n", b"\r\nContent-Length: 5\r\n\r\n"),
     "two codings": CHUNKED.replace(b"chunked", b"gzip, chunked") + b"0\r\n\r\n",
     "chunks in HTTP/1.0": CHUNKED.replace(b"HTTP/1.1", b"HTTP/1.0") + b"0\r\n\r\n",
@@ -61,12 +61,12 @@
 }
 
 
-@pytest.mark.parametrize("what", BAD)
-def test_bad_input_is_turned_down_and_the_connection_closed_with_nothing_sent_on(what):
+@pytest.mark.parametrize("what", INVALID)
+def test_invalid_input_is_rejected_and_the_connection_closed_with_nothing_forwarded(what):
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, _, client):
-            client.send(BAD[what] + Client.request())  # what comes after it isn't read either
+            client.send(INVALID[what] + Client.request())  # input after it is ignored
             reply = await client.receive()
             status = {
                 "upgrade": 501,
@@ -83,7 +83,7 @@
     run(scenario())
 
 
-def test_a_body_too_large_is_413_however_it_is_framed():
+def test_a_body_that_is_too_large_gets_413_with_any_framing():
     async def scenario():
         worker = Worker("w")
         async with scene(worker, limits={"body_mb": 0.125}) as (gatekeeper, _, client):
@@ -100,7 +100,7 @@
     run(scenario())
 
 
-def test_a_chunked_body_goes_on_whole():
+def test_a_chunked_body_is_forwarded_complete():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
@@ -112,7 +112,7 @@
     run(scenario())
 
 
-def test_unknown_paths_methods_classes_and_plans():
+def test_unknown_paths_methods_classes_and_plans_are_rejected():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, _, client):
@@ -120,7 +120,7 @@
             client.send(b"GET /load HTTP/1.1\r\n\r\n")
             assert (await client.receive()).status == 404
             client.send(Client.request("strange"))
-            assert (await client.receive()).status == 404 and await client.ended()  # no end of mistakes
+            assert (await client.receive()).status == 404 and await client.ended()  # closed after MAX_REJECTED_REQUESTS
             client = await gatekeeper.client()
             assert (await client.ask("write", method="GET")).status == 405
             assert (await client.ask("read", method="POST")).status == 405
@@ -131,7 +131,7 @@
     run(scenario())
 
 
-def test_the_absolute_form_is_taken():
+def test_a_target_in_absolute_form_is_accepted():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
@@ -161,14 +161,14 @@
     run(scenario())
 
 
-def test_what_is_pipelined_is_read_no_faster_than_it_is_served():
+def test_pipelined_requests_are_read_no_faster_than_they_are_served():
     async def scenario():
         worker = Worker("w", hang)
         async with scene(worker) as (gatekeeper, _, client):
             one = Client.request("write", timeout="3.0", body=b"x" * 65536)
             client.send(one * 1500)  # far more than socket buffers hold: the rest stays with the client
             await until(lambda: worker.seen)
-            await asyncio.sleep(0.5)  # time to read it all, were it read
+            await asyncio.sleep(0.5)  # enough time to read all of it, if reading did not pause
             assert resident(gatekeeper.process.pid) < 60_000_000
             client.writer.transport.abort()
             assert await gatekeeper.health() == 200
@@ -176,7 +176,7 @@
     run(scenario())
 
 
-def test_a_request_may_come_byte_by_byte():
+def test_a_request_may_arrive_byte_by_byte():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
@@ -216,21 +216,21 @@
     run(scenario())
 
 
-def test_a_client_that_leaves_harms_nobody():
+def test_a_client_that_disconnects_affects_no_other_client():
     async def scenario():
         worker = Worker("w", hang)
         async with scene(worker) as (gatekeeper, _, client):
             client.send(Client.request("write", timeout="0.5"))
             await until(lambda: worker.seen)
             client.writer.transport.abort()
-            await until(lambda: worker.closed)  # at the deadline the attempt is given up
+            await until(lambda: worker.closed)  # the attempt is cancelled at the deadline
             worker.script = answer()
             assert (await (await gatekeeper.client()).ask("write")).status == 200
 
     run(scenario())
 
 
-def test_an_id_that_is_still_held_is_turned_down():
+def test_a_request_id_that_is_in_use_is_rejected():
     async def scenario():
         worker = Worker("w", hang)
         async with scene(worker) as (gatekeeper, _, client):
@@ -244,7 +244,7 @@
     run(scenario())
 
 
-def test_time_counts_from_the_last_byte():
+def test_the_deadline_counts_from_the_last_byte_of_the_request():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
@@ -257,7 +257,7 @@
     run(scenario())
 
 
-def test_white_space_round_a_value_is_no_part_of_it():
+def test_whitespace_around_a_header_value_is_ignored():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
@@ -278,7 +278,7 @@
     run(scenario())
 
 
-def test_connections_beyond_the_bound_displace_idle_ones_and_are_refused_where_none_is():
+def test_connections_beyond_the_limit_replace_idle_ones_and_are_refused_if_none_is_idle():
     async def scenario():
         worker = Worker("w")
         async with scene(worker, sockets=64) as (gatekeeper, _, client):  # room for 9 clients
@@ -287,12 +287,12 @@
                 assert (await one.ask("write")).status == 200
             fresh = await gatekeeper.client()
             assert (await fresh.ask("write")).status == 200
-            assert await idle[0].ended()  # the one that was idle the longest
+            assert await idle[0].ended()  # it had been idle the longest
             busy = [*idle[1:], fresh]
             for one in busy:  # each is in the middle of a request
                 one.send(Client.request("write", body=b"whole")[:-1])
                 await one.writer.drain()
-            extra = await gatekeeper.client()  # its bytes come after theirs
+            extra = await gatekeeper.client()  # its request arrives after theirs
             reply = await extra.ask()
             assert reply.status == 503 and float(reply.headers["retry-after"]) > 0 and await extra.ended()
             for one in busy:
@@ -302,11 +302,11 @@
     run(scenario())
 
 
-def test_clients_that_ask_once_on_each_connection_and_keep_it_always_find_room_for_the_next():
+def test_clients_that_send_one_request_per_connection_and_keep_it_open_can_always_connect_again():
     async def scenario():
         async with scene(Worker("w"), sockets=200) as (gatekeeper, _, client):
             held = [client]
-            for _ in range(60):  # fewer than the bound
+            for _ in range(60):  # fewer than the connection limit
                 assert (await held[-1].ask("write")).status == 200
                 held.append(await gatekeeper.client())
             assert all([await one.ended() for one in held[:20]])  # 40 stay, which is well under a third
@@ -315,7 +315,7 @@
     run(scenario())
 
 
-UNENDED = {
+INCOMPLETE = {
     "nothing": [b""],
     "empty lines": [b"\r\n"] * 50,
     "half a request": [Client.request("write", body=b"whole")[:-1]],
@@ -323,14 +323,14 @@
 }
 
 
-@pytest.mark.parametrize("what", UNENDED)
-def test_who_sends_no_whole_request_is_answered_or_closed_within_three_seconds_of_connecting(what):
+@pytest.mark.parametrize("what", INCOMPLETE)
+def test_a_client_that_sends_no_complete_request_is_answered_or_closed_within_three_seconds(what):
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, _, _):
             client, began = await gatekeeper.client(), asyncio.get_running_loop().time()
             reading = asyncio.create_task(client.receive())
-            for piece in UNENDED[what]:
+            for piece in INCOMPLETE[what]:
                 client.send(piece)
                 await asyncio.wait([reading], timeout=0.05)
             reply = await reading
@@ -351,30 +351,30 @@
         Client.request("write").replace(b"Length: 0", b"Length: 60000000"),
     ],
 )
-def test_what_has_no_end_is_cut_off_and_neither_kept_nor_all_read(start):
+def test_endless_input_is_cut_off_and_neither_buffered_nor_read_to_its_end(start):
     async def scenario():
         async with scene(Worker("w")) as (gatekeeper, _, client):
             before = resident(gatekeeper.process.pid)
             clients = [client] + [await gatekeeper.client() for _ in range(5)]
             for one in clients:
                 one.send(start + (b"\r\n" if start == b"\r\n" else b"xx") * 10_000_000)
-            heard = [await one.receive() for one in clients]
-            assert all(reply is None or reply.status in (413, 431) for reply in heard)
+            replies = [await one.receive() for one in clients]
+            assert all(reply is None or reply.status in (413, 431) for reply in replies)
             assert resident(gatekeeper.process.pid) - before < 10_000_000
             assert await gatekeeper.health() == 200
 
     run(scenario())
 
 
-def test_connections_that_sent_nothing_of_use_make_room_before_a_usual_client_does():
+def test_connections_without_a_valid_request_are_closed_before_those_with_one():
     async def scenario():
         async with scene(Worker("w"), sockets=64) as (gatekeeper, _, client):  # room for 9 clients
-            usual = [client] + [await gatekeeper.client() for _ in range(4)]
-            for one in usual:
+            proven = [client] + [await gatekeeper.client() for _ in range(4)]
+            for one in proven:
                 assert (await one.ask("write")).status == 200
-            silent = [await gatekeeper.client() for _ in range(40)]
-            assert all([await one.ended() for one in silent[:30]])
-            for one in usual:
+            unproven = [await gatekeeper.client() for _ in range(40)]
+            assert all([await one.ended() for one in unproven[:30]])
+            for one in proven:
                 assert (await one.ask("write")).status == 200
 
     run(scenario())
--- a/tests/front/test_forms.py
+++ b/tests/front/test_forms.py
@@ -1,4 +1,4 @@
-"""The forms of HTTP/1.1 that RFC 9110 and 9112 let a sender use, at both sides, and those that must be refused."""
+"""HTTP/1.1 message forms that RFC 9110 and RFC 9112 allow, from clients and workers, and forms to refuse."""
 
 import asyncio
 
@@ -12,18 +12,19 @@
 
 
 def head(old, new):
+    """A request whose head has `new` in place of `old`."""
     assert old in HEAD
     return HEAD.replace(old, new) + b"\r\n\r\nabc"
 
 
-TAKEN = {
-    "as it is": PLAIN,
+ACCEPTED = {
+    "plain": PLAIN,
     "no space after the colon": head(b": ", b":"),
     "spaces and tabs round values": head(b"\r\n", b" \t\r\n").replace(b"HTTP/1.1 \t", b"HTTP/1.1"),
     "names in upper case": head(b"X-Timeout", b"X-TIMEOUT").replace(b"Content-Length", b"CONTENT-LENGTH"),
     "names in lower case": head(b"X-Request-ID", b"x-request-id"),
     "an empty header": head(b"Host: origin.svc", b"Host: origin.svc\r\nX-Empty:\r\nX-Blank:  "),
-    "a repeated header that is none of ours": head(b"Host: ", b"Accept: a\r\nAccept: b\r\nHost: "),
+    "a repeated header without a meaning here": head(b"Host: ", b"Accept: a\r\nAccept: b\r\nHost: "),
     "zeros before the length": head(b"Length: 3", b"Length: 0003"),
     "empty lines ahead": b"\r\n\r\n" + PLAIN,
     "the absolute form": head(b"POST /", b"POST http://origin.svc/"),
@@ -52,12 +53,12 @@
 }
 
 
-@pytest.mark.parametrize("form", TAKEN)
-def test_a_form_that_a_sender_may_use_is_served_and_its_connection_goes_on(form):
+@pytest.mark.parametrize("form", ACCEPTED)
+def test_an_allowed_form_is_served_and_its_connection_stays_open(form):
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (_, _, client):
-            data = TAKEN[form]
+            data = ACCEPTED[form]
             for at in range(0, len(data), 1 if form == "a byte at a time" else len(data)):
                 client.send(data[at : at + (1 if form == "a byte at a time" else len(data))])
                 await asyncio.sleep(0)
@@ -69,7 +70,7 @@
 
 
 @pytest.mark.parametrize("form", REFUSED)
-def test_a_form_in_which_another_request_could_hide_is_refused_and_reaches_nobody(form):
+def test_a_form_that_allows_request_smuggling_is_refused_and_reaches_no_worker(form):
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, _, client):
@@ -82,13 +83,13 @@
     run(scenario())
 
 
-@pytest.mark.parametrize(("line", "keeps"), [("", False), ("Connection: keep-alive\r\n", True)])
-def test_http_1_0_keeps_its_connection_only_where_it_asks_to(line, keeps):
+@pytest.mark.parametrize(("line", "stays_open"), [("", False), ("Connection: keep-alive\r\n", True)])
+def test_http_1_0_connections_stay_open_only_with_connection_keep_alive(line, stays_open):
     async def scenario():
         async with scene(Worker("w")) as (_, _, client):
             client.send(Client.request("write", extra=line).replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert (await client.receive()).status == 200
-            if keeps:
+            if stays_open:
                 assert (await client.ask("write")).status == 200
             else:
                 assert await client.ended()
@@ -96,14 +97,14 @@
     run(scenario())
 
 
-ANSWERS = {
-    "as it is": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
+RESPONSES = {
+    "plain": b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
     "spaces round values": b"HTTP/1.1 200 OK\r\nContent-Length: \t4 \r\nX-Allowance-Used:  50 \r\n\r\ndone",
     "no reason": b"HTTP/1.1 200 \r\ncontent-length:4\r\n\r\ndone",
     "zeros before the length": b"HTTP/1.1 200 OK\r\nContent-Length: 004\r\n\r\ndone",
     "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;x\r\nd\r\n003\r\none\r\n0\r\nX-T: 1\r\n\r\n",
     "chunked in upper case": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: CHUNKED \r\n\r\n4\r\ndone\r\n0\r\n\r\n",
-    "an interim ahead": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
+    "an interim response first": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
     b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
     "ended by the close, announced": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone",
     "ended by the close, announced among others": b"HTTP/1.1 200 OK\r\nConnection: x-hop, Close\r\n\r\ndone",
@@ -113,10 +114,10 @@
 }
 
 
-@pytest.mark.parametrize("form", ANSWERS)
-def test_a_form_that_a_worker_may_answer_in_is_passed_on(form):
+@pytest.mark.parametrize("form", RESPONSES)
+def test_an_allowed_form_of_a_response_is_forwarded(form):
     async def scenario():
-        async with scene(Worker("w", answer(raw=ANSWERS[form]))) as (_, _, client):
+        async with scene(Worker("w", answer(raw=RESPONSES[form]))) as (_, _, client):
             for _ in range(2):
                 reply = await client.ask("write")
                 assert reply.status == 200 and reply.body == b"done" and reply.headers["content-length"] == "4"
--- a/tests/front/test_one_answer.py
+++ b/tests/front/test_one_answer.py
@@ -1,7 +1,7 @@
-"""One final answer to a request whatever breaks when: the real front, dispatcher and decisions in seeded schedules.
+"""A request gets one final reply under any failure: the real front end, dispatcher and gateway in random schedules.
 
-Connections are reset between any two bytes, requests come again under their id, workers and the counter answer in any
-order, late or never.
+Connections are reset between any two bytes, requests are sent again with the same id, and workers and the counter
+answer in any order, late or never.
 """
 
 import re
@@ -31,7 +31,7 @@
 
 
 class Backend:
-    """Endpoints that do what the schedule says; `fault` raises at the call of that number."""
+    """Workers with random outcomes; `fault` is the number of the call that raises (0: none)."""
 
     def __init__(self, clock, random, fault=0):
         self.clock, self.random, self.fault, self.calls = clock, random, fault, 0
@@ -41,15 +41,15 @@
         self.calls += 1
         if self.calls == self.fault:
             raise RuntimeError("the handler is closed")
-        how = self.random.choice(
+        outcome = self.random.choice(
             (interface.SUCCESS,) * 6
             + (interface.OVERLOADED, interface.UNREACHABLE, interface.FAILURE, interface.CONNECTION_RESET, "")
         )
-        if how:
+        if outcome:
             answer = Response()
             answer.status, answer.body = 200, b"ok"
             self.clock.after(
-                self.random.expovariate(8), attempt.finish, how, answer if how == interface.SUCCESS else None
+                self.random.expovariate(8), attempt.finish, outcome, answer if outcome == interface.SUCCESS else None
             )
 
     def update(self, *_):
@@ -57,27 +57,27 @@
 
 
 class Counter:
-    """A counter whose answers come when they like."""
+    """A counter that answers after random delays, too late or not at all."""
 
     def __init__(self, clock, random):
         self.clock, self.random = clock, random
 
-    def call(self, count, heard):
+    def call(self, count, callback):
         status = self.random.choice(
             (interface.SUCCESS, interface.SUCCESS, interface.SUCCESS, interface.OVERLOADED, interface.TIMED_OUT)
         )
         wait = self.random.choice((0.0, 0.01, 0.05))
         self.clock.after(
-            wait, heard, interface.CounterResult(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait)
+            wait, callback, interface.CounterResult(count.name, status, self.random.choice((0.5, 3.0, 50.0)), wait)
         )
         if status == interface.TIMED_OUT and self.random.random() < 0.5:
             self.clock.after(
-                wait + 0.1, heard, interface.CounterResult(count.name, interface.LATE_RESPONSE, 1.0, wait + 0.1)
+                wait + 0.1, callback, interface.CounterResult(count.name, interface.LATE_RESPONSE, 1.0, wait + 0.1)
             )
 
 
 class Case:
-    """A gatekeeper with no sockets, and clients that one request after another goes to it from."""
+    """A gatekeeper without sockets, and clients that each send one request after another."""
 
     def __init__(self, seed, fault=0):
         self.random, self.clock = Random(seed), Clock()
@@ -93,7 +93,7 @@
             interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(3)), whole=True)
         )
         self.server.able()
-        self.wires = []  # with the ids that went whole over each, in order
+        self.wires = []  # each with the ids of the requests that were sent over it completely, in order
         self.made = 0
 
     def connect(self):
@@ -125,7 +125,7 @@
                 whole = self.feed(wire, data)
                 if whole:
                     ids.append(name)
-                elif self.random.random() < 0.7:  # it was not read whole: it comes once more, on a new connection
+                elif self.random.random() < 0.7:  # it was not read completely: sent again on a new connection
                     again, other = self.connect()
                     if self.feed(again, data, reset=0.0):
                         other.append(name)
@@ -136,7 +136,7 @@
         return self
 
     def feed(self, wire, data, reset=0.25):
-        """Pieces of any size, and at times a reset between two bytes; whether all went over."""
+        """Send data in chunks of random size, at times with a reset between two bytes; return whether all was sent."""
         cut = self.random.randrange(len(data) + 1) if self.random.random() < reset else len(data) + 1
         at = 0
         while at < min(cut, len(data)):
@@ -152,34 +152,34 @@
         return cut >= len(data)
 
     def wrong(self):
-        """Connections with more answers than requests went over them."""
+        """Connections that received more replies than complete requests were sent over them."""
         return [
             (ids, bytes(wire.delivered)) for wire, ids in self.wires if len(HEADS.findall(wire.delivered)) > len(ids)
         ]
 
 
-def test_a_request_has_one_answer_at_the_most_whatever_breaks():
+def test_a_request_gets_at_most_one_reply_under_any_failure():
     answered = 0
     for seed in range(300):
         case = Case(seed).play()
         assert not case.wrong(), (seed, case.wrong()[0])
-        assert not case.dispatcher._requests or all(r.ended for r in case.dispatcher._requests.values())
+        assert not case.dispatcher._requests or all(r.is_over for r in case.dispatcher._requests.values())
         answered += sum(len(HEADS.findall(wire.delivered)) for wire, _ in case.wires)
     assert answered > 3000
 
 
-def test_a_fault_below_the_parser_gives_one_answer_and_not_a_second_one():
-    """What is raised while a request is handed on came out of the parser, and was answered as if it were malformed."""
+def test_an_internal_error_below_the_parser_gives_one_reply_and_not_a_second_one():
+    """An exception raised while a request is dispatched came out of the parser, and got a 400 as a second reply."""
     faults = 0
     for seed in range(40):
         case = Case(seed, fault=1 + seed % 7).play()
         faults += case.backend.calls >= case.backend.fault
-        assert not any(not r.ended for r in case.dispatcher._requests.values())
+        assert not any(not r.is_over for r in case.dispatcher._requests.values())
         assert not case.wrong(), (seed, case.wrong()[0])
     assert faults > 30
 
 
-def test_a_reply_that_has_just_been_written_survives_the_need_for_room():
+def test_a_reply_that_was_just_written_is_sent_although_its_connection_is_closed_to_make_room():
     case = Case(1)
     first, ids = case.connect()
     data = case.request("a").replace(b"X-Tariff: counted", b"X-Tariff: free")
@@ -187,19 +187,19 @@
     case.clock.run(0.4)
     while not HEADS.findall(first.delivered):
         case.clock.run(case.clock.now + 0.1)
-    first.protocol.data_received(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")  # answered at once, not gone out yet
-    for _ in range(4):  # the limit is four: one makes room, and that one has rested the longest
+    first.protocol.data_received(b"GET /healthz HTTP/1.1\r\nHost: o\r\n\r\n")  # answered at once, but not sent yet
+    for _ in range(4):  # the limit is four: the one that has been idle the longest is closed
         made, _ = case.connect()
-        made.protocol.good = True
-        case.server._fresh.pop(made.protocol, None)
+        made.protocol.sent_valid_request = True
+        case.server._unproven.pop(made.protocol, None)
     case.clock.run(case.clock.now + 0.1)
     assert len(HEADS.findall(first.delivered)) == 2
 
 
 @pytest.mark.parametrize("at", [20, 60, 120])
-def test_a_reset_before_the_last_byte_leaves_nothing_behind(at):
+def test_a_reset_before_the_last_byte_leaves_no_state_behind(at):
     case = Case(2)
     wire, _ = case.connect()
     wire.protocol.data_received(case.request("a")[:at])
     wire.lost()
-    assert not case.dispatcher.holds("a") and not case.server._clients
+    assert not case.dispatcher.has_request("a") and not case.server._clients
--- a/tests/gatekeeper/test_dispatcher.py
+++ b/tests/gatekeeper/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher with a scripted module: attempts end once, requests end in time, faults stay small."""
+"""The dispatcher with a scripted gateway: attempts end once, requests end in time, an error fails one request."""
 
 import asyncio
 import errno
@@ -19,63 +19,69 @@
 SETTINGS = interface.Settings(CLASSES, (interface.Plan("free"),), max_attempts=2)
 
 
-class Module:
-    """In the module's place: `rules` says what each event calls for; the events are kept."""
+class FakeGateway:
+    """A scripted gateway: `rules` gives the actions for each event; the events are recorded."""
 
     def __init__(self, rules: Callable[[interface.Event], list[interface.Action]]) -> None:
         self.rules, self.events = rules, []
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """Keep, then do as told."""
+        """Record the event and return the actions for it."""
         self.events.append(event)
         return self.rules(event)
 
     def outcomes(self) -> list[tuple[int, str, bool]]:
-        """Number, status and terminal of each attempt that has ended."""
-        return [(e.attempt, e.status, e.terminal) for e in self.events if isinstance(e, interface.Outcome)]
+        """The number, status and `terminal` of each attempt that has ended."""
+        return [
+            (event.attempt, event.status, event.terminal)
+            for event in self.events
+            if isinstance(event, interface.Outcome)
+        ]
 
 
 class Case:
-    """A dispatcher over a module and real worker connections."""
+    """A dispatcher with a scripted gateway and real worker connections."""
 
     def __init__(self, rules: Callable[[interface.Event], list[interface.Action]], **settings: object) -> None:
         self.loop = asyncio.get_running_loop()
-        self.module = Module(rules)
-        self.workers = ConnectionPool(self.loop, 10, 0.25, 15.0)
-        made = {name: getattr(SETTINGS, name) for name in SETTINGS.__slots__}
+        self.gateway = FakeGateway(rules)
+        self.pool = ConnectionPool(self.loop, 10, 0.25, 15.0)
+        defaults = {name: getattr(SETTINGS, name) for name in SETTINGS.__slots__}
         self.dispatcher = RequestDispatcher(
-            self.loop, interface.Settings(**{**made, **settings}), self.module, self.workers
+            self.loop, interface.Settings(**{**defaults, **settings}), self.gateway, self.pool
         )
         self.replies: list[int] = []
 
-    def know(self, *workers: Worker, **changes: object) -> None:
-        """Tell of workers."""
+    def update_workers(self, *workers: Worker, **changes: object) -> None:
+        """Apply a discovery snapshot with these workers."""
         self.dispatcher.update_workers(
-            DiscoveryUpdate({"index": 1, "snapshot": True, "endpoints": [w.entry(**changes) for w in workers]})
+            DiscoveryUpdate(
+                {"index": 1, "snapshot": True, "endpoints": [worker.entry(**changes) for worker in workers]}
+            )
         )
 
-    def submit(self, name: str = "r", left: float = 3.0, klass: str = "write") -> Request:
-        """Hand in a request."""
-        event = interface.Request(name, klass, "free", "c", left)
+    def submit(self, name: str = "r", time_left: float = 3.0, klass: str = "write") -> Request:
+        """Submit a request."""
+        event = interface.Request(name, klass, "free", "c", time_left)
         head = b"POST / HTTP/1.1\r\nX-Request-ID: r\r\nContent-Length: 0\r\n"
         return self.dispatcher.submit(
-            event, head, b"", self.loop.time() + left, lambda status, headers, body: self.replies.append(status)
+            event, head, b"", self.loop.time() + time_left, lambda status, headers, body: self.replies.append(status)
         )
 
 
 def on(kind: type, *actions: interface.Action) -> Callable[[interface.Event], list[interface.Action]]:
-    """Rules that answer one kind of event, and no other."""
+    """Rules that return these actions for one kind of event, and none for others."""
     return lambda event: list(actions) if isinstance(event, kind) else []
 
 
-def test_a_success_answers_and_is_terminal_and_all_is_forgotten():
+def test_a_success_is_the_final_reply_and_the_request_is_released():
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(await Worker("w").start())
+        case.update_workers(await Worker("w").start())
         request = case.submit()
-        await until(lambda: case.module.outcomes())
-        assert case.replies == [200] and case.module.outcomes() == [(0, interface.SUCCESS, True)]
-        assert not case.dispatcher.holds("r") and request.timer is None
+        await until(lambda: case.gateway.outcomes())
+        assert case.replies == [200] and case.gateway.outcomes() == [(0, interface.SUCCESS, True)]
+        assert not case.dispatcher.has_request("r") and request.deadline_timer is None
 
     run(scenario())
 
@@ -84,7 +90,7 @@
     ("sends", "changes", "expected"),
     [
         (["nobody"], {}, [(0, interface.NOT_SENT, False)]),
-        (["w", "w"], {}, [(1, interface.NOT_SENT, False)]),  # never two at once
+        (["w", "w"], {}, [(1, interface.NOT_SENT, False)]),  # no hedge of a request with a side effect
         (
             ["nobody"] * 3,
             {},
@@ -92,49 +98,49 @@
         ),
     ],
 )
-def test_what_may_not_be_sent_is_void_and_nothing_is_written(sends, changes, expected):
+def test_an_attempt_that_is_not_allowed_ends_as_not_sent(sends, changes, expected):
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", name) for name in sends)), **changes)
-        case.know(worker)
+        case.update_workers(worker)
         case.submit()
-        assert case.module.outcomes() == expected and case.replies == []
+        assert case.gateway.outcomes() == expected and case.replies == []
         await until(lambda: len(worker.seen) == ("w" in sends))
 
     run(scenario())
 
 
-def test_attempts_beyond_the_most_are_void():
+def test_attempts_beyond_the_limit_end_as_not_sent():
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 3), hedging=True)
-        case.know(worker)
+        case.update_workers(worker)
         case.submit(klass="read")
-        assert case.module.outcomes() == [(2, interface.NOT_SENT, False)]
+        assert case.gateway.outcomes() == [(2, interface.NOT_SENT, False)]
         assert case.dispatcher.guard.refused == {Reason.TOO_MANY_ATTEMPTS: 1}
         await until(lambda: len(worker.seen) == 2)
 
     run(scenario())
 
 
-def test_a_request_with_an_effect_is_not_sent_again_while_it_may_have_run():
+def test_a_request_with_a_side_effect_is_not_retried_while_it_may_have_run():
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), hedging=True)
-        case.know(worker)
+        case.update_workers(worker)
         case.submit(klass="write")
-        assert case.module.outcomes() == [(1, interface.NOT_SENT, False)]
+        assert case.gateway.outcomes() == [(1, interface.NOT_SENT, False)]
         assert case.dispatcher.guard.refused == {Reason.REPEAT_MAY_RUN_TWICE: 1}
         await until(lambda: len(worker.seen) == 1)
 
     run(scenario())
 
 
-def test_a_hedge_where_the_settings_allow_none_is_refused():
+def test_a_hedge_is_refused_if_the_settings_allow_none():
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), hedging=False)
-        case.know(worker)
+        case.update_workers(worker)
         case.submit(klass="read")
         assert case.dispatcher.guard.refused == {Reason.HEDGE_NOT_ALLOWED: 1}
 
@@ -145,7 +151,7 @@
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(worker)
+        case.update_workers(worker)
         request = case.submit()
         await until(lambda: worker.seen)
         request.state = RequestState.CLIENT_GONE
@@ -158,24 +164,24 @@
     run(scenario())
 
 
-def test_at_the_deadline_the_module_hears_of_the_end_before_the_attempt_ends():
+def test_at_the_deadline_the_gateway_is_notified_before_the_attempt_ends():
     async def scenario():
         case = Case(lambda event: [])
-        case.know(await Worker("w", hang).start())
-        ending = [False]
+        case.update_workers(await Worker("w", hang).start())
+        stopped = [False]
 
         def rules(event):
-            """As the decisions do where they reckon with more time than there is."""
-            ending[0] = ending[0] or isinstance(event, interface.StopRetrying)
-            if isinstance(event, interface.Request) or isinstance(event, interface.Outcome) and not ending[0]:
+            """Retry as the real gateway would if it assumed more time than there is."""
+            stopped[0] = stopped[0] or isinstance(event, interface.StopRetrying)
+            if isinstance(event, interface.Request) or isinstance(event, interface.Outcome) and not stopped[0]:
                 return [interface.Send("r", "w")]
             return [interface.Fail("r")] if isinstance(event, interface.Outcome) else []
 
-        case.module.rules = rules
-        case.submit(left=0.1, klass="read")
+        case.gateway.rules = rules
+        case.submit(time_left=0.1, klass="read")
         await until(lambda: case.replies)
         assert case.replies == [502] and not case.dispatcher.guard.refused
-        assert case.module.outcomes() == [(0, interface.TIMED_OUT, False)]
+        assert case.gateway.outcomes() == [(0, interface.TIMED_OUT, False)]
 
     run(scenario())
 
@@ -183,27 +189,27 @@
 def test_a_second_final_reply_is_refused():
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w"), interface.Refuse("r", 0.0), interface.Fail("r")))
-        case.know(await Worker("w", hang).start())
+        case.update_workers(await Worker("w", hang).start())
         case.submit()
-        # The first reply takes back what is not written, so that nothing of the request is held for a second one.
-        assert case.replies == [503] and not case.dispatcher.holds("r")
+        # The first reply withdraws the attempt that is not written, so the request is released before the second reply.
+        assert case.replies == [503] and not case.dispatcher.has_request("r")
         late = case.submit("s")
         late.state = RequestState.REPLIED
-        case.dispatcher._end(late, 502, b"", b"")
+        case.dispatcher._reply(late, 502, b"", b"")
         assert case.replies == [503] and case.dispatcher.guard.refused == {Reason.REPLIED_TWICE: 1}
 
     run(scenario())
 
 
-def test_a_send_to_an_endpoint_that_drains_is_gone_or_unknown_is_refused():
+def test_a_send_to_a_draining_or_removed_worker_is_refused():
     async def scenario():
         worker = await Worker("w").start()
         for status in ("draining", "removed"):
             case = Case(on(interface.Request, interface.Send("r", "w")))
-            case.know(worker)
-            case.know(worker, status=status)
+            case.update_workers(worker)
+            case.update_workers(worker, status=status)
             case.submit()
-            assert case.module.outcomes() == [(0, interface.NOT_SENT, False)]
+            assert case.gateway.outcomes() == [(0, interface.NOT_SENT, False)]
             assert case.dispatcher.guard.refused == {Reason.ENDPOINT_NOT_READY: 1}
         assert not worker.seen and not worker.connections
 
@@ -220,28 +226,28 @@
     async def scenario():
         worker = await Worker("w").start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(worker)
+        case.update_workers(worker)
         case.submit()
         await until(lambda: case.replies)
-        pool = case.workers
-        (connection,) = pool._processes["w"].idle
-        pool._processes["w"].idle.clear()
+        pool = case.pool
+        (connection,) = pool._endpoints["w"].idle
+        pool._endpoints["w"].idle.clear()
         attempt = types.SimpleNamespace(state=AttemptState.WRITTEN, request="r", number=0, finish=lambda status: None)
         connection.send(attempt)
         assert pool.guard.refused == {Reason.SENT_TWICE: 1} and len(worker.seen) == 1
-        assert pool._processes["w"].idle == [connection]  # of use to others
+        assert pool._endpoints["w"].idle == [connection]  # kept for later requests
 
     run(scenario())
 
 
-def test_a_time_out_closes_the_workers_connection_and_is_not_terminal():
+def test_a_timeout_closes_the_workers_connection_and_is_not_terminal():
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w", 0.1)))
-        case.know(worker)
+        case.update_workers(worker)
         case.submit()
         await until(lambda: worker.closed)
-        assert case.module.outcomes() == [(0, interface.TIMED_OUT, False)] and case.replies == []
+        assert case.gateway.outcomes() == [(0, interface.TIMED_OUT, False)] and case.replies == []
 
     run(scenario())
 
@@ -250,20 +256,20 @@
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(worker)
+        case.update_workers(worker)
         case.submit()
         await until(lambda: worker.seen)
-        case.module.rules = on(
+        case.gateway.rules = on(
             interface.TimerFired, interface.Cancel("r", 0), interface.Cancel("r", 0), interface.Cancel("r", 7)
         )
-        case.dispatcher._fired(1, "r")
+        case.dispatcher._timer_fired(1, "r")
         await until(lambda: worker.closed)
-        assert case.module.outcomes() == [(0, interface.CANCELLED, False)]
+        assert case.gateway.outcomes() == [(0, interface.CANCELLED, False)]
 
     run(scenario())
 
 
-def test_the_module_may_fail_a_request_and_its_attempt_still_reports_with_no_second_reply():
+def test_after_the_gateway_failed_a_request_its_attempt_is_still_reported_without_a_second_reply():
     async def scenario():
         go = asyncio.Event()
 
@@ -273,35 +279,35 @@
 
         worker = await Worker("w", late).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(worker)
+        case.update_workers(worker)
         case.submit()
         await until(lambda: worker.seen)
-        case.module.rules = on(
+        case.gateway.rules = on(
             interface.TimerFired, interface.Fail("r"), interface.Refuse("r", 0.1), interface.Send("r", "w")
         )
-        case.dispatcher._fired(1, "r")
-        assert case.replies == [502] and case.module.outcomes() == [(1, interface.NOT_SENT, True)]
+        case.dispatcher._timer_fired(1, "r")
+        assert case.replies == [502] and case.gateway.outcomes() == [(1, interface.NOT_SENT, True)]
         go.set()
-        await until(lambda: len(case.module.outcomes()) == 2)
-        assert case.module.outcomes()[1] == (0, interface.SUCCESS, True) and case.replies == [502]
-        assert len(worker.seen) == 1 and not case.dispatcher.holds("r")
+        await until(lambda: len(case.gateway.outcomes()) == 2)
+        assert case.gateway.outcomes()[1] == (0, interface.SUCCESS, True) and case.replies == [502]
+        assert len(worker.seen) == 1 and not case.dispatcher.has_request("r")
 
     run(scenario())
 
 
-def test_a_request_that_the_module_forgets_is_answered_at_its_deadline():
+def test_a_request_that_the_gateway_never_ends_is_answered_at_its_deadline():
     async def scenario():
         case = Case(lambda event: [])
-        case.submit(left=0.1)
+        case.submit(time_left=0.1)
         await until(lambda: case.replies)
-        assert case.replies == [504] and isinstance(case.module.events[-1], interface.ClientDisconnected)
-        assert not case.dispatcher.holds("r")
+        assert case.replies == [504] and isinstance(case.gateway.events[-1], interface.ClientDisconnected)
+        assert not case.dispatcher.has_request("r")
 
     run(scenario())
 
 
 @pytest.mark.parametrize("kind", [interface.Request, interface.Outcome, interface.TimerFired])
-def test_a_fault_in_the_module_fails_that_request_and_no_other(kind, caplog):
+def test_an_error_in_the_gateway_fails_one_request_and_no_other(kind, caplog):
     async def scenario():
         def rules(event):
             name = getattr(event, "request", "r")
@@ -312,46 +318,46 @@
             )
 
         case = Case(rules)
-        case.know(await Worker("w", hang if kind is interface.TimerFired else None).start())
+        case.update_workers(await Worker("w", hang if kind is interface.TimerFired else None).start())
         case.submit()
         await until(lambda: case.replies)
         assert case.replies == [200 if kind is interface.Outcome else 500] and "odd" in caplog.text
-        case.module.rules = on(interface.Request, interface.Refuse("s"))
+        case.gateway.rules = on(interface.Request, interface.Refuse("s"))
         case.submit("s")
         assert case.replies[1:] == [503]
 
     run(scenario())
 
 
-def test_timers_of_a_request_that_is_over_are_dropped_and_others_still_come():
+def test_timers_of_a_request_that_is_over_are_cancelled_and_others_still_fire():
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w"), interface.SetTimer(0.3, 1)))
-        case.know(await Worker("w").start())
+        case.update_workers(await Worker("w").start())
         case.submit()
         await until(lambda: case.replies)
-        case.module.rules = on(interface.WorkerList, interface.SetTimer(0.4, 2))
-        case.know()
-        await until(lambda: interface.TimerFired(2) in case.module.events)
-        assert interface.TimerFired(1) not in case.module.events
-        case.module.rules = on(interface.Request, interface.SetTimer(0.01, 3))
+        case.gateway.rules = on(interface.WorkerList, interface.SetTimer(0.4, 2))
+        case.update_workers()
+        await until(lambda: interface.TimerFired(2) in case.gateway.events)
+        assert interface.TimerFired(1) not in case.gateway.events
+        case.gateway.rules = on(interface.Request, interface.SetTimer(0.01, 3))
         case.submit("s")
-        await until(lambda: interface.TimerFired(3) in case.module.events)  # it is still held
+        await until(lambda: interface.TimerFired(3) in case.gateway.events)  # the request is still pending
 
     run(scenario())
 
 
-def test_a_client_that_leaves_is_told_once_and_gets_nothing():
+def test_a_disconnect_is_reported_once_and_the_client_gets_no_reply():
     async def scenario():
         worker = await Worker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(worker)
-        request = case.submit(left=0.3)
+        case.update_workers(worker)
+        request = case.submit(time_left=0.3)
         await until(lambda: worker.seen)
         case.dispatcher.client_disconnected(request)
         case.dispatcher.client_disconnected(request)
-        assert case.module.events.count(interface.ClientDisconnected("r")) == 1
-        await until(lambda: case.module.outcomes())
-        assert case.module.outcomes() == [(0, interface.TIMED_OUT, True)] and case.replies == []
+        assert case.gateway.events.count(interface.ClientDisconnected("r")) == 1
+        await until(lambda: case.gateway.outcomes())
+        assert case.gateway.outcomes() == [(0, interface.TIMED_OUT, True)] and case.replies == []
 
     run(scenario())
 
@@ -360,11 +366,11 @@
     async def scenario():
         worker = await Worker("w").start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.know(worker)
-        case.submit()  # the connection is on its way
-        case.know(worker, status="draining")
-        await until(lambda: case.module.outcomes())
-        assert case.module.outcomes() == [(0, interface.NOT_SENT, False)]  # nobody is to blame
+        case.update_workers(worker)
+        case.submit()  # the connection is being established
+        case.update_workers(worker, status="draining")
+        await until(lambda: case.gateway.outcomes())
+        assert case.gateway.outcomes() == [(0, interface.NOT_SENT, False)]  # not the worker's fault
         await until(lambda: worker.closed == worker.connections)
         assert not worker.seen
 
@@ -372,22 +378,22 @@
 
 
 class Transport(asyncio.Transport):
-    """A transport whose kernel takes only a part."""
+    """A fake transport whose written data stays in its buffer."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.left, self.aborted = 0, False
+        self.buffered, self.aborted = 0, False
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing to set."""
+        """Ignored."""
 
     def write(self, data: bytes) -> None:
-        """Hold all of it back."""
-        self.left = len(data)
+        """Keep the data in the buffer."""
+        self.buffered = len(data)
 
     def get_write_buffer_size(self) -> int:
-        """What has not left."""
-        return self.left
+        """The size of the buffered data."""
+        return self.buffered
 
     def is_closing(self) -> bool:
         """Whether it was aborted."""
@@ -398,64 +404,64 @@
         self.aborted = True
 
 
-@pytest.mark.parametrize(("left", "status"), [(False, interface.UNREACHABLE), (True, interface.CONNECTION_RESET)])
-def test_a_break_before_the_last_byte_left_proves_that_nothing_ran(left, status):
+@pytest.mark.parametrize(("all_sent", "status"), [(False, interface.UNREACHABLE), (True, interface.CONNECTION_RESET)])
+def test_a_connection_lost_before_the_last_byte_was_sent_proves_that_the_request_did_not_run(all_sent, status):
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
         worker = Worker("w")
         worker.port = 9  # never connected to
-        case.know(worker)
-        made: list[Connection] = []
+        case.update_workers(worker)
+        connections: list[Connection] = []
 
         async def connect(connection):
-            made.append(connection)
+            connections.append(connection)
 
-        case.workers._connect = connect
+        case.pool._connect = connect
         case.submit()
-        await until(lambda: made)
-        made[0].connection_made(Transport())
-        if left:
-            made[0].resume_writing()
-        made[0].connection_lost(ConnectionResetError())
-        assert case.module.outcomes() == [(0, status, False)]
-        assert not case.workers._open
+        await until(lambda: connections)
+        connections[0].connection_made(Transport())
+        if all_sent:
+            connections[0].resume_writing()
+        connections[0].connection_lost(ConnectionResetError())
+        assert case.gateway.outcomes() == [(0, status, False)]
+        assert not case.pool._connections
 
     run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("number", "status"), [(errno.EMFILE, interface.NOT_SENT), (errno.ECONNREFUSED, interface.UNREACHABLE)]
+    ("error", "status"), [(errno.EMFILE, interface.NOT_SENT), (errno.ECONNREFUSED, interface.UNREACHABLE)]
 )
-def test_a_shortage_on_this_side_is_held_against_no_worker(number, status, monkeypatch):
+def test_a_local_shortage_is_not_the_workers_fault(error, status, monkeypatch):
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
         worker = Worker("w")
         worker.port = 9
-        case.know(worker)
+        case.update_workers(worker)
 
         class Loop:
             def __getattr__(self, name):
                 return getattr(case.loop, name)
 
             async def create_connection(self, *args):
-                raise OSError(number, "none")
+                raise OSError(error, "none")
 
-        case.workers.loop = Loop()
+        case.pool.loop = Loop()
         case.submit()
-        await until(lambda: case.module.outcomes())
-        assert case.module.outcomes() == [(0, status, False)] and not case.workers._open
+        await until(lambda: case.gateway.outcomes())
+        assert case.gateway.outcomes() == [(0, status, False)] and not case.pool._connections
 
     run(scenario())
 
 
-def test_an_attempt_given_up_before_its_connection_task_began_leaves_nothing():
+def test_an_attempt_cancelled_before_its_connection_task_starts_leaves_no_connection():
     async def scenario():
         worker = await Worker("w").start()
         case = Case(on(interface.Request, interface.Send("r", "w"), interface.Cancel("r", 0)))
-        case.know(worker)
+        case.update_workers(worker)
         case.submit()
-        assert case.module.outcomes() == [(0, interface.CANCELLED, False)] and not case.workers._open
+        assert case.gateway.outcomes() == [(0, interface.CANCELLED, False)] and not case.pool._connections
         await asyncio.sleep(0)
-        assert not case.workers._open
+        assert not case.pool._connections
 
     run(scenario())
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -1,4 +1,4 @@
-"""What is kept for requests, connections and customers is let go with them."""
+"""State of requests, connections and customers is released with them: no memory leaks."""
 
 import asyncio
 import gc
@@ -11,7 +11,7 @@
 from oliveloft.backend.connection import Connection, EndpointIncarnation
 from oliveloft.backend.idle_timeout import IdleTimeout
 from oliveloft.discovery.call import DiscoveryCall
-from oliveloft.front.http import SLOW, Client
+from oliveloft.front.http import SLOW_CLIENT_TIMEOUT_SECONDS, Client
 from rig.driver import Driver, sends
 from rig.fake_servers import Client as Peer
 from rig.fake_servers import Worker, run, scene, until
@@ -19,22 +19,22 @@
 
 
 class Transport(asyncio.Transport):
-    """A transport that only notes what is done to it."""
+    """A fake transport that only records whether it was closed."""
 
     closing = aborted = False
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing to set."""
+        """Ignored."""
 
     def write(self, data: bytes) -> None:
-        """Take it."""
+        """Discard the data."""
 
     def get_write_buffer_size(self) -> int:
-        """Nothing waits."""
+        """Nothing is buffered."""
         return 0
 
     def is_closing(self) -> bool:
-        """Whether it is on its way out."""
+        """Whether it is being closed."""
         return self.closing
 
     def abort(self) -> None:
@@ -42,8 +42,8 @@
         self.closing = self.aborted = True
 
 
-def attempt():
-    """As much of an attempt as a connection asks for."""
+def fake_attempt():
+    """A fake attempt with what a connection uses of it."""
     return types.SimpleNamespace(
         state=AttemptState.CONNECTING,
         message=lambda now: b"GET / HTTP/1.1\r\n\r\n",
@@ -52,14 +52,14 @@
     )
 
 
-def server():
-    """As much of a server as a connection asks for."""
+def fake_owner():
+    """A fake owner of connections, with what they use of a server, pool or watch."""
     return types.SimpleNamespace(
         loop=types.SimpleNamespace(time=lambda: 0.0),
-        rest=IdleTimeout(1.0, 0.0),
-        joined=lambda client: None,
-        left=lambda client: None,
-        lost=lambda link: None,
+        idle_timeout=IdleTimeout(1.0, 0.0),
+        client_connected=lambda client: None,
+        client_disconnected=lambda client: None,
+        connection_closed=lambda connection: None,
         max_body=65536,
         connected=lambda call: None,
         ended=lambda call, reason: None,
@@ -67,40 +67,43 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "part"),
+    ("make", "part"),
     [
-        (lambda: Client(server()), b"POST /write HTTP/1.1\r\nHost:"),
-        (lambda: DiscoveryCall(server().loop, server(), ("h", 1)), b"HTTP/1.1 200 OK\r\nX"),
-        (lambda: Connection(server(), EndpointIncarnation("w", ("h", 1), None), attempt()), b"HTTP/1.1 200 OK\r\nX"),
+        (lambda: Client(fake_owner()), b"POST /write HTTP/1.1\r\nHost:"),
+        (lambda: DiscoveryCall(fake_owner().loop, fake_owner(), ("h", 1)), b"HTTP/1.1 200 OK\r\nX"),
+        (
+            lambda: Connection(fake_owner(), EndpointIncarnation("w", ("h", 1), None), fake_attempt()),
+            b"HTTP/1.1 200 OK\r\nX",
+        ),
     ],
 )
-def test_a_connection_that_has_ended_leaves_nothing_for_the_collector(made, part):
+def test_a_closed_connection_leaves_no_reference_cycle(make, part):
     gc.collect()
     gc.disable()
     try:
-        connection = made()
+        connection = make()
         connection.connection_made(Transport())
-        connection.data_received(part)  # not whole
+        connection.data_received(part)  # an incomplete message
         connection.connection_lost(None)
         del connection
-        assert gc.collect() == 0  # it and its parser would refer to each other
+        assert gc.collect() == 0  # connection and parser refer to each other until the close
     finally:
         gc.enable()
 
 
-def test_a_close_that_waits_for_a_client_to_read_is_cut_short():
-    client, transport = Client(server()), Transport()
+def test_a_close_that_waits_for_a_client_to_read_is_aborted_after_a_timeout():
+    client, transport = Client(fake_owner()), Transport()
     client.connection_made(transport)
-    transport.closing = True  # its last reply is out, but not read
-    client.sweep(SLOW)
+    transport.closing = True  # its last reply is written, but not read
+    client.check_timeouts(SLOW_CLIENT_TIMEOUT_SECONDS)
     assert not transport.aborted
-    client.sweep(SLOW + 0.1)
+    client.check_timeouts(SLOW_CLIENT_TIMEOUT_SECONDS + 0.1)
     assert transport.aborted
 
 
-def test_the_module_forgets_what_is_over_whatever_became_of_it():
+def test_the_gateway_releases_requests_after_every_outcome():
     d = Driver(hedging=False)
-    ends = (
+    statuses = (
         interface.SUCCESS,
         interface.FAILURE,
         interface.MALFORMED_RESPONSE,
@@ -114,19 +117,19 @@
         name, actions = d.ask("read" if n % 2 else "write", customer=f"c{n}", after=0.05)
         if n % 7 == 0:
             d.give(interface.ClientDisconnected(name))
-        while went := sends(actions):
-            actions = d.answer(name, went[0], ends[n % len(ends)], terminal=n % 7 == 0 or None)
+        while workers := sends(actions):
+            actions = d.answer(name, workers[0], statuses[n % len(statuses)], terminal=n % 7 == 0 or None)
     gateway = d.gateway
     assert not (gateway._pending or gateway.in_flight or gateway._timers or gateway.fleet._waiting)
     assert not any(worker.in_flight for worker in gateway.fleet.workers.values())
     assert all(len(worker.held_slots_until) <= 400 for worker in gateway.fleet.workers.values())
     d.ask(after=100.0)
-    for _ in range(400):  # a few go at each step
+    for _ in range(400):  # a few accounts are released at each step
         d.ask()
     assert len(gateway.quotas.accounts) <= 1
 
 
-def test_ever_new_connections_customers_and_workers_leave_nothing_behind():
+def test_memory_does_not_grow_with_new_connections_customers_and_workers():
     async def scenario():
         worker = Worker("w0")
         async with scene(worker) as (gatekeeper, discovery, _):
@@ -137,9 +140,9 @@
                     reply = await client.ask("write", customer=f"{part * 400 + n:016x}", body=b"x" * 5000)
                     assert reply.status == 200
                     client.writer.close()
-                    if n % 50 == 0:  # a new one at the old one's address
-                        gone, worker.name = worker.name, f"w{part}-{n}"
-                        discovery.change({"name": gone, "status": "removed"}, worker.entry())
+                    if n % 50 == 0:  # a new worker at the address of the old one
+                        removed, worker.name = worker.name, f"w{part}-{n}"
+                        discovery.change({"name": removed, "status": "removed"}, worker.entry())
                         await discovery.watched()
                 sizes.append(resident(gatekeeper.process.pid))
             assert sizes[2] - sizes[1] < 1_500_000, sizes
