--- a/tests/incidents/test_failing_calls.py
+++ b/tests/incidents/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment: each request is answered once, and no effect happens twice."""
+"""System calls that fail temporarily: each request is answered once, and no effect happens twice."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 @contextlib.asynccontextmanager
 async def gatekeeper_with(failing_calls, *workers):
-    """A gatekeeper in a process of its own, into which the failing calls are preloaded."""
+    """A gatekeeper in a process of its own, with the failing calls preloaded into it."""
     for worker in workers:
         await worker.start()
     discovery = await Discovery([worker.entry() for worker in workers]).start()
@@ -31,8 +31,8 @@
         await gatekeeper.process.wait()
 
 
-async def ask_anew(gatekeeper, body=b""):
-    """The status of a request on a connection of its own; None where that ended with no answer."""
+async def ask_on_new_connection(gatekeeper, body=b""):
+    """The status of a request on a new connection; None if the connection ended without a reply."""
     client = await gatekeeper.client()
     client.send(Client.request("write", body=body))
     reply = await client.receive()
@@ -41,7 +41,7 @@
 
 
 def all_ran_once(worker):
-    """Whether no request came to a worker twice."""
+    """Whether the worker received no request twice."""
     return len({request.id for request in worker.seen}) == len(worker.seen)
 
 
@@ -67,12 +67,12 @@
         worker = Worker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             failing_calls.plan(Call.ACCEPT, error, 50 if error == errno.EINTR and times < 0 else times)
-            asking = [asyncio.create_task(ask_anew(gatekeeper)) for _ in range(REQUESTS)]
+            tasks = [asyncio.create_task(ask_on_new_connection(gatekeeper)) for _ in range(REQUESTS)]
             if times < 0:
-                await asyncio.sleep(0.3)  # EINTR ends by itself: the interpreter repeats a call that a signal broke
-                assert 0 < failing_calls.failed(Call.ACCEPT) < 20_000  # it keeps looking, and not without end
+                await asyncio.sleep(0.3)  # EINTR is limited: the interpreter itself repeats an interrupted call
+                assert 0 < failing_calls.failed(Call.ACCEPT) < 20_000  # accepting is retried, but not in a busy loop
                 failing_calls.plan(Call.ACCEPT)
-            assert await asyncio.gather(*asking) == [200] * REQUESTS
+            assert await asyncio.gather(*tasks) == [200] * REQUESTS
             assert all_ran_once(worker) and len(worker.seen) == REQUESTS
 
     run(scenario())
@@ -83,9 +83,9 @@
     "error",
     [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR],
 )
-def test_a_connection_that_fails_here_for_a_moment_is_tried_again(failing_calls, call, error):
+def test_a_connection_that_fails_locally_is_retried(failing_calls, call, error):
     if call is Call.SOCKET and error in (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR):
-        error = errno.EACCES  # socket(2) knows none of these
+        error = errno.EACCES  # socket(2) does not return these
 
     async def scenario():
         worker = Worker("w")
@@ -99,7 +99,9 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENETUNREACH])
-def test_a_connection_that_never_comes_up_here_is_refused_in_time_and_not_tried_without_end(failing_calls, error):
+def test_a_connection_that_always_fails_locally_is_refused_in_time_with_a_bounded_number_of_retries(
+    failing_calls, error
+):
     async def scenario():
         worker = Worker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
@@ -117,7 +119,7 @@
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE])
 @pytest.mark.parametrize("call", [Call.RECEIVE, Call.SEND])
-def test_a_broken_connection_of_whatever_name_ends_in_one_answer_and_one_run(failing_calls, call, error):
+def test_a_connection_broken_by_any_error_gives_at_most_one_run(failing_calls, call, error):
     async def scenario():
         worker = Worker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
@@ -131,7 +133,7 @@
                 client.writer.close()
             assert all_ran_once(worker)
             failing_calls.plan(call)
-            assert await ask_anew(gatekeeper) == 200
+            assert await ask_on_new_connection(gatekeeper) == 200
 
     run(scenario())
 
@@ -143,7 +145,7 @@
         worker = Worker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             failing_calls.plan(call, most_bytes=most_bytes)
-            statuses = await asyncio.gather(*(ask_anew(gatekeeper, b"x" * 300) for _ in range(REQUESTS)))
+            statuses = await asyncio.gather(*(ask_on_new_connection(gatekeeper, b"x" * 300) for _ in range(REQUESTS)))
             assert statuses == [200] * REQUESTS and all_ran_once(worker)
             assert {request.body for request in worker.seen} == {b"x" * 300}
 
--- a/tests/incidents/test_slow_agent.py
+++ b/tests/incidents/test_slow_agent.py
@@ -1,4 +1,4 @@
-"""A discovery agent that answers late: what it has counts as notified, so nothing goes to a draining endpoint."""
+"""A discovery agent that answers late: its changes count as notified, so a draining worker must get no request."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 
 
 class TimedWorker(Worker):
-    """A worker that keeps when each request came."""
+    """A worker that records the time of each request."""
 
     def __init__(self, name):
         super().__init__(name, self._answer)
@@ -23,7 +23,7 @@
 
 @contextlib.asynccontextmanager
 async def gatekeeper_with(agent, known=None):
-    """A gatekeeper in a process of its own that asks this agent."""
+    """A gatekeeper in a process of its own that uses this agent."""
     gatekeeper = await launch(config(agent.port, known=known))
     try:
         yield gatekeeper
@@ -35,7 +35,7 @@
 
 
 async def ask_until(gatekeeper, done):
-    """Ask again and again over one connection; how many were served."""
+    """Send requests over one connection until `done`; return how many were served."""
     client, served = await gatekeeper.client(), 0
     while not done():
         served += (await client.ask("write")).status == 200
@@ -45,10 +45,10 @@
 
 
 @pytest.mark.parametrize("delay", [0.8, 2.0])
-def test_a_new_process_sends_nothing_by_its_old_list_while_the_agent_is_slow_to_answer(delay):
+def test_a_new_process_sends_no_request_by_its_known_list_while_the_agent_is_slow_to_answer(delay):
     async def scenario():
         draining, healthy = await TimedWorker("draining").start(), await TimedWorker("healthy").start()
-        known = [draining.entry(), healthy.entry()]  # as the process before this one had it
+        known = [draining.entry(), healthy.entry()]  # as its predecessor had it
         agent = FakeAgent([draining.entry(status="draining"), healthy.entry()], index=2)
         agent.faults.delay_seconds = lambda: delay
         await agent.start()
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("delay", [0.4, 0.8, 1.8])
-def test_after_a_reset_an_agent_that_answers_late_is_still_heard(delay):
+def test_after_a_connection_reset_late_answers_of_the_agent_are_still_applied(delay):
     async def scenario():
         worker, healthy = await TimedWorker("draining").start(), await TimedWorker("healthy").start()
         agent = await FakeAgent([worker.entry(), healthy.entry()]).start()
@@ -74,13 +74,13 @@
             changed, ends = loop.time(), loop.time() + delay + 2.0
             assert await ask_until(gatekeeper, lambda: loop.time() > ends) > 0
             last = max((at for at in worker.times if at > changed), default=changed)
-            assert last - changed < delay + 0.6  # the answer's lateness, and one probe
+            assert last - changed < delay + 0.6  # the delay of the answer, and one probe interval
             assert healthy.times[-1] > ends - 0.5
 
     run(scenario())
 
 
-def test_a_new_process_listens_at_last_though_its_agent_never_answers():
+def test_a_new_process_starts_to_listen_although_its_agent_never_answers():
     async def scenario():
         worker = await Worker("known").start()
         agent = FakeAgent([worker.entry()])
@@ -93,7 +93,7 @@
     run(scenario())
 
 
-def test_an_agent_that_answers_open_watches_at_once_with_nothing_new_is_asked_a_bounded_number_of_times():
+def test_an_agent_that_answers_long_polls_at_once_with_no_change_gets_a_bounded_number_of_calls():
     async def scenario():
         worker = await Worker("w").start()
         agent = FakeAgent([worker.entry()])
--- a/tests/incidents/test_stepped_clocks.py
+++ b/tests/incidents/test_stepped_clocks.py
@@ -1,4 +1,4 @@
-"""A wall clock that is off, or is stepped: deadlines are spans of real time."""
+"""Deadlines do not depend on the wall clock, which may be stepped."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_deadline_is_kept_while_the_clock_is_stepped(failing_calls, step):
+def test_a_deadline_is_kept_when_the_wall_clock_is_stepped(failing_calls, step):
     async def scenario():
         worker = Worker("w", hang)
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
@@ -25,7 +25,7 @@
             assert reply.status == 502 and 0.5 < time.monotonic() - began < 0.9
             worker.script = answer()
             while (await client.ask("write")).status != 200:
-                pass  # a lone endpoint that has just failed is tried again after a moment
+                pass  # a single worker that has just failed is not used for a moment
             left = float(worker.seen[-1].headers["x-timeout"])
             assert 1.5 < left <= 2.0
 
