--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -48,7 +48,7 @@
     """The listed workers, their connections and the limit on these.
 
     `connect_timeout` and `idle_close` (the workers' own idle timeout) are in seconds. Response bodies above `max_body`
-    bytes are streamed, up to `longest` bytes.
+    bytes are streamed, up to a second limit above which they are rejected.
     """
 
     def __init__(
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -1,7 +1,7 @@
 """The HTTP/1.1 front end: client connections, request validation, and replies in request order.
 
-`Server` holds the client connections of the process and their limits; `Client` is the protocol of one connection. A
-valid request goes to the `RequestDispatcher`, which calls back with the final reply, or with a streamed response.
+`Server` holds the client connections of the process and their limits; each connection is a protocol object of its own.
+A valid request goes to the `RequestDispatcher`, which calls back with the final reply, or with a streamed response.
 """
 
 from __future__ import annotations
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -84,10 +84,10 @@
 
 
 class DiscoveryUpdate:
-    """A parsed update from discovery: a snapshot (`whole`) or a delta, of version `index`.
+    """A parsed update from discovery: a snapshot of the list or a delta, with its version (`index`).
 
-    `skipped` is the error of the last malformed entry, or empty. Start times are unknown until `date` is called.
-    Raises ValueError if the update as a whole is malformed.
+    `skipped` is the error of the last malformed entry, or empty. The start times of the endpoints are set later, and
+    only if the update is applied. Raises ValueError if the update itself is malformed.
     """
 
     __slots__ = ("index", "whole", "endpoints", "skipped", "_start_times")
