--- a/oliveloft/cli.py
+++ b/oliveloft/cli.py
@@ -1,4 +1,8 @@
-"""The verbs of `python -m oliveloft`. Exit codes: 0 done, 1 it failed, 2 wrong words or configuration."""
+"""The command line of `python -m oliveloft VERB`.
+
+Exit codes: 0 success, 1 failure, 2 wrong arguments or configuration. Each verb imports its modules when it runs, so
+that a verb loads nothing of the others.
+"""
 
 from __future__ import annotations
 
@@ -7,26 +11,26 @@
 import sys
 from collections.abc import Callable, Sequence
 
-Run = Callable[[argparse.Namespace], int]
+Command = Callable[[argparse.Namespace], int]
 
 
-def whole(least: int) -> Callable[[str], int]:
-    """A reader of whole numbers from `least`."""
+def integer_from(minimum: int) -> Callable[[str], int]:
+    """Return an argument type that accepts integers from `minimum`."""
 
-    def read(text: str) -> int:
+    def parse(text: str) -> int:
         try:
             value = int(text)
         except ValueError:
             raise argparse.ArgumentTypeError(f"{text!r} is no whole number") from None
-        if value < least:
-            raise argparse.ArgumentTypeError(f"must be at least {least}, not {value}")
+        if value < minimum:
+            raise argparse.ArgumentTypeError(f"must be at least {minimum}, not {value}")
         return value
 
-    return read
+    return parse
 
 
-def amount(text: str) -> float:
-    """A number above 0."""
+def positive_number(text: str) -> float:
+    """Argument type that accepts finite numbers above 0."""
     try:
         value = float(text)
     except ValueError:
@@ -36,20 +40,20 @@
     return value
 
 
-def _demo(words: argparse.Namespace) -> int:
+def _demo(args: argparse.Namespace) -> int:
     from rig.demo import main
 
     return main(
-        workers=words.workers,
-        gatekeepers=words.gatekeepers,
-        rate=words.rate,
-        seconds=words.seconds,
-        seed=words.seed,
-        planners=words.planners,
+        workers=args.workers,
+        gatekeepers=args.gatekeepers,
+        rate=args.rate,
+        seconds=args.seconds,
+        seed=args.seed,
+        planners=args.planners,
     )
 
 
-def _plan(words: argparse.Namespace) -> int:
+def _plan(args: argparse.Namespace) -> int:
     import logging
 
     import uvloop
@@ -60,52 +64,52 @@
 
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=sys.stderr)
     try:
-        config = load(words.config)
-        if words.name not in config.planners:
-            raise ConfigError(f"--name: {words.name!r} is none of {', '.join(config.planners)}")
-        return uvloop.run(serve(words.name, config))
+        config = load(args.config)
+        if args.name not in config.planners:
+            raise ConfigError(f"--name: {args.name!r} is none of {', '.join(config.planners)}")
+        return uvloop.run(serve(args.name, config))
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
 
 
-def _forward(words: argparse.Namespace) -> int:
+def _forward(args: argparse.Namespace) -> int:
     from oliveloft.gatekeeper.process import main
 
-    return main(words.number, words.config, words.fleet)
+    return main(args.number, args.config, args.fleet)
 
 
-def _member(words: argparse.Namespace) -> int:
+def _member(args: argparse.Namespace) -> int:
     from oliveloft.gatekeeper.process import main
 
-    return main(fleet=words.fleet)
+    return main(fleet=args.fleet)
 
 
-def _fleet_status(words: argparse.Namespace) -> int:
+def _fleet_status(args: argparse.Namespace) -> int:
     from oliveloft.fleet.status import main
 
-    return main(words.fleet, words.json)
+    return main(args.fleet, args.json)
 
 
-def _status(words: argparse.Namespace) -> int:
+def _status(args: argparse.Namespace) -> int:
     from oliveloft.planners.status import main
 
-    return main(words.config, words.json)
+    return main(args.config, args.json)
 
 
-def _settings(words: argparse.Namespace) -> int:
+def _settings(args: argparse.Namespace) -> int:
     from oliveloft.config.explain import main
 
-    return main(words.file, words.json)
+    return main(args.file, args.json)
 
 
-def _manage(words: argparse.Namespace) -> int:
+def _manage(args: argparse.Namespace) -> int:
     from oliveloft.manage.client import main
 
-    return main(words.call, words.worker, words.at, words.within, words.json)
+    return main(args.call, args.worker, args.at, args.within, args.json)
 
 
-def _fleet_file(verb: argparse.ArgumentParser) -> None:
+def _add_fleet_option(verb: argparse.ArgumentParser) -> None:
     verb.add_argument(
         "--fleet",
         default="deploy/fleet.toml",
@@ -114,7 +118,7 @@
     )
 
 
-def _config(verb: argparse.ArgumentParser) -> None:
+def _add_config_option(verb: argparse.ArgumentParser) -> None:
     verb.add_argument(
         "--config",
         default="deploy/planners.toml",
@@ -123,66 +127,71 @@
     )
 
 
-def parser() -> argparse.ArgumentParser:
-    """All verbs with their options."""
-    top = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser for all verbs and their options."""
+    parser = argparse.ArgumentParser(
         prog="python -m oliveloft",
-        description="Without a verb: one gatekeeper, as the JSON file named by PROXY_CONFIG says.",
+        description="Without a verb: run one gatekeeper, configured by the JSON file that PROXY_CONFIG names.",
     )
-    verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
-    demo = verbs.add_parser("demo", help="a stand-in fleet on loopback with real requests, until Ctrl-C")
-    demo.add_argument("--workers", type=whole(1), default=4, help="stand-in workers (default 4)")
-    demo.add_argument("--gatekeepers", type=whole(1), default=1, help="gatekeepers (default 1)")
-    demo.add_argument("--rate", type=amount, default=120.0, help="requests a second asked (default 120)")
-    demo.add_argument("--seconds", type=amount, default=None, help="end by itself after so long")
+    verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
+    demo = verbs.add_parser("demo", help="run gatekeepers, fake workers and clients on loopback, until Ctrl-C")
+    demo.add_argument("--workers", type=integer_from(1), default=4, help="number of fake workers (default 4)")
+    demo.add_argument("--gatekeepers", type=integer_from(1), default=1, help="number of gatekeepers (default 1)")
+    demo.add_argument("--rate", type=positive_number, default=120.0, help="requests per second (default 120)")
+    demo.add_argument("--seconds", type=positive_number, default=None, help="stop after this many seconds")
     demo.add_argument("--seed", type=int, default=1, help="seed of the traffic (default 1)")
     demo.add_argument(
-        "--planners", type=whole(0), default=0, help="planners that move shares between gatekeepers (default 0)"
+        "--planners",
+        type=integer_from(0),
+        default=0,
+        help="number of planners that move quota shares between gatekeepers (default 0)",
     )
     demo.set_defaults(run=_demo)
-    plan = verbs.add_parser("plan", help="a planner, which hands out shares of quota and capacity")
-    _config(plan)
-    plan.add_argument("--name", required=True, help="which of the planners of the file this is")
+    plan = verbs.add_parser("plan", help="run a planner, which assigns shares of quotas and capacity to gatekeepers")
+    _add_config_option(plan)
+    plan.add_argument("--name", required=True, help="the name of this planner in the configuration")
     plan.set_defaults(run=_plan)
-    forward = verbs.add_parser("forward", help="a gatekeeper that follows the planners of a file")
-    _config(forward)
+    forward = verbs.add_parser("forward", help="run a gatekeeper that takes its shares from planners")
+    _add_config_option(forward)
     forward.add_argument(
         "--number",
-        type=whole(0),
+        type=integer_from(0),
         required=True,
-        help="its number among the forwarders, from 0, as X-Weight counts them",
+        help="the number of this forwarder, from 0, as X-Weight counts them",
     )
     forward.add_argument(
         "--fleet",
         default="",
         metavar="FILE",
-        help="the fleet's configuration: know the other gatekeepers, and remember",
+        help="the fleet's configuration: be a member of the fleet and persist state",
     )
     forward.set_defaults(run=_forward)
-    member = verbs.add_parser("member", help="a gatekeeper that knows the others of a file, and remembers")
-    _fleet_file(member)
+    member = verbs.add_parser("member", help="run a gatekeeper that is a member of a fleet and persists its state")
+    _add_fleet_option(member)
     member.set_defaults(run=_member)
-    fleet = verbs.add_parser("fleet", help="what members say of themselves and of each other")
-    about = fleet.add_subparsers(dest="what", required=True, metavar="WHAT")
-    state = about.add_parser("status", help="who is there, at which stage of a start and why, cuts, bans, memory")
-    _fleet_file(state)
-    state.add_argument("--json", action="store_true", help="one JSON object")
-    state.set_defaults(run=_fleet_status)
-    planners = verbs.add_parser("planners", help="what planners say of themselves")
-    asked = planners.add_subparsers(dest="what", required=True, metavar="WHAT")
-    status = asked.add_parser("status", help="who owns what, epochs, grants out, age of reports")
-    _config(status)
-    status.add_argument("--json", action="store_true", help="one JSON object")
-    status.set_defaults(run=_status)
-    settings = verbs.add_parser("settings", help="what a gatekeeper's file states, and which decision follows each key")
+    fleet = verbs.add_parser("fleet", help="ask the members of a fleet about themselves and each other")
+    fleet_verbs = fleet.add_subparsers(dest="what", required=True, metavar="WHAT")
+    fleet_status = fleet_verbs.add_parser(
+        "status", help="members, the stage of each start, broken links, maintenance, memory"
+    )
+    _add_fleet_option(fleet_status)
+    fleet_status.add_argument("--json", action="store_true", help="print JSON")
+    fleet_status.set_defaults(run=_fleet_status)
+    planners = verbs.add_parser("planners", help="ask the planners about themselves")
+    planners_verbs = planners.add_subparsers(dest="what", required=True, metavar="WHAT")
+    planners_status = planners_verbs.add_parser("status", help="ownership, epochs, outstanding grants, age of reports")
+    _add_config_option(planners_status)
+    planners_status.add_argument("--json", action="store_true", help="print JSON")
+    planners_status.set_defaults(run=_status)
+    settings = verbs.add_parser("settings", help="list a gatekeeper's settings and the decision that uses each")
     settings.add_argument("file", metavar="FILE", help="a gatekeeper's JSON file, for example deploy/example.json")
-    settings.add_argument("--json", action="store_true", help="one JSON object")
+    settings.add_argument("--json", action="store_true", help="print JSON")
     settings.set_defaults(run=_settings)
     manage = verbs.add_parser(
         "manage",
-        help="call a gatekeeper at its operators' address",
-        description="HEALTH, REFUSED, LEAVE, JOIN, OFFLINE ID or ONLINE ID. Exit code 0: ok, 1: fail, 2: wrong words, "
-        "3: no answer.",
+        help="send an operator's call to a gatekeeper",
+        description="HEALTH, REFUSED, LEAVE, JOIN, OFFLINE ID or ONLINE ID. Exit code 0: ok, 1: fail, 2: wrong "
+        "arguments, 3: no answer.",
     )
     manage.add_argument("call", metavar="CALL", help="HEALTH, REFUSED, LEAVE, JOIN, OFFLINE or ONLINE, in any case")
     manage.add_argument("worker", metavar="ID", nargs="?", help="the worker, for OFFLINE and ONLINE")
@@ -192,20 +201,22 @@
         help="the operators' address (default: PROXY_MANAGEMENT, or "
         "`management` of the file that PROXY_CONFIG names)",
     )
-    manage.add_argument("--within", type=amount, default=1.0, help="seconds to wait for the answer (default 1)")
-    manage.add_argument("--json", action="store_true", help="one JSON object")
+    manage.add_argument(
+        "--within", type=positive_number, default=1.0, help="seconds to wait for the answer (default 1)"
+    )
+    manage.add_argument("--json", action="store_true", help="print JSON")
     manage.set_defaults(run=_manage)
-    return top
+    return parser
 
 
-def main(words: Sequence[str]) -> int:
-    """Run a verb; the exit status."""
-    parsed = parser().parse_args(words)
-    run: Run = parsed.run
+def main(arguments: Sequence[str]) -> int:
+    """Run the verb that the arguments name; return the exit status."""
+    args = build_parser().parse_args(arguments)
+    run: Command = args.run
     try:
-        return run(parsed)
+        return run(args)
     except KeyboardInterrupt:
         return 0
-    except BrokenPipeError:  # whoever reads has enough; without this the interpreter fails once more at its end
+    except BrokenPipeError:  # the reader closed the pipe; flushing stdout at exit must not fail again
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
--- a/oliveloft/config/__init__.py
+++ b/oliveloft/config/__init__.py
@@ -1,1 +1,1 @@
-"""What one gatekeeper is told at its start, and what it makes of that."""
+"""The configuration of one gatekeeper: loading, checking and explaining it."""
--- a/oliveloft/config/explain.py
+++ b/oliveloft/config/explain.py
@@ -1,4 +1,4 @@
-"""What a gatekeeper's file states: each setting with the decision that follows it, or why none does."""
+"""The verb `settings` of the command line: lists each setting of a gatekeeper's file with the decision that uses it."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 UNKNOWN = "not known here: nothing follows it"
 
 
-def rows(facts: Mapping[str, Any]) -> list[dict[str, Any]]:
-    """One for each setting that is stated: where it stands, its value, whether it is used, and what follows it."""
+def rows(settings: Mapping[str, Any]) -> list[dict[str, Any]]:
+    """Return a row per setting: its path and value, whether it is used, and what follows it or why nothing does."""
     return [
         {
-            "setting": where,
+            "setting": path,
             "value": value,
             "used": key in FACTS and FACTS[key].used,
             "follows": FACTS[key].follows if key in FACTS else UNKNOWN,
         }
-        for key, where, value in stated(facts)
+        for key, path, value in stated(settings)
     ]
 
 
 def main(path: str, as_json: bool) -> int:
-    """Print them; 2 where the file cannot be used, with what is wrong."""
+    """Print the settings of a file; return 2, after printing the error, if the file cannot be used."""
     try:
         env = {"PROXY_CONFIG": path, "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
         raw = read(env)
         parse(raw, env)
-        told = rows(raw["settings"])
+        settings = rows(raw["settings"])
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(settings))
         return 0
-    wide = max(len(row["setting"]) for row in told)
-    for row in told:
-        shown = json.dumps(row["value"])
-        print(f"{row['setting']:{wide}}  {shown:14}  {'' if row['used'] else 'unused: '}{row['follows']}")
+    width = max(len(row["setting"]) for row in settings)
+    for row in settings:
+        value = json.dumps(row["value"])
+        print(f"{row['setting']:{width}}  {value:14}  {'' if row['used'] else 'unused: '}{row['follows']}")
     return 0
--- a/oliveloft/config/loading.py
+++ b/oliveloft/config/loading.py
@@ -1,4 +1,7 @@
-"""What one gatekeeper is told at its start: the JSON file named by PROXY_CONFIG, checked key by key."""
+"""Loads a gatekeeper's configuration: the JSON file named by PROXY_CONFIG, checked key by key.
+
+Environment variables supply the addresses and the name where the file leaves them out.
+"""
 
 from __future__ import annotations
 
@@ -14,55 +17,55 @@
 from micagate.bodies import buffering
 from micagate.interface import Settings
 
-MICRO = 1_000_000
-MEGA = 1024 * 1024
-BASE = 48  # MB that the process needs beside the bodies it holds: itself, and their windows
-HELD_SHARE, LEAST_HELD = 0.75, 1  # of the rest; MB
+MICROSECONDS_PER_SECOND = 1_000_000
+BYTES_PER_MB = 1024 * 1024
+BASE_MEMORY_MB = 48  # needed beside buffered bodies: the process itself and the windows of streamed bodies
+BUFFER_SHARE, MIN_BUFFER_MB = 0.75, 1  # memory for buffered long bodies: a share of the rest, and at least so much
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the text names the key."""
+    """Raised for a configuration that cannot be used; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A checked configuration; times are seconds."""
+    """A checked configuration; times are in seconds, sizes in bytes."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    sockets: int
-    known: dict[str, Any] | None
+    max_descriptors: int
+    known: dict[str, Any] | None  # a worker list to start with, in the form of a discovery answer; not checked yet
     settings: Settings
     drain_grace: float
     connect_timeout: float
-    idle_close: float
-    units_top: float
+    idle_timeout: float
+    max_units: float  # of one request
     management: tuple[str, int] | None = None  # the operators' address
-    longest: int = buffering.LONGEST  # bytes of a body, of a request or of an answer
-    held: int = buffering.HELD  # bytes of long bodies that are held at once, all together
-    accept_fd: int | None = None  # the clients' listening socket, where whoever started the process holds it
+    max_body_bytes: int = buffering.LONGEST  # of a request or a response
+    max_buffered_bytes: int = buffering.HELD  # of all long bodies together
+    accept_fd: int | None = None  # the inherited socket that listens for clients, if there is one
 
 
-def address(text: object, least: int = 1) -> tuple[str, int]:
-    """Host and port of `host:port`; ValueError where it is none. Port 0 lets the system pick one."""
+def address(text: object, min_port: int = 1) -> tuple[str, int]:
+    """Parse `host:port`; raise ValueError if it is malformed. Port 0, if allowed, lets the system pick one."""
     if not isinstance(text, str):
         raise ValueError(f"{text!r} is not host:port")
     host, colon, port = text.rpartition(":")
-    if not host or not colon or not port.isdecimal() or not least <= int(port) < 65536:
+    if not host or not colon or not port.isdecimal() or not min_port <= int(port) < 65536:
         raise ValueError(f"{text!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """The configuration that the environment names."""
+    """Load and check the configuration that the environment names."""
     return parse(read(env), env)
 
 
 def read(env: Mapping[str, str]) -> dict[str, Any]:
-    """The JSON object that the environment names, not checked yet."""
+    """Read the JSON object that the environment names, without checking it."""
     path = env.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG: not set")
@@ -72,31 +75,33 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"PROXY_CONFIG: cannot read {path}: {error}") from error
     if not isinstance(raw, dict):
-        raise ConfigError(f"PROXY_CONFIG: {path} holds no JSON object")
+        raise ConfigError(f"PROXY_CONFIG: {path} does not hold a JSON object")
     return raw
 
 
 def parse(raw: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """A checked configuration from its JSON object; the environment fills in what that leaves out."""
-    facts = raw.get("settings")
-    if not isinstance(facts, dict):
+    """Check a configuration; the environment supplies addresses and the name where the JSON object has none."""
+    settings_json = raw.get("settings")
+    if not isinstance(settings_json, dict):
         raise ConfigError("settings: missing or no object")
     try:
-        settings = read_settings(facts)
-        grace = facts["Rules"]["DrainGraceUs"] / MICRO
-        connect, idle = (facts["Caps"][key] / MICRO for key in ("ConnectTimeoutUs", "IdleCloseUs"))
-        units_top = float(facts["FamilyInfo"].get("UnitsTop", "inf"))
+        settings = read_settings(settings_json)
+        drain_grace = settings_json["Rules"]["DrainGraceUs"] / MICROSECONDS_PER_SECOND
+        connect_timeout, idle_timeout = (
+            settings_json["Caps"][key] / MICROSECONDS_PER_SECOND for key in ("ConnectTimeoutUs", "IdleCloseUs")
+        )
+        max_units = float(settings_json["FamilyInfo"].get("UnitsTop", "inf"))
     except KeyError as error:
         raise ConfigError(f"settings: missing key {error}") from error
     except (TypeError, ValueError, AttributeError, IndexError) as error:
         raise ConfigError(f"settings: {error}") from error
     known = raw.get("known")
     if known is not None and not isinstance(known, dict):
-        raise ConfigError("known: no object")
+        raise ConfigError("known: not a JSON object")
     try:
         seed = int(str(raw.get("seed", "0")), 16)
     except ValueError as error:
-        raise ConfigError(f"seed: {raw['seed']!r} is no hexadecimal number") from error
+        raise ConfigError(f"seed: {raw['seed']!r} is not a hexadecimal number") from error
     counter = None
     if "counter" in raw:
         counter = _address(raw, env, "counter", "", 1)
@@ -106,70 +111,75 @@
     return Config(
         management=management,
         accept_fd=_accept_fd(env),
-        longest=_megabytes(raw, "body_mb", buffering.LONGEST / MEGA),
-        held=_held(raw),
+        max_body_bytes=_megabytes(raw, "body_mb", buffering.LONGEST / BYTES_PER_MB),
+        max_buffered_bytes=_max_buffered_bytes(raw),
         name=str(raw.get("name") or env.get("PROXY_NAME") or "oliveloft"),
         listen=_address(raw, env, "listen", "PROXY_LISTEN", 0),
         discovery=_address(raw, env, "discovery", "PROXY_DISCOVERY", 1),
         counter=counter,
         seed=seed,
-        sockets=_sockets(raw),
+        max_descriptors=_max_descriptors(raw),
         known=known,
         settings=settings,
-        drain_grace=grace,
-        connect_timeout=connect,
-        idle_close=idle,
-        units_top=units_top,
+        drain_grace=drain_grace,
+        connect_timeout=connect_timeout,
+        idle_timeout=idle_timeout,
+        max_units=max_units,
     )
 
 
-def _address(raw: dict[str, Any], env: Mapping[str, str], key: str, variable: str, least: int) -> tuple[str, int]:
+def _address(raw: dict[str, Any], env: Mapping[str, str], key: str, variable: str, min_port: int) -> tuple[str, int]:
     try:
-        return address(raw.get(key, env.get(variable)), least)
+        return address(raw.get(key, env.get(variable)), min_port)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from error
 
 
 def _accept_fd(env: Mapping[str, str]) -> int | None:
-    """The inherited listening socket that the environment names; ConfigError where it is none."""
+    """Return the inherited listening socket that PROXY_ACCEPT_FD names, if any; raise ConfigError if it is unusable."""
     text = env.get("PROXY_ACCEPT_FD")
     if not text:
         return None
     if not text.isdecimal():
-        raise ConfigError(f"PROXY_ACCEPT_FD: {text!r} is no descriptor")
+        raise ConfigError(f"PROXY_ACCEPT_FD: {text!r} is not a file descriptor")
     try:
-        with socket.socket(fileno=os.dup(int(text))) as held:
-            listens = held.type == socket.SOCK_STREAM and held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        with socket.socket(fileno=os.dup(int(text))) as inherited:
+            listens = inherited.type == socket.SOCK_STREAM and inherited.getsockopt(
+                socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+            )
     except OSError as error:
         raise ConfigError(f"PROXY_ACCEPT_FD: {text}: {error.strerror or error}") from error
     if not listens:
-        raise ConfigError(f"PROXY_ACCEPT_FD: {text} is no listening socket")
+        raise ConfigError(f"PROXY_ACCEPT_FD: {text} is not a listening socket")
     return int(text)
 
 
-def _megabytes(raw: dict[str, Any], key: str, usual: float) -> int:
-    """A limit in MB, as bytes."""
+def _megabytes(raw: dict[str, Any], key: str, default: float) -> int:
+    """Return a limit that is set in MB, in bytes."""
     limits = raw.get("limits", {})
-    told = limits.get(key, usual) if isinstance(limits, dict) else usual
-    if not isinstance(told, int | float) or isinstance(told, bool) or not 0.0625 <= told < 1e6:
-        raise ConfigError(f"limits.{key}: must be a number of MB from 0.0625, not {told!r}")
-    return int(told * MEGA)
+    value = limits.get(key, default) if isinstance(limits, dict) else default
+    if not isinstance(value, int | float) or isinstance(value, bool) or not 0.0625 <= value < 1e6:
+        raise ConfigError(f"limits.{key}: must be a number of MB from 0.0625, not {value!r}")
+    return int(value * BYTES_PER_MB)
 
 
-def _held(raw: dict[str, Any]) -> int:
-    """What long bodies may hold: of the memory that the limit leaves, unless it is set."""
+def _max_buffered_bytes(raw: dict[str, Any]) -> int:
+    """Return how much memory may buffer long bodies: a share of what the memory limit leaves, unless it is set."""
     limits = raw.get("limits", {})
     if isinstance(limits, dict) and "held_mb" in limits:
-        return _megabytes(raw, "held_mb", buffering.HELD / MEGA)
-    memory = _megabytes(raw, "memory_mb", 192.0) / MEGA
-    return int(max(LEAST_HELD, min(buffering.HELD / MEGA, HELD_SHARE * (memory - BASE))) * MEGA)
+        return _megabytes(raw, "held_mb", buffering.HELD / BYTES_PER_MB)
+    memory_mb = _megabytes(raw, "memory_mb", 192.0) / BYTES_PER_MB
+    return int(
+        max(MIN_BUFFER_MB, min(buffering.HELD / BYTES_PER_MB, BUFFER_SHARE * (memory_mb - BASE_MEMORY_MB)))
+        * BYTES_PER_MB
+    )
 
 
-def _sockets(raw: dict[str, Any]) -> int:
-    """How many descriptors the process may hold: the limit told, or the system's where that is lower."""
+def _max_descriptors(raw: dict[str, Any]) -> int:
+    """Return how many descriptors the process may hold: the limit that is set, or the system's if that is lower."""
     limits = raw.get("limits", {})
-    told = limits.get("sockets", 1024) if isinstance(limits, dict) else None
-    if not isinstance(told, int) or isinstance(told, bool) or told < 32:
-        raise ConfigError(f"limits.sockets: must be a whole number from 32, not {told!r}")
+    count = limits.get("sockets", 1024) if isinstance(limits, dict) else None
+    if not isinstance(count, int) or isinstance(count, bool) or count < 32:
+        raise ConfigError(f"limits.sockets: must be a whole number from 32, not {count!r}")
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if soft == resource.RLIM_INFINITY else min(told, soft)
+    return count if soft == resource.RLIM_INFINITY else min(count, soft)
--- a/oliveloft/counter/__init__.py
+++ b/oliveloft/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The counter that gatekeepers share: its client."""
+"""The client of the counter service that gatekeepers share."""
--- a/oliveloft/counter/client.py
+++ b/oliveloft/counter/client.py
@@ -1,9 +1,10 @@
-"""A client of the counter: RESP2 over TCP, calls one behind another, each answered once.
+"""Client of the shared counter service: pipelined calls in RESP2 over TCP, each with exactly one result.
 
-A call ends as added (`success`, with the total), not added (`full`: turned away; `unreachable`: it never went out
-whole) or may have been added (`timed_out`). A total that comes later than the wait is told once more, as `late`: then
-it is known what was added. The answers on a connection come in the order of its calls (RESP, "Request-Response
-model"); one that cannot be read ends the connection, as nothing behind it can be told apart.
+A call ends as added (`success`, with the total), not added (`full`: rejected by the service; `unreachable`: never
+sent as a whole) or possibly added (`timed_out`). If a total arrives after the timeout, it is reported in a second
+result as `late`, so that the amount added is known. Replies on a connection come in the order of its calls (RESP,
+"Request-Response model"); a reply that cannot be parsed closes the connection, since later replies could no longer be
+matched to their calls.
 """
 
 from __future__ import annotations
@@ -22,59 +23,59 @@
 
 log = logging.getLogger("oliveloft")
 
-AGAIN, LONGEST = 0.05, 2.0  # seconds within which a connection is made anew at first, and in the end
-CONNECT_SECONDS = 1.0  # that a connection has to come up
-MOST = 512  # calls that may be out: a counter that answers nothing must not fill the memory
+INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 2.0  # upper bounds of the random delay before reconnecting
+CONNECT_TIMEOUT_SECONDS = 1.0
+MAX_PENDING_CALLS = 512  # keeps a service that answers nothing from filling the memory
 
-Heard = Callable[[interface.CounterResult], None]
+ResultCallback = Callable[[interface.CounterResult], None]
 
 
-class Pending:
-    """A call until its answer, or until its wait is over."""
+class PendingCall:
+    """A call that waits for its reply, also after its timeout."""
 
-    __slots__ = ("name", "began", "heard", "timer", "over")
+    __slots__ = ("name", "started_at", "on_result", "timer", "ended")
 
-    def __init__(self, name: int, began: float, heard: Heard) -> None:
-        self.name, self.began = name, began
-        self.heard, self.over = heard, False
+    def __init__(self, name: int, started_at: float, on_result: ResultCallback) -> None:
+        self.name, self.started_at = name, started_at
+        self.on_result, self.ended = on_result, False
         self.timer: asyncio.TimerHandle | None = None
 
     def end(self, status: str, total: float, now: float) -> None:
-        """Its one answer; after a time-out the total that came late."""
+        """Report the result; after a timeout only a late total is reported, as a second result."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.over:
+        if self.ended:
             status = interface.LATE_RESPONSE if status == interface.SUCCESS else ""
-        self.over = True
+        self.ended = True
         if status:
-            self.heard(interface.CounterResult(self.name, status, total, now - self.began))
+            self.on_result(interface.CounterResult(self.name, status, total, now - self.started_at))
 
 
-class Line(asyncio.Protocol):
-    """One connection."""
+class Connection(asyncio.Protocol):
+    """One connection to the counter service."""
 
     def __init__(self, counter: Counter) -> None:
         self._counter = counter
         self._reader = hiredis.Reader()
-        self._waiting: deque[Pending] = deque()
+        self._pending: deque[PendingCall] = deque()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Calls may go from now on."""
+        """Make the connection available for calls."""
         self.transport = cast(asyncio.Transport, transport)
-        self._counter.up(self)
+        self._counter.on_connected(self)
 
-    def call(self, pending: Pending, amount: float, life: float) -> None:
+    def send(self, pending: PendingCall, amount: float, ttl_seconds: float) -> None:
         """Write a call."""
         name, number = str(pending.name), f"{amount:.9f}"
-        life_ms = str(max(1, round(life * 1000)))
-        text = "*4\r\n$6\r\nADDGET\r\n" + "".join(f"${len(w)}\r\n{w}\r\n" for w in (name, number, life_ms))
-        self._waiting.append(pending)
+        ttl_ms = str(max(1, round(ttl_seconds * 1000)))
+        text = "*4\r\n$6\r\nADDGET\r\n" + "".join(f"${len(w)}\r\n{w}\r\n" for w in (name, number, ttl_ms))
+        self._pending.append(pending)
         assert self.transport is not None
         self.transport.write(text.encode())
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     @property
     def closed(self) -> bool:
@@ -82,112 +83,117 @@
         return self.transport is None or self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
-        """Answers, in the order of the calls."""
+        """Match the replies to the calls, in order."""
         now = self._counter.loop.time()
         try:
             self._reader.feed(data)
-            while (answer := self._reader.gets()) is not False:
-                self._answer(answer, now)
+            while (reply := self._reader.gets()) is not False:
+                self._on_reply(reply, now)
         except (hiredis.HiredisError, ValueError) as error:
             log.warning("counter: %s", error)
-            self.drop()
-
-    def _answer(self, answer: object, now: float) -> None:
-        if not self._waiting:
-            raise ValueError("an answer to no call")
-        if isinstance(answer, hiredis.ReplyError):
-            if not str(answer).startswith("BUSY"):
-                log.warning("counter: %s", answer)
-            self._waiting.popleft().end(interface.OVERLOADED, 0.0, now)
+            self.abort()
+
+    def _on_reply(self, reply: object, now: float) -> None:
+        if not self._pending:
+            raise ValueError("reply without a pending call")
+        if isinstance(reply, hiredis.ReplyError):
+            if not str(reply).startswith("BUSY"):
+                log.warning("counter: %s", reply)
+            self._pending.popleft().end(interface.OVERLOADED, 0.0, now)
             return
-        total = float(answer) if isinstance(answer, bytes) else math.nan
+        total = float(reply) if isinstance(reply, bytes) else math.nan
         if not math.isfinite(total):
-            raise ValueError(f"no total: {answer!r}")
-        self._waiting.popleft().end(interface.SUCCESS, total, now)
+            raise ValueError(f"reply is not a finite number: {reply!r}")
+        self._pending.popleft().end(interface.SUCCESS, total, now)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What was written whole may have been added."""
+        """End the pending calls as timed out, since the service may have added their amounts."""
         self.transport = None
-        self._counter.down(self)
+        self._counter.on_disconnected(self)
         now = self._counter.loop.time()
-        while self._waiting:
-            self._waiting.popleft().end(interface.TIMED_OUT, 0.0, now)
+        while self._pending:
+            self._pending.popleft().end(interface.TIMED_OUT, 0.0, now)
 
-    def drop(self) -> None:
-        """Close at once."""
+    def abort(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Counter:
-    """The counter at one address; `call` never waits longer than `wait` seconds."""
+    """Client of the counter service at one address; a call waits at most `timeout_seconds`.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int], wait: float, seed: int) -> None:
-        self.loop, self._where, self._wait = loop, where, wait
+    After a failed connect the next one waits for a random time within a bound that doubles.
+    """
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], timeout_seconds: float, seed: int
+    ) -> None:
+        self.loop, self._address, self._timeout_seconds = loop, address, timeout_seconds
         self._random = Random(seed)
-        self._line: Line | None = None
+        self._connection: Connection | None = None
         self._task: asyncio.Task[None] | None = None
-        self._after, self._tries, self._stopped = 0.0, 0, False
-        self._open()
-
-    def call(self, count: interface.CounterAdd, heard: Heard) -> None:
-        """Make a call; `heard` is called once, later."""
-        pending = Pending(count.name, self.loop.time(), heard)
-        line = self._line
-        if line is not None and line.closed:  # a connection may end with no word of it
-            self._line = line = None
-        if line is None or len(line) >= MOST:
-            if line is None:
-                self._open()
-            self.loop.call_soon(pending.end, interface.UNREACHABLE, 0.0, pending.began)
+        self._retry_at, self._failures, self._stopped = 0.0, 0, False
+        self._start_connecting()
+
+    def call(self, count: interface.CounterAdd, on_result: ResultCallback) -> None:
+        """Send a call; `on_result` is called later, never from within this method."""
+        pending = PendingCall(count.name, self.loop.time(), on_result)
+        connection = self._connection
+        if connection is not None and connection.closed:  # a connection may close without `connection_lost`
+            self._connection = connection = None
+        if connection is None or len(connection) >= MAX_PENDING_CALLS:
+            if connection is None:
+                self._start_connecting()
+            self.loop.call_soon(pending.end, interface.UNREACHABLE, 0.0, pending.started_at)
             return
         pending.timer = self.loop.call_later(
-            self._wait, pending.end, interface.TIMED_OUT, 0.0, pending.began + self._wait
+            self._timeout_seconds, pending.end, interface.TIMED_OUT, 0.0, pending.started_at + self._timeout_seconds
         )
-        line.call(pending, count.amount, count.ttl)
+        connection.send(pending, count.amount, count.ttl)
 
-    def move(self, where: tuple[str, int]) -> None:
-        """It is at another address from now on."""
-        if where != self._where:
-            self._where, self._tries, self._after = where, 0, 0.0
-            if self._line is not None:
-                self._line.drop()
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Use another address from now on; a connection to the earlier one is closed."""
+        if address != self._address:
+            self._address, self._failures, self._retry_at = address, 0, 0.0
+            if self._connection is not None:
+                self._connection.abort()
 
     def stop(self) -> None:
-        """Call no more."""
+        """Close the connection and make no further one."""
         self._stopped = True
         if self._task is not None:
             self._task.cancel()
-        if self._line is not None:
-            self._line.drop()
+        if self._connection is not None:
+            self._connection.abort()
 
-    def _open(self) -> None:
-        """Connect, unless that has just failed: then at random within a bound that doubles."""
-        if self._task is None and not self._stopped and self.loop.time() >= self._after:
+    def _start_connecting(self) -> None:
+        """Connect, unless that is under way or the delay after a failure is not over."""
+        if self._task is None and not self._stopped and self.loop.time() >= self._retry_at:
             self._task = self.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        line = Line(self)
+        connection = Connection(self)
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
-                await self.loop.create_connection(lambda: line, *self._where)
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
+                await self.loop.create_connection(lambda: connection, *self._address)
         except (OSError, TimeoutError) as error:
-            # It may have come up in the very moment in which the time was over: the event loop closes it then, and
-            # does not say so.
-            self.down(line)
-            line.drop()
-            bound = min(LONGEST, AGAIN * 2**self._tries)
-            self._tries = min(10, self._tries + 1)
-            self._after = self.loop.time() + bound * self._random.random()
-            log.warning("counter: %s", "no connection in time" if isinstance(error, TimeoutError) else error)
+            # The connection may have been established at the very moment of the timeout. The event loop then closes
+            # it without a call to `connection_lost`.
+            self.on_disconnected(connection)
+            connection.abort()
+            backoff_bound = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**self._failures)
+            self._failures = min(10, self._failures + 1)
+            self._retry_at = self.loop.time() + backoff_bound * self._random.random()
+            log.warning("counter: %s", "connect timed out" if isinstance(error, TimeoutError) else error)
         finally:
             self._task = None
 
-    def up(self, line: Line) -> None:
-        """A connection stands."""
-        self._line, self._tries = line, 0
+    def on_connected(self, connection: Connection) -> None:
+        """Use a connection that has been established."""
+        self._connection, self._failures = connection, 0
 
-    def down(self, line: Line) -> None:
-        """It has ended."""
-        if self._line is line:
-            self._line = None
+    def on_disconnected(self, connection: Connection) -> None:
+        """Stop using a connection that has closed."""
+        if self._connection is connection:
+            self._connection = None
--- a/oliveloft/gatekeeper/__init__.py
+++ b/oliveloft/gatekeeper/__init__.py
@@ -1,1 +1,1 @@
-"""The process: all parts put together, from its start to its end."""
+"""The gatekeeper process: assembles all components and runs them from start to shutdown."""
--- a/oliveloft/gatekeeper/process.py
+++ b/oliveloft/gatekeeper/process.py
@@ -1,4 +1,8 @@
-"""One gatekeeper as the platform runs it, from its start to its end on a signal."""
+"""Runs one gatekeeper process, from its configuration to its shutdown on a signal.
+
+The order of the start matters: the operators' address first, so that operators are answered whatever happens; then the
+state of a predecessor or of the disk; then discovery; and the clients' listener once workers are known.
+"""
 
 from __future__ import annotations
 
@@ -28,11 +32,10 @@
 from oliveloft.front.http import Client, Server
 from oliveloft.front.listener import ClientListener, listening_socket
 from oliveloft.manage.operations import Operations
-from oliveloft.manage.server import MOST as CALLERS
-from oliveloft.manage.server import Management
+from oliveloft.manage.server import MAX_CALLERS, ManagementServer
 from oliveloft.shared_types import DiscoveryUpdate
 
-if TYPE_CHECKING:  # the platform's gatekeeper has no planners, knows no others, and loads nothing of them
+if TYPE_CHECKING:  # a gatekeeper without planners and fleet does not load these modules
     from oliveloft.fleet.config import FleetConfig
     from oliveloft.fleet.member import Member
     from oliveloft.planners.config import PlannersConfig
@@ -40,132 +43,153 @@
 
 log = logging.getLogger("oliveloft")
 
-STILL_COMING = 0.5  # seconds after SIGTERM in which connections are still taken (the front needs up to 0.4)
-# SIGKILL comes no sooner than the longest deadline, counted up to so many seconds, and so much more after SIGTERM.
-# All is answered a little before: what it finds is lost.
-LONGEST, KILL_AFTER, BEFORE = 3.0, 0.7, 0.12
-SWEEP = 0.25  # seconds between looks at idle connections, or this share of the workers' idle time-out
-SWEEP_SHARE = 0.1
-RESERVE = 48  # descriptors for all but clients and workers, and for connections on their way out
-CLIENT_SHARE = 0.6  # of the rest; the others are for workers
-KEPT_SHARE = 0.2  # of the descriptors, for clients' connections that may rest: clients hold a third at most
-# A process that takes over from one that serves knows the list as that one had it, and must not keep clients waiting.
+ACCEPT_AFTER_SIGTERM_SECONDS = 0.5  # whoever sends clients here takes up to 0.4 s to notice the shutdown
+# SIGKILL follows SIGTERM no sooner than the longest deadline (counted up to MAX_DEADLINE_SECONDS) plus
+# KILL_DELAY_SECONDS. All requests are answered KILL_MARGIN_SECONDS earlier: what SIGKILL interrupts is lost.
+MAX_DEADLINE_SECONDS, KILL_DELAY_SECONDS, KILL_MARGIN_SECONDS = 3.0, 0.7, 0.12
+SWEEP_INTERVAL_SECONDS = 0.25  # between checks of idle connections, or less:
+SWEEP_IDLE_TIMEOUT_SHARE = 0.1  # this share of the workers' idle timeout
+RESERVED_DESCRIPTORS = 48  # for all but clients and workers, and for connections that are being closed
+CLIENT_SHARE = 0.6  # of the other descriptors; the rest is for workers
+IDLE_CLIENT_SHARE = 0.2  # of all descriptors, for idle client connections: clients hold a third of them at most
+# A successor already has its predecessor's worker list, and must not keep clients waiting.
 SUCCESSOR_ANSWER_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Planning:
-    """What makes a gatekeeper a forwarder: its number among them, the planners, and when it started."""
+class ForwarderConfig:
+    """What a gatekeeper that takes its shares from planners needs: its number, the planners and its start time."""
 
     index: int
     config: PlannersConfig
-    born: float
+    started_at: float  # on the monotonic clock
 
 
-async def serve(config: Config, planning: Planning | None = None, fleet: FleetConfig | None = None) -> int:
-    """Run until a signal; the exit status."""
+async def serve(config: Config, forwarder: ForwarderConfig | None = None, fleet: FleetConfig | None = None) -> int:
+    """Run the gatekeeper until SIGTERM or SIGINT; return the exit status."""
     loop = asyncio.get_running_loop()
-    room = max(16, config.sockets - RESERVE - (CALLERS if config.management is not None else 0))
-    clients = int(room * CLIENT_SHARE)
-    workers = ConnectionPool(loop, room - clients, config.connect_timeout, config.idle_close, longest=config.longest)
-    offset = time.time() - loop.time()  # read once: the wall clock may be stepped
-    start_times = StartTimes(offset)
+    descriptors = max(
+        16, config.max_descriptors - RESERVED_DESCRIPTORS - (MAX_CALLERS if config.management is not None else 0)
+    )
+    max_clients = int(descriptors * CLIENT_SHARE)
+    workers = ConnectionPool(
+        loop, descriptors - max_clients, config.connect_timeout, config.idle_timeout, longest=config.max_body_bytes
+    )
+    clock_offset = time.time() - loop.time()  # read once, since the wall clock may be stepped
+    start_times = StartTimes(clock_offset)
     counter = None
     if config.counter is not None and config.settings.counter_timeout:
         counter = Counter(loop, config.counter, config.settings.counter_timeout, config.seed)
-    gateway = Gateway(config.settings, config.seed, loop.time(), offset)
+    gateway = Gateway(config.settings, config.seed, loop.time(), clock_offset)
     dispatcher = RequestDispatcher(loop, config.settings, gateway, workers, counter)
-    kept = int(config.sockets * KEPT_SHARE)
+    max_idle_clients = int(config.max_descriptors * IDLE_CLIENT_SHARE)
     presence = Presence()
     server = Server(
-        loop, config.settings, config.units_top, clients, kept, dispatcher, presence, config.longest, config.held
+        loop,
+        config.settings,
+        config.max_units,
+        max_clients,
+        max_idle_clients,
+        dispatcher,
+        presence,
+        config.max_body_bytes,
+        config.max_buffered_bytes,
     )
-    place: Handoff | None = None
-    shared = os.environ.get("TMPDIR") if config.accept_fd is not None else None
-    if shared:  # another process may take this one's place, or this one another's; else nothing of it is loaded
+    handoff: Handoff | None = None
+    handoff_folder = os.environ.get("TMPDIR") if config.accept_fd is not None else None
+    if handoff_folder:  # hot restarts are possible; otherwise their modules are not loaded
         from oliveloft.takeover.handoff import Handoff
 
-        place = Handoff(loop, gateway, dispatcher, server, workers, presence, offset, start_times)
+        handoff = Handoff(loop, gateway, dispatcher, server, workers, presence, clock_offset, start_times)
     member: Member | None = None
     if fleet is not None:
         from oliveloft.fleet.member import Member
 
-        member = Member(loop, config.name, fleet, gateway, dispatcher, presence, offset, config.settings)
-    operations = Operations(loop, dispatcher, server, presence, place.passed_on if place is not None else None, member)
+        member = Member(loop, config.name, fleet, gateway, dispatcher, presence, clock_offset, config.settings)
+    operations = Operations(
+        loop, dispatcher, server, presence, handoff.forward_call if handoff is not None else None, member
+    )
     management = None
-    if config.management is not None:  # first: operators are answered whatever becomes of the rest
-        management = Management(loop, operations.carry)
+    if config.management is not None:  # first, so that operators are answered whatever happens to the rest
+        management = ManagementServer(loop, operations.execute)
         try:
-            where = await management.start(*config.management)
+            management_address = await management.start(*config.management)
         except OSError as error:
             raise ConfigError(f"management: {error.strerror or error}") from error
-        log.info("management at %s:%d", *where)
+        log.info("management at %s:%d", *management_address)
 
-    def tell(news: DiscoveryUpdate) -> None:
-        dispatcher.update_workers(news)
+    def on_discovery_update(update: DiscoveryUpdate) -> None:
+        dispatcher.update_workers(update)
         if len(workers):
             server.able()
         if member is not None:
             member.listed()
 
     index = None
-    followed = False  # this process follows another one, and knows what that knew
-    if place is not None and shared:
-        place.carry = operations.apply
-        if followed := await place.take(config.name, shared):
-            index = place.index if place.told_by == config.discovery else None
+    took_over = False  # whether this process has the state of a predecessor
+    if handoff is not None and handoff_folder:
+        handoff.apply_call = operations.apply
+        if took_over := await handoff.take_over(config.name, handoff_folder):
+            index = handoff.index if handoff.discovery_address == config.discovery else None
     if member is not None:
         try:
             await member.remember()
         except OSError as error:
             raise ConfigError(f"members.{config.name}: {error.strerror or error}") from error
-    if config.known is not None and not followed:
+    if config.known is not None and not took_over:
         try:
             known = DiscoveryUpdate({"index": 0, **config.known})
             known.whole = True
             known.date(start_times, loop.time())
-            tell(known)
+            on_discovery_update(known)
             if "index" in config.known and known.endpoints and not known.skipped:
-                index = known.index  # only what came since is asked for: whole lists are dear at a mass restart
+                index = known.index  # ask only for later changes: snapshots are expensive when many processes restart
         except ValueError as error:
-            log.warning("known: %s; starting without", error)
+            log.warning("known: %s; starting without it", error)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     links = None
-    if planning is not None:
+    if forwarder is not None:
         from oliveloft.planners.link import Links
 
-        links = Links(config.name, planning.index, planning.config, dispatcher, planning.born)
+        links = Links(config.name, forwarder.index, forwarder.config, dispatcher, forwarder.started_at)
         if member is not None:
             member.follows(links)
         links.start()
-    loading = config.settings.gateways if config.settings.requires_subscription else 1
+    gatekeeper_count = config.settings.gateways if config.settings.requires_subscription else 1
     discovery = DiscoveryWatch(
-        loop, config.discovery, start_times, tell, index, loading, config.settings.number or 0, config.seed
+        loop,
+        config.discovery,
+        start_times,
+        on_discovery_update,
+        index,
+        gatekeeper_count,
+        config.settings.number or 0,
+        config.seed,
     )
 
     def reload() -> None:
-        """Read the file again: discovery may have moved; the rest is read at the start only."""
+        """Read the configuration again and apply its addresses; all other settings are read only at the start."""
         try:
-            again = load(os.environ)
+            reloaded = load(os.environ)
         except ConfigError as error:
-            log.warning("reload: %s; all stays as it was", error)
+            log.warning("reload: %s; keeping the current configuration", error)
             return
-        log.info("reloaded: discovery at %s:%d", *again.discovery)
-        discovery.move(again.discovery)
-        if counter is not None and again.counter is not None:
-            counter.move(again.counter)
+        log.info("reloaded: discovery at %s:%d", *reloaded.discovery)
+        discovery.move(reloaded.discovery)
+        if counter is not None and reloaded.counter is not None:
+            counter.change_address(reloaded.counter)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     if member is not None or discovery.own_agent:
         discovery.start()
     if discovery.own_agent:
-        patience = SUCCESSOR_ANSWER_SECONDS if followed else FIRST_ANSWER_SECONDS
-        answered = await _first_answer(loop, discovery, stop, patience)
+        timeout_seconds = SUCCESSOR_ANSWER_SECONDS if took_over else FIRST_ANSWER_SECONDS
+        answered = await _first_answer(loop, discovery, stop, timeout_seconds)
         if not answered:
-            log.warning("discovery: no answer in %.1f s; serving by the last known list", patience)
+            log.warning("discovery: no answer in %.1f s; serving by the last known list", timeout_seconds)
     if member is not None:
         await member.opens(stop, lambda: len(workers) > 0)
     if links is not None:
@@ -174,15 +198,17 @@
         for task in waiting:
             task.cancel()
     try:
-        listener = _listen(loop, config, server)
+        listener = _open_listener(loop, config, server)
     except OSError as error:
         raise ConfigError(f"listen: {error.strerror or error}") from error
     if discovery.state is WatchState.STOPPED:
-        discovery.start()  # a service that all gatekeepers load is asked in this one's place of time
+        discovery.start()  # a service that all gatekeepers share is first called in this gatekeeper's own time slot
 
     server.accepts = True
-    if place is not None and shared:
-        place.serves(config.name, shared, listener, lambda: _listen(loop, config, server), discovery)
+    if handoff is not None and handoff_folder:
+        handoff.on_accepting(
+            config.name, handoff_folder, listener, lambda: _open_listener(loop, config, server), discovery
+        )
 
     gc.collect()
     gc.freeze()
@@ -191,20 +217,25 @@
     def sweep() -> None:
         workers.sweep()
         server.sweep()
-        loop.call_later(pause, sweep)
+        loop.call_later(sweep_interval, sweep)
 
-    pause = max(0.02, min(SWEEP, SWEEP_SHARE * config.idle_close))
-    loop.call_later(pause, sweep)
+    sweep_interval = max(0.02, min(SWEEP_INTERVAL_SECONDS, SWEEP_IDLE_TIMEOUT_SHARE * config.idle_timeout))
+    loop.call_later(sweep_interval, sweep)
     await stop.wait()
     if dispatcher.guard.refused:
         log.error("steps refused: %s", dispatcher.guard.summary())
-    until = loop.time() + min(LONGEST, max(c.deadline for c in config.settings.classes)) + KILL_AFTER - BEFORE
+    drain_until = (
+        loop.time()
+        + min(MAX_DEADLINE_SECONDS, max(klass.deadline for klass in config.settings.classes))
+        + KILL_DELAY_SECONDS
+        - KILL_MARGIN_SECONDS
+    )
     log.info("stopping")
     server.retire()
-    if place is None or not place.superseded:
-        await asyncio.sleep(STILL_COMING)
-    await server.finish(until)
-    listener.close()  # only here: a request that crossed the close of its connection comes once more
+    if handoff is None or not handoff.superseded:
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
+    await server.finish(drain_until)
+    listener.close()  # only now: a client whose request crossed the close of its connection connects again
     discovery.stop()
     if counter is not None:
         counter.stop()
@@ -220,30 +251,31 @@
 async def _first_answer(
     loop: asyncio.AbstractEventLoop, discovery: DiscoveryWatch, stop: asyncio.Event, timeout_seconds: float
 ) -> bool:
-    """Wait for the agent's first answer, for a bounded time, or until a signal to stop; whether it came.
+    """Wait for the agent's first answer; return False if it did not come within the timeout.
 
-    What the agent has counts as notified from the process's first moment, so a request that was sent by an older list
-    could go to a server that is draining, or gone.
+    A signal to stop ends the wait as well. The platform counts the agent's list as notified from the first moment of
+    the process, so a request that is routed by an older list could go to a worker that is draining or removed.
     """
-    answered = loop.create_task(discovery.first_answer(timeout_seconds))
-    stopped = loop.create_task(stop.wait())
-    await asyncio.wait({answered, stopped}, return_when=asyncio.FIRST_COMPLETED)
-    came = answered.done() and answered.result() or stopped.done()
-    for task in (answered, stopped):
+    answer = loop.create_task(discovery.first_answer(timeout_seconds))
+    stopping = loop.create_task(stop.wait())
+    await asyncio.wait({answer, stopping}, return_when=asyncio.FIRST_COMPLETED)
+    finished = answer.done() and answer.result() or stopping.done()
+    for task in (answer, stopping):
         task.cancel()
-    return came
+    return finished
 
 
-def _listen(loop: asyncio.AbstractEventLoop, config: Config, server: Server) -> ClientListener:
-    """The clients' listener: on the socket that was inherited, where one is, else on an own one."""
+def _open_listener(loop: asyncio.AbstractEventLoop, config: Config, server: Server) -> ClientListener:
+    """Open the clients' listener, on the inherited socket if there is one, otherwise on a new one."""
     if config.accept_fd is None:
         sock = listening_socket(config.listen)
     else:
-        sock = socket.socket(fileno=os.dup(config.accept_fd))  # the one that was inherited stays, to accept anew
+        sock = socket.socket(fileno=os.dup(config.accept_fd))  # a copy: the inherited one stays open to resume from
     return ClientListener(loop, sock, lambda: Client(server), server.make_room)
 
 
-def _planning(config: Config, index: int, file: str, born: float) -> Planning:
+def _forwarder_config(config: Config, index: int, file: str, started_at: float) -> ForwarderConfig:
+    """Load the planners' configuration and check that it fits this gatekeeper's settings."""
     from oliveloft.planners.config import load as load_planners
 
     planners = load_planners(file)
@@ -254,10 +286,11 @@
         )
     if not 0 <= index < planners.forwarders:
         raise ConfigError(f"--number: must be from 0 to {planners.forwarders - 1}, not {index}")
-    return Planning(index, planners, born)
+    return ForwarderConfig(index, planners, started_at)
 
 
-def _fleet(config: Config, file: str) -> FleetConfig:
+def _fleet_config(config: Config, file: str) -> FleetConfig:
+    """Load the fleet's configuration and check that this gatekeeper is one of its members."""
     from oliveloft.fleet.config import load as load_fleet
 
     fleet = load_fleet(file)
@@ -267,24 +300,25 @@
 
 
 def main(index: int | None = None, planners: str = "", fleet: str = "") -> int:
-    """Read the configuration and serve.
+    """Load the configuration and serve; return the exit status.
 
-    With the planners' file as the forwarder of this number, with the fleet's as one of its members.
+    `index` is the number of this forwarder if it takes its shares from planners, and `planners` their configuration
+    file; `fleet` is the configuration file of the fleet that this gatekeeper is a member of, if any.
     """
-    born = time.monotonic()
+    started_at = time.monotonic()
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=sys.stderr)
-    # Guards against a reload that comes before it can be carried out: it waits, and neither ends the process
-    # nor is forgotten.
+    # Holds back a SIGHUP that arrives before its handler is installed: it stays pending, and neither terminates the
+    # process nor is lost.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = load(os.environ)
-        planning = None
+        forwarder = None
         if index is not None:
-            planning = _planning(config, index, planners, born)
-        known = _fleet(config, fleet) if fleet else None
+            forwarder = _forwarder_config(config, index, planners, started_at)
+        fleet_config = _fleet_config(config, fleet) if fleet else None
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (config.sockets, hard))  # never more than was granted
-        return uvloop.run(serve(config, planning, known))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (config.max_descriptors, hard))  # never more than configured
+        return uvloop.run(serve(config, forwarder, fleet_config))
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
--- a/oliveloft/manage/__init__.py
+++ b/oliveloft/manage/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: one line to a connection, and one line back."""
+"""The operators' interface: one call per connection, as a line of text, answered by one line."""
--- a/oliveloft/manage/client.py
+++ b/oliveloft/manage/client.py
@@ -1,4 +1,4 @@
-"""`python -m oliveloft manage`: one call at a gatekeeper's second address, for people and for scripts."""
+"""The verb `manage` of the command line: sends one operator's call to a gatekeeper, for people and scripts."""
 
 from __future__ import annotations
 
@@ -11,66 +11,66 @@
 from oliveloft.config.loading import ConfigError, address, read
 from oliveloft.manage import protocol
 
-DONE, REFUSED, WRONG, SILENT = 0, 1, 2, 3  # exit codes
-LONGEST_ANSWER = 4096
+EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_NO_ANSWER = 0, 1, 2, 3
+MAX_ANSWER_BYTES = 4096
 
 
-def call(where: tuple[str, int], line: str, within: float) -> str:
-    """What a call is answered. OSError or TimeoutError where it is not, within so many seconds."""
-    until = time.monotonic() + within
-    with socket.create_connection(where, timeout=within) as sock:
+def send_call(server_address: tuple[str, int], line: str, timeout_seconds: float) -> str:
+    """Send a call and return the answer; raise OSError or TimeoutError if there is none in time."""
+    deadline = time.monotonic() + timeout_seconds
+    with socket.create_connection(server_address, timeout=timeout_seconds) as sock:
         sock.sendall(line.encode() + b"\n")
         answer = b""
-        while b"\n" not in answer and len(answer) < LONGEST_ANSWER:
-            sock.settimeout(max(0.001, until - time.monotonic()))
-            if not (data := sock.recv(LONGEST_ANSWER)):
+        while b"\n" not in answer and len(answer) < MAX_ANSWER_BYTES:
+            sock.settimeout(max(0.001, deadline - time.monotonic()))
+            if not (data := sock.recv(MAX_ANSWER_BYTES)):
                 break
             answer += data
     return answer.decode("ascii", "replace").strip()
 
 
-def where_from(named: str | None) -> tuple[str, int]:
-    """The address named, or that of PROXY_MANAGEMENT, or of the file that PROXY_CONFIG names."""
-    if named is None:
-        named = os.environ.get("PROXY_MANAGEMENT")
-    if named is None and os.environ.get("PROXY_CONFIG"):
-        named = read(os.environ).get("management")
-    if named is None:
+def resolve_address(given: str | None) -> tuple[str, int]:
+    """Return the address that is given, or else that of PROXY_MANAGEMENT or of the file that PROXY_CONFIG names."""
+    if given is None:
+        given = os.environ.get("PROXY_MANAGEMENT")
+    if given is None and os.environ.get("PROXY_CONFIG"):
+        given = read(os.environ).get("management")
+    if given is None:
         raise ConfigError("--at: no address; neither PROXY_MANAGEMENT nor PROXY_CONFIG names one")
     try:
-        return address(named)
+        return address(given)
     except ValueError as error:
         raise ConfigError(f"--at: {error}") from error
 
 
-def main(word: str, worker: str | None, at: str | None, within: float, as_json: bool) -> int:
-    """Make a call and print its answer; the exit status."""
-    line = word if worker is None else f"{word} {worker}"
+def main(command: str, worker: str | None, at: str | None, timeout_seconds: float, as_json: bool) -> int:
+    """Make a call and print its answer; return the exit status."""
+    line = command if worker is None else f"{command} {worker}"
     try:
-        asked = protocol.read(line.encode())
-        where = where_from(at)
-    except (protocol.BadCall, ConfigError) as error:
+        call = protocol.parse(line.encode())
+        server_address = resolve_address(at)
+    except (protocol.InvalidCall, ConfigError) as error:
         print(f"oliveloft: {error}", file=sys.stderr)
-        return WRONG
-    began = time.monotonic()
+        return EXIT_USAGE
+    started_at = time.monotonic()
     try:
-        answer = call(where, line, within)
+        answer = send_call(server_address, line, timeout_seconds)
     except OSError as error:
-        answer, good, code = f"no answer: {error}", False, SILENT
+        answer, succeeded, code = f"no answer: {error}", False, EXIT_NO_ANSWER
     else:
-        good = answer == "ok" or answer.startswith("ok ")
-        code = DONE if good else REFUSED if answer.startswith("fail") else SILENT
+        succeeded = answer == "ok" or answer.startswith("ok ")
+        code = EXIT_OK if succeeded else EXIT_FAILED if answer.startswith("fail") else EXIT_NO_ANSWER
         answer = answer or "no answer: closed"
     if as_json:
         print(
             json.dumps(
                 {
-                    "call": asked.word,
-                    "worker": asked.worker,
-                    "at": f"{where[0]}:{where[1]}",
-                    "ok": good,
+                    "call": call.command,
+                    "worker": call.worker,
+                    "at": f"{server_address[0]}:{server_address[1]}",
+                    "ok": succeeded,
                     "answer": answer,
-                    "ms": round(1000 * (time.monotonic() - began), 1),
+                    "ms": round(1000 * (time.monotonic() - started_at), 1),
                 }
             )
         )
--- a/oliveloft/manage/operations.py
+++ b/oliveloft/manage/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' calls do: a dispatcher between their lines and the decisions. It decides nothing."""
+"""Executes operators' calls: passes each to the component that it concerns and words the answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Operations:
-    """Carries out calls, each at once."""
+    """Executes operators' calls in this process and, during a hot restart, forwards them to the other process."""
 
     def __init__(
         self,
@@ -27,50 +27,50 @@
         dispatcher: RequestDispatcher,
         server: Server,
         presence: Presence,
-        passed_on: Callable[[protocol.Call], None] | None = None,
+        forward_call: Callable[[protocol.Call], None] | None = None,
         member: Member | None = None,
     ) -> None:
         self._loop, self._dispatcher, self._server, self._presence = loop, dispatcher, server, presence
-        self._member = member  # of a fleet, which remembers and tells the others
-        self._passed_on = passed_on  # to the process that serves in this one's place, if one does
+        self._member = member  # of a fleet: persists calls and announces them to the other members
+        self._forward_call = forward_call  # to the other process of a hot restart, if there is one
 
-    def carry(self, call: protocol.Call) -> tuple[bool, str] | asyncio.Future[tuple[bool, str]]:
-        """Do what is asked, here and in the other process of an upgrade: whether it was done, and what to say.
+    def execute(self, call: protocol.Call) -> tuple[bool, str] | asyncio.Future[tuple[bool, str]]:
+        """Execute a call, here and in the other process of a hot restart; return whether it succeeded and the answer.
 
-        With a memory that is known once it is on disk.
+        Where the member of a fleet persists the call, the result is a future that is done once it is on disk.
         """
-        if self._passed_on is not None and call.word not in protocol.ASKS:
-            self._passed_on(call)
-        good, why = self.apply(call)
-        if self._member is None or not good or call.word in protocol.ASKS:
-            return good, why
-        if call.word in (protocol.OFFLINE, protocol.ONLINE):
-            kept = self._member.said(call.worker, call.word == protocol.OFFLINE)
+        if self._forward_call is not None and call.command not in protocol.READ_ONLY_CALLS:
+            self._forward_call(call)
+        succeeded, answer = self.apply(call)
+        if self._member is None or not succeeded or call.command in protocol.READ_ONLY_CALLS:
+            return succeeded, answer
+        if call.command in (protocol.OFFLINE, protocol.ONLINE):
+            persisted = self._member.said(call.worker, call.command == protocol.OFFLINE)
         else:
-            kept = self._member.drained(call.word == protocol.LEAVE)
+            persisted = self._member.drained(call.command == protocol.LEAVE)
         if not self._member.remembers():
-            return True, f"{why}; there is no memory, it ends with this process"
-        answer: asyncio.Future[tuple[bool, str]] = self._loop.create_future()
-        kept.add_done_callback(
-            lambda done: answer.set_result(
-                (True, why)
+            return True, f"{answer}; there is no memory, it ends with this process"
+        result: asyncio.Future[tuple[bool, str]] = self._loop.create_future()
+        persisted.add_done_callback(
+            lambda done: result.set_result(
+                (True, answer)
                 if done.result()
-                else (False, f"{why}, but that is not on disk: it may end with this process")
+                else (False, f"{answer}, but that is not on disk: it may end with this process")
             )
         )
-        return answer
+        return result
 
     def apply(self, call: protocol.Call) -> tuple[bool, str]:
-        """Do what is asked in this process alone."""
-        match call.word:
+        """Execute a call in this process alone, without persisting it."""
+        match call.command:
             case protocol.HEALTH:
-                if self._member is not None and (waits := self._member.health()):
-                    return False, waits
+                if self._member is not None and (waiting_for := self._member.health()):
+                    return False, waiting_for
                 return self._server.health()
             case protocol.REFUSED:
                 return True, self._dispatcher.guard.summary()
             case protocol.OFFLINE | protocol.ONLINE:
-                return self._maintain(call.worker, call.word == protocol.OFFLINE)
+                return self._set_maintenance(call.worker, call.command == protocol.OFFLINE)
             case protocol.LEAVE:
                 if self._presence.leave(self._loop.time()):
                     log.info("sending clients away")
@@ -80,8 +80,8 @@
                     log.info("taking clients again")
                 return True, "taking clients"
 
-    def _maintain(self, worker: str, out: bool) -> tuple[bool, str]:
-        if not self._dispatcher.maintain(worker, out):
+    def _set_maintenance(self, worker: str, in_maintenance: bool) -> tuple[bool, str]:
+        if not self._dispatcher.maintain(worker, in_maintenance):
             return False, f"no worker {worker} is known here"
-        log.info("worker %s is %s", worker, "out for maintenance" if out else "back")
-        return True, f"nothing more goes to {worker}" if out else f"{worker} is back"
+        log.info("worker %s is %s", worker, "out for maintenance" if in_maintenance else "back")
+        return True, f"nothing more goes to {worker}" if in_maintenance else f"{worker} is back"
--- a/oliveloft/takeover/__init__.py
+++ b/oliveloft/takeover/__init__.py
@@ -1,1 +1,1 @@
-"""One process takes another's place: state, listening and connections go over a Unix socket in $TMPDIR."""
+"""Hot restart: a successor process receives state and connections over a Unix socket in $TMPDIR, and serves."""
--- a/oliveloft/takeover/channel.py
+++ b/oliveloft/takeover/channel.py
@@ -1,4 +1,4 @@
-"""Datagrams in order over a Unix socket of packets, each with at most one descriptor along."""
+"""Ordered datagrams over a `SOCK_SEQPACKET` Unix socket, each with at most one file descriptor attached."""
 
 from __future__ import annotations
 
@@ -10,40 +10,48 @@
 
 from oliveloft.takeover import wire
 
-TURN = 0.001  # seconds in a row for what comes: clients wait meanwhile
-Heard = Callable[[wire.Message, int | None], None]
+READ_SLICE_SECONDS = 0.001  # longest uninterrupted run of reads; clients are not served meanwhile
+MessageCallback = Callable[[wire.Message, int | None], None]
 
 
 class Channel:
-    """One side. `heard` gets each message with its descriptor, which is then its own; `lost` hears of the end, once."""
+    """One end of the connection between predecessor and successor.
+
+    `on_message` receives each message with its descriptor, which the callback then owns. `on_closed` is called once,
+    with the reason, when the channel closes.
+    """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, heard: Heard, lost: Callable[[str], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        sock: socket.socket,
+        on_message: MessageCallback,
+        on_closed: Callable[[str], None],
     ) -> None:
-        self._loop, self._sock, self._heard, self._lost = loop, sock, heard, lost
-        self._out: deque[tuple[bytes, int | None]] = deque()
+        self._loop, self._sock, self._on_message, self._on_closed = loop, sock, on_message, on_closed
+        self._send_queue: deque[tuple[bytes, int | None]] = deque()
         self.open = True
         sock.setblocking(False)
         loop.add_reader(sock.fileno(), self._read)
 
     @property
-    def waiting(self) -> int:
-        """How many messages have not gone yet."""
-        return len(self._out)
+    def queued_messages(self) -> int:
+        """Number of messages that are not written yet."""
+        return len(self._send_queue)
 
     def send(self, message: wire.Message, fd: int | None = None) -> None:
-        """Send a message, and a descriptor that is closed here once it is on its way."""
+        """Queue a message and an optional descriptor, which is closed here once it is sent or cannot be."""
         if not self.open:
             if fd is not None:
                 os.close(fd)
             return
-        self._out.append((wire.encode(message), fd))
-        if len(self._out) == 1:
+        self._send_queue.append((wire.encode(message), fd))
+        if len(self._send_queue) == 1:
             self._write()
 
     def _write(self) -> None:
-        while self._out:
-            data, fd = self._out[0]
+        while self._send_queue:
+            data, fd = self._send_queue[0]
             try:
                 socket.send_fds(self._sock, [data], [] if fd is None else [fd])
             except (BlockingIOError, InterruptedError):
@@ -52,23 +60,23 @@
             except OSError as error:
                 self.close(str(error))
                 return
-            self._out.popleft()
+            self._send_queue.popleft()
             if fd is not None:
                 os.close(fd)
         self._loop.remove_writer(self._sock.fileno())
 
     def _read(self) -> None:
-        until = self._loop.time() + TURN
-        while self.open and self._loop.time() < until:  # then others have their turn
+        deadline = self._loop.time() + READ_SLICE_SECONDS
+        while self.open and self._loop.time() < deadline:  # afterwards the event loop serves others first
             try:
-                data, fds, _, _ = socket.recv_fds(self._sock, wire.LONGEST, 1)
+                data, fds, _, _ = socket.recv_fds(self._sock, wire.MAX_DATAGRAM_BYTES, 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
                 self.close(str(error))
                 return
             if not data:
-                self.close("the other side has ended")
+                self.close("connection closed by the other process")
                 return
             try:
                 message = wire.decode(data)
@@ -77,18 +85,18 @@
                     os.close(fd)
                 self.close(f"damaged: {error}")
                 return
-            self._heard(message, fds[0] if fds else None)
+            self._on_message(message, fds[0] if fds else None)
 
-    def close(self, why: str) -> None:
-        """End it; whoever owns this side hears why."""
+    def close(self, reason: str) -> None:
+        """Close the channel and pass the reason to `on_closed`; does nothing if it is closed already."""
         if not self.open:
             return
         self.open = False
         self._loop.remove_reader(self._sock.fileno())
         self._loop.remove_writer(self._sock.fileno())
         self._sock.close()
-        while self._out:
-            _, fd = self._out.popleft()
+        while self._send_queue:
+            _, fd = self._send_queue.popleft()
             if fd is not None:
                 os.close(fd)
-        self._lost(why)
+        self._on_closed(reason)
--- a/oliveloft/takeover/handoff.py
+++ b/oliveloft/takeover/handoff.py
@@ -1,4 +1,7 @@
-"""The network's side of a takeover, for the process that gives and for the one that takes. It decides nothing."""
+"""The network side of a hot restart, for both the predecessor and the successor.
+
+It moves the worker list, connections and operators' calls between the two processes. It makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,11 @@
 
 
 class Handoff:
-    """What one process holds for its clients: both ends of a takeover are this."""
+    """Connects this process to the other one of a hot restart.
+
+    It implements `PredecessorProcess` and `SuccessorProcess`: a process is the successor at its start and the
+    predecessor once it serves.
+    """
 
     def __init__(
         self,
@@ -39,65 +46,67 @@
         server: Server,
         workers: ConnectionPool,
         presence: Presence,
-        offset: float,
+        clock_offset: float,
         start_times: StartTimes,
     ) -> None:
         self._loop, self._gateway, self._dispatcher = loop, gateway, dispatcher
         self._server, self._workers, self._presence = server, workers, presence
         self._start_times = start_times
-        self.offset = offset  # of the clock to Unix time: the same in both, or workers' starts would differ
+        # Unix time minus the loop's clock, in seconds. Both processes use the same value; otherwise the workers'
+        # start times would differ between them.
+        self.clock_offset = clock_offset
         self.listener: ClientListener | None = None
-        self.listen: Callable[[], ClientListener] | None = None
+        self.open_listener: Callable[[], ClientListener] | None = None
         self.discovery: DiscoveryWatch | None = None
         self.predecessor: Predecessor | None = None
-        self.carry: Callable[[protocol.Call], tuple[bool, str]] | None = None
-        self.index: int | None = None  # of the list taken over, and where it was told
-        self.told_by: tuple[str, int] | None = None
+        self.apply_call: Callable[[protocol.Call], tuple[bool, str]] | None = None
+        self.index: int | None = None  # version of the worker list that was taken over
+        self.discovery_address: tuple[str, int] | None = None  # the discovery service that this list came from
         self._successor: Successor | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    async def take(self, name: str, folder: str) -> bool:
-        """Take over what the process that serves has, if one does."""
-        taker = Successor(self._loop, name, self._gateway, self, self._loop.time, self._dispatcher.handle)
-        if await taker.take(folder):
-            self._successor = taker
+    async def take_over(self, name: str, folder: str) -> bool:
+        """Take over the state of the serving process; return whether there was one and its state was restored."""
+        successor = Successor(self._loop, name, self._gateway, self, self._loop.time, self._dispatcher.handle)
+        if await successor.take(folder):
+            self._successor = successor
         return self._successor is not None
 
-    def serves(
+    def on_accepting(
         self,
         name: str,
         folder: str,
         listener: ClientListener,
-        listen: Callable[[], ClientListener],
+        open_listener: Callable[[], ClientListener],
         discovery: DiscoveryWatch,
     ) -> None:
-        """Clients are accepted here from now on, until another process takes over."""
-        self.listener, self.listen, self.discovery = listener, listen, discovery
+        """Tell the predecessor that this process accepts clients, and wait for a successor of its own."""
+        self.listener, self.open_listener, self.discovery = listener, open_listener, discovery
         if self._successor is not None:
-            self._successor.taken()
+            self._successor.confirm_accepting()
         self.predecessor = Predecessor(self._loop, name, folder, self._gateway, self, self._loop.time)
         self.predecessor.listen()
 
-    # The giver's side.
+    # The predecessor's side.
 
     def pause(self) -> None:
-        """Accept no clients from now on; what connects waits in the socket's queue for the taker."""
+        """Stop accepting clients; new connections wait in the socket's queue for the successor."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
-        self._dispatcher.began, self._dispatcher.ended = self._began, self._ended
+        self._dispatcher.began, self._dispatcher.ended = self._on_attempt_started, self._on_attempt_ended
 
     def resume(self) -> None:
-        """Accept clients again, unless this process is on its way out."""
+        """Accept clients again, unless this process is shutting down."""
         self._dispatcher.began = self._dispatcher.ended = self._server.hand = None
-        if self.listen is not None and not self._server.closing:
-            self.listener = self.listen()
+        if self.open_listener is not None and not self._server.closing:
+            self.listener = self.open_listener()
 
     def outside(self) -> dict[str, Any]:
-        """The list, where and in which version it was told, and whether clients are sent away."""
+        """Return the worker list, its version and source, and since when clients are sent away."""
         watch = self.discovery
         return {
-            "clock_offset": self.offset,
+            "clock_offset": self.clock_offset,
             "start_times": self._start_times.state(),
             "left": self._presence.left,
             "index": watch.index if watch is not None else None,
@@ -110,81 +119,82 @@
         }
 
     def gone(self) -> None:
-        """The taker serves: idle connections go to it, others once their reply is out."""
-        self._server.hand = self._hand
+        """Pass connections to the successor, which serves now: idle ones at once, others after their reply."""
+        self._server.hand = self._send_client
         for worker, idle_since, fd in self._workers.release():
             if self.predecessor is not None:
-                self.predecessor.tell(wire.WorkerConnection(worker, idle_since), fd)
+                self.predecessor.send(wire.WorkerConnection(worker, idle_since), fd)
         self._server.hand_over()
 
-    def _hand(self, fd: int, good: bool) -> bool:
-        return self.predecessor is not None and self.predecessor.tell(wire.ClientConnection(good), fd)
+    def _send_client(self, fd: int, good: bool) -> bool:
+        return self.predecessor is not None and self.predecessor.send(wire.ClientConnection(good), fd)
 
-    def _began(self, name: str, number: int) -> None:
+    def _on_attempt_started(self, name: str, number: int) -> None:
         if self.predecessor is not None and (attempt := self._gateway.in_flight.get((name, number))) is not None:
-            self.predecessor.tell(wire.AttemptStarted(state.out_row(name, number, attempt)))
+            self.predecessor.send(wire.AttemptStarted(state.out_row(name, number, attempt)))
 
-    def _ended(self, attempt: Attempt, outcome: interface.Outcome) -> None:
+    def _on_attempt_ended(self, attempt: Attempt, outcome: interface.Outcome) -> None:
         if self.predecessor is not None:
-            self.predecessor.tell(
+            self.predecessor.send(
                 wire.AttemptEnded(
                     attempt.request, attempt.number, attempt.worker, outcome.status, outcome.took, outcome.used
                 )
             )
 
-    def passed_on(self, call: protocol.Call) -> None:
-        """While both processes of an upgrade live, the other one hears of each call.
+    def forward_call(self, call: protocol.Call) -> None:
+        """Forward an operator's call to the other process of a hot restart, if both are alive.
 
-        The old one's further attempts keep to a ban that only the new one was told of, and the new one to whatever
-        operators still say to the old one.
+        So the predecessor's retries respect maintenance that only the successor was told of, and the successor
+        follows calls that still reach the predecessor.
         """
         if self.predecessor is not None and self.predecessor.superseded:
-            self.predecessor.tell(wire.OperatorCall(call.word, call.worker))
-        elif self._successor is not None and call.word in (protocol.OFFLINE, protocol.ONLINE):
-            self._successor.tell(wire.OperatorCall(call.word, call.worker))
+            self.predecessor.send(wire.OperatorCall(call.command, call.worker))
+        elif self._successor is not None and call.command in (protocol.OFFLINE, protocol.ONLINE):
+            self._successor.send(wire.OperatorCall(call.command, call.worker))
 
     @property
     def superseded(self) -> bool:
-        """Whether another process serves in this one's place."""
+        """Whether a successor serves in place of this process."""
         return self.predecessor is not None and self.predecessor.superseded and self.predecessor.channel is not None
 
-    # The taker's side.
+    # The successor's side.
 
     def receive(self, parts: dict[str, Any]) -> None:
-        """Take over what the network's side knew."""
-        self.offset = self._start_times.wall_offset = float(parts["clock_offset"])
-        if "start_times" in parts:  # a predecessor of an earlier version has none
+        """Restore what the predecessor's `outside` returned."""
+        self.clock_offset = self._start_times.wall_offset = float(parts["clock_offset"])
+        if "start_times" in parts:  # a predecessor of an earlier version does not send them
             self._start_times.restore(parts["start_times"])
-        self._gateway.counting.clock(self.offset)
+        self._gateway.counting.clock(self.clock_offset)
         left = parts.get("left")
         if left is not None:
             self._presence.leave(float(left))
-        news = DiscoveryUpdate({"index": 0, "snapshot": True, "endpoints": []})
+        update = DiscoveryUpdate({"index": 0, "snapshot": True, "endpoints": []})
         for worker, zone, cell, status, size, started, host, port in parts["list"]:
             entry = interface.WorkerEntry(worker, zone, cell, status, size, started)
-            news.endpoints.append(Endpoint(entry, (host, port)))
-        if news.endpoints:
-            self._dispatcher.update_workers(news)
+            update.endpoints.append(Endpoint(entry, (host, port)))
+        if update.endpoints:
+            self._dispatcher.update_workers(update)
             self._server.able()
-        index, where = parts.get("index"), parts.get("told_by")
-        if isinstance(index, int) and isinstance(where, list | tuple):
-            self.index, self.told_by = index, (where[0], where[1])
-        for banned in parts.get("banned", ()):
-            self._workers.ban(str(banned))
+        index, address = parts.get("index"), parts.get("told_by")
+        if isinstance(index, int) and isinstance(address, list | tuple):
+            self.index, self.discovery_address = index, (address[0], address[1])
+        for worker_in_maintenance in parts.get("banned", ()):
+            self._workers.ban(str(worker_in_maintenance))
 
     def client(self, sock: socket.socket, good: bool) -> None:
-        """A client's connection comes along."""
-        self._keep(self._loop.create_task(self._server.adopt(sock, good)))
+        """Adopt a client connection; `good` is whether it has carried a valid request."""
+        self._track(self._loop.create_task(self._server.adopt(sock, good)))
 
     def worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
-        """An idle connection to a worker comes along."""
-        self._keep(self._loop.create_task(self._workers.adopt(sock, worker, idle_since)))
+        """Adopt an idle connection to a worker."""
+        self._track(self._loop.create_task(self._workers.adopt(sock, worker, idle_since)))
 
-    def call(self, word: str, worker: str) -> None:
-        """Operators have called the other process."""
-        if self.carry is not None:
-            self.carry(protocol.Call(word, worker))
+    def call(self, command: str, worker: str) -> None:
+        """Apply an operator's call that the other process received."""
+        if self.apply_call is not None:
+            self.apply_call(protocol.Call(command, worker))
 
-    def _keep(self, task: asyncio.Task[Any]) -> None:
+    def _track(self, task: asyncio.Task[Any]) -> None:
+        # The event loop holds tasks by weak references only.
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/oliveloft/takeover/predecessor.py
+++ b/oliveloft/takeover/predecessor.py
@@ -1,7 +1,9 @@
-"""The process that serves: it waits for one that takes its place, and gives it all it has.
+"""The predecessor's side of a hot restart: it waits for a successor and sends it the state of this process.
 
-A taker that dies or says no leaves this process serving as before, for as long as it lives. Once the taker has said
-that it accepts, this one only finishes what it has, and tells the taker of each end.
+The protocol: the successor says `Hello`; the predecessor copies its accounts while it goes on serving; on
+`StateRequest` it stops accepting clients and sends the rest of the state at one instant; on `Accepted` it finishes the
+requests that it still has and reports the end of each attempt. If the successor fails or rejects the state, the
+predecessor goes on serving.
 """
 
 from __future__ import annotations
@@ -21,38 +23,38 @@
 
 log = logging.getLogger("oliveloft")
 
-FILE = "oliveloft.takeover"  # in the temporary folder
-ROWS = 20  # accounts in a message: a millisecond's work
-ROOM = 4  # messages that wait to go, beyond which the copy pauses
-CLOCKS = 5.0  # seconds by which both clocks may differ, or they are not one
+SOCKET_NAME = "oliveloft.takeover"  # in the temporary folder
+ROWS_PER_MESSAGE = 20  # accounts or attempts in one message; takes about 1 ms
+MAX_QUEUED_MESSAGES = 4  # the copy pauses while this many are not written yet
+MAX_CLOCK_DIFFERENCE_SECONDS = 5.0  # a larger difference means that the processes do not share one clock
 
 
-def path(folder: str) -> str:
-    """Where the process that serves is found."""
-    return os.path.join(folder, FILE)
+def socket_path(folder: str) -> str:
+    """Return the path of the Unix socket on which the serving process waits for a successor."""
+    return os.path.join(folder, SOCKET_NAME)
 
 
-class Owner(Protocol):
-    """The process round a giver."""
+class PredecessorProcess(Protocol):
+    """What `Predecessor` needs of the process it runs in."""
 
     def pause(self) -> None:
-        """Accept no clients from now on."""
+        """Stop accepting clients."""
 
     def resume(self) -> None:
         """Accept clients again."""
 
     def outside(self) -> dict[str, Any]:
-        """What the network's side knows: the list, its version, whether clients are sent away."""
+        """Return the state of the network side: the worker list, its version, whether clients are sent away."""
 
     def gone(self) -> None:
-        """All is given: only what is in hand is finished."""
+        """The successor serves: finish the requests in flight and pass connections on."""
 
-    def call(self, word: str, worker: str) -> None:
-        """Operators have called the taker."""
+    def call(self, command: str, worker: str) -> None:
+        """Apply an operator's call that the successor received."""
 
 
 class Predecessor:
-    """Waits for a taker, one at a time."""
+    """Waits for a successor, one at a time, and hands the gateway's state over to it."""
 
     def __init__(
         self,
@@ -60,35 +62,38 @@
         name: str,
         folder: str,
         gateway: Gateway,
-        owner: Owner,
+        process: PredecessorProcess,
         clock: Callable[[], float],
     ) -> None:
-        self._loop, self._name, self._path = loop, name, path(folder)
-        self._gateway, self._owner, self._clock = gateway, owner, clock
+        self._loop, self._name, self._path = loop, name, socket_path(folder)
+        self._gateway, self._process, self._clock = gateway, process, clock
         self._socket: socket.socket | None = None
         self.channel: Channel | None = None
         self._copy: state.Copy | None = None
         self._paused = False
-        self.superseded = False  # the taker accepts: nothing new is ours
+        self.superseded = False  # the successor accepts clients; this process accepts none
 
     def listen(self) -> None:
-        """Wait for a taker, in place of whoever did; without a folder for that there is no handover."""
-        made = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        """Listen for a successor, replacing the socket of an earlier process.
+
+        If the folder does not allow it, this process serves all the same and a successor starts without its state.
+        """
+        listening = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self._path)
-            made.bind(self._path)
-            made.listen(2)
+            listening.bind(self._path)
+            listening.listen(2)
         except OSError as error:
-            made.close()
+            listening.close()
             log.warning("takeover: %s: %s; a process that follows starts with nothing", self._path, error)
             return
-        made.setblocking(False)
-        self._socket = made
-        self._loop.add_reader(made.fileno(), self._accept)
+        listening.setblocking(False)
+        self._socket = listening
+        self._loop.add_reader(listening.fileno(), self._accept)
 
     def stop(self) -> None:
-        """Wait no more."""
+        """Stop listening for a successor."""
         if self._socket is not None:
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
@@ -101,84 +106,91 @@
         except OSError:
             return
         if self.channel is not None:
-            sock.close()  # one at a time
+            sock.close()  # only one successor at a time
             return
-        self.channel = Channel(self._loop, sock, self._heard, self._lost)
+        self.channel = Channel(self._loop, sock, self._on_message, self._on_closed)
 
-    def _lost(self, why: str) -> None:
+    def _on_closed(self, reason: str) -> None:
         if self._copy is not None:
-            self._gateway.quotas.deficits.rest()  # nobody takes note of them any more
+            self._gateway.quotas.deficits.rest()  # ends the recording of changes for the copy
         self.channel = self._copy = None
         if not self._paused:
             return
-        # Guards the clients: whoever connects would wait in the socket's queue, where nobody accepts any more.
-        log.warning("takeover: %s; this process goes on", why)
+        # Resume accepting: otherwise new clients would wait in the socket's queue, which no process reads any more.
+        log.warning("takeover: %s; this process goes on", reason)
         superseded, self.superseded, self._paused = self.superseded, False, False
-        self._owner.resume()
+        self._process.resume()
         if superseded:
             self.listen()
 
-    def _heard(self, message: wire.Message, fd: int | None) -> None:
+    def _on_message(self, message: wire.Message, fd: int | None) -> None:
         if fd is not None:
-            os.close(fd)  # none is expected here
+            os.close(fd)  # a successor sends no descriptors
         channel = self.channel
         if channel is None:
             return
         match message:
             case wire.Hello():
                 now = self._clock()
-                if message.version != wire.VERSION or message.name != self._name or abs(message.clock - now) > CLOCKS:
+                if (
+                    message.version != wire.VERSION
+                    or message.name != self._name
+                    or abs(message.clock - now) > MAX_CLOCK_DIFFERENCE_SECONDS
+                ):
                     channel.send(wire.Rejected(f"version {wire.VERSION}, {self._name}, clock {now:.1f}"))
                     return
                 self._copy = state.Copy(self._gateway, now)
-                self._more()
+                self._copy_accounts()
             case wire.StateRequest() if self._copy is not None:
-                self._give(channel, self._copy)
+                self._send_final_state(channel, self._copy)
             case wire.Accepted() if self._paused:
                 self.superseded = True
                 self.stop()
                 log.info("takeover: the new process serves")
-                self._owner.gone()
-            case wire.OperatorCall(word, worker) if self.superseded:
-                self._owner.call(word, worker)
-            case wire.Rejected(why):
-                channel.close(f"the new process says no: {why}")
-
-    def _more(self) -> None:
-        """Give some accounts, and go on once they are on their way; others have their turn in between."""
+                self._process.gone()
+            case wire.OperatorCall(command, worker) if self.superseded:
+                self._process.call(command, worker)
+            case wire.Rejected(reason):
+                channel.close(f"the new process rejected the handoff: {reason}")
+
+    def _copy_accounts(self) -> None:
+        """Send the next accounts and schedule the following ones, so that the event loop serves clients in between."""
         channel, copy = self.channel, self._copy
         if channel is None or copy is None:
             return
-        if channel.waiting < ROOM:
-            if (debts := copy.debts()) is not None:
-                channel.send(wire.StatePart("debts", debts))
+        if channel.queued_messages < MAX_QUEUED_MESSAGES:
+            if (deficits := copy.debts()) is not None:
+                channel.send(wire.StatePart("debts", deficits))
             elif copy.lists():
                 pass
-            elif rows := copy.more(self._clock(), ROWS):
+            elif rows := copy.more(self._clock(), ROWS_PER_MESSAGE):
                 channel.send(wire.Accounts(rows))
             else:
                 channel.send(wire.AccountsCopied())
                 return
-            self._loop.call_soon(self._more)
+            self._loop.call_soon(self._copy_accounts)
         else:
-            self._loop.call_later(0.001, self._more)
+            self._loop.call_later(0.001, self._copy_accounts)
 
-    def _give(self, channel: Channel, copy: state.Copy) -> None:
-        """All of it, at one instant: from here on nothing is accepted."""
+    def _send_final_state(self, channel: Channel, copy: state.Copy) -> None:
+        """Stop accepting clients and send the rest of the state, all as of the same instant."""
         self._paused = True
-        self._owner.pause()
+        self._process.pause()
         rows = copy.rest()
-        for first in range(0, len(rows), ROWS):
-            channel.send(wire.Accounts(rows[first : first + ROWS]))
-        for name, value in {**self._owner.outside(), **state.core(self._gateway)}.items():
+        for first in range(0, len(rows), ROWS_PER_MESSAGE):
+            channel.send(wire.Accounts(rows[first : first + ROWS_PER_MESSAGE]))
+        for name, value in {**self._process.outside(), **state.core(self._gateway)}.items():
             channel.send(wire.StatePart(name, value))
-        outs = list(state.outs(self._gateway))
-        for first in range(0, len(outs), ROWS):
-            channel.send(wire.StatePart("outs", outs[first : first + ROWS]))
+        attempts = list(state.outs(self._gateway))
+        for first in range(0, len(attempts), ROWS_PER_MESSAGE):
+            channel.send(wire.StatePart("outs", attempts[first : first + ROWS_PER_MESSAGE]))
         channel.send(wire.StateComplete(self._clock()))
 
-    def tell(self, message: wire.Message, fd: int | None = None) -> bool:
-        """Tell the taker, once it was given all; whether there is one that listens."""
+    def send(self, message: wire.Message, fd: int | None = None) -> bool:
+        """Send a message to a successor that has received the state; return whether there is one.
+
+        A descriptor that comes along is closed here in both cases.
+        """
         if self.channel is None or not self.channel.open or not self._paused:
             if fd is not None:
                 os.close(fd)
--- a/oliveloft/takeover/successor.py
+++ b/oliveloft/takeover/successor.py
@@ -1,4 +1,4 @@
-"""The process that starts beside one that serves: it takes what that has, or begins with nothing."""
+"""The successor's side of a hot restart: it takes the state of the serving process, or starts without any."""
 
 from __future__ import annotations
 
@@ -15,133 +15,133 @@
 from micagate.handover.fields import Damaged
 from oliveloft.takeover import wire
 from oliveloft.takeover.channel import Channel
-from oliveloft.takeover.predecessor import path
+from oliveloft.takeover.predecessor import socket_path
 
 log = logging.getLogger("oliveloft")
 
-PATIENCE = 5.0  # seconds for all of it: whoever started this process waits 6
+HANDOFF_TIMEOUT_SECONDS = 5.0  # for the whole state: whoever starts a process waits 6 s for it to be ready
 
 
-class Receiver(Protocol):
-    """The process round a taker."""
+class SuccessorProcess(Protocol):
+    """What `Successor` needs of the process it runs in."""
 
     def receive(self, parts: dict[str, Any]) -> None:
-        """Take over what the network's side knew."""
+        """Restore the state of the predecessor's network side."""
 
     def client(self, sock: socket.socket, good: bool) -> None:
-        """A client's connection comes along."""
+        """Adopt a client connection; `good` is whether it has carried a valid request."""
 
     def worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
-        """An idle connection to a worker comes along."""
+        """Adopt an idle connection to a worker."""
 
-    def call(self, word: str, worker: str) -> None:
-        """Operators have called the process that gave."""
+    def call(self, command: str, worker: str) -> None:
+        """Apply an operator's call that the predecessor received."""
 
 
 class Successor:
-    """Takes from a giver, if there is one."""
+    """Requests the state of the predecessor, if there is one, and restores it into the gateway."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         name: str,
         gateway: Gateway,
-        receiver: Receiver,
+        process: SuccessorProcess,
         clock: Callable[[], float],
         handle: Callable[[interface.Event], None],
     ) -> None:
-        self._loop, self._name, self._gateway, self._receiver, self._clock = loop, name, gateway, receiver, clock
+        self._loop, self._name, self._gateway, self._process, self._clock = loop, name, gateway, process, clock
         self._handle = handle
         self._channel: Channel | None = None
         self._rows: list[dict[str, Any]] = []
         self._parts: dict[str, Any] = {"outs": []}
-        self._debts: list[dict[str, Any]] = []
-        self._given: asyncio.Future[bool] = loop.create_future()
-        self._theirs: set[tuple[str, int]] = set()
+        self._deficits: list[dict[str, Any]] = []
+        self._completed: asyncio.Future[bool] = loop.create_future()
+        self._predecessor_attempts: set[tuple[str, int]] = set()  # request id and attempt number, in flight there
         self._restored = False
 
     async def take(self, folder: str) -> bool:
-        """Take all; whether it was there and could be read. Nothing of it stands where it was not."""
+        """Take over the whole state; return whether there was one and it could be read. If not, none of it is used."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
         try:
-            sock.connect(path(folder))
+            sock.connect(socket_path(folder))
         except OSError:
             sock.close()
-            return False  # nobody serves
-        self._channel = Channel(self._loop, sock, self._heard, self._lost)
+            return False  # there is no predecessor
+        self._channel = Channel(self._loop, sock, self._on_message, self._on_closed)
         self._channel.send(wire.Hello(wire.VERSION, self._name, self._clock()))
         try:
-            return await asyncio.wait_for(asyncio.shield(self._given), PATIENCE)
+            return await asyncio.wait_for(asyncio.shield(self._completed), HANDOFF_TIMEOUT_SECONDS)
         except TimeoutError:
             self._fail("it takes too long")
             return False
 
-    def tell(self, message: wire.Message) -> None:
-        """Tell the giver, if it is still there."""
+    def send(self, message: wire.Message) -> None:
+        """Send a message to the predecessor, if it is still connected."""
         if self._channel is not None:
             self._channel.send(message)
 
-    def taken(self) -> None:
-        """Clients are accepted here from now on."""
+    def confirm_accepting(self) -> None:
+        """Tell the predecessor that this process accepts clients from now on."""
         if self._channel is not None:
             self._channel.send(wire.Accepted())
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         for queue in self._gateway.quotas.accounts.queues:
-            queue.clear()  # half of it would be worse than none
-        log.warning("takeover: %s; starting with nothing", why)
-        if not self._given.done():
-            self._given.set_result(False)
+            queue.clear()  # a partial copy would be worse than none
+        log.warning("takeover: %s; starting with nothing", reason)
+        if not self._completed.done():
+            self._completed.set_result(False)
         if self._channel is not None:
-            self._channel.send(wire.Rejected(why))
-            self._channel.close(why)
+            self._channel.send(wire.Rejected(reason))
+            self._channel.close(reason)
 
-    def _lost(self, why: str) -> None:
+    def _on_closed(self, reason: str) -> None:
         self._channel = None
-        if not self._given.done():
-            log.warning("takeover: %s; starting with nothing", why)
-            self._given.set_result(False)
-        # Its connections are closed with it: what it had out is out no more.
-        for outcome in state.left_out(self._gateway, self._theirs):
+        if not self._completed.done():
+            log.warning("takeover: %s; starting with nothing", reason)
+            self._completed.set_result(False)
+        # The predecessor's connections are closed with it, so its attempts are no longer in flight.
+        for outcome in state.left_out(self._gateway, self._predecessor_attempts):
             self._handle(outcome)
-        self._theirs.clear()
+        self._predecessor_attempts.clear()
 
-    def _heard(self, message: wire.Message, fd: int | None) -> None:
+    def _on_message(self, message: wire.Message, fd: int | None) -> None:
         if fd is not None:
-            self._connection(message, fd)
+            self._adopt_connection(message, fd)
             return
         try:
-            self._follow(message)
+            self._apply(message)
         except (Damaged, KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
             if self._restored:
                 log.warning("takeover: unusable news: %s", error)
             else:
                 self._fail(f"what was given cannot be read: {error!r}")
 
-    def _connection(self, message: wire.Message, fd: int) -> None:
+    def _adopt_connection(self, message: wire.Message, fd: int) -> None:
         sock = socket.socket(fileno=fd)
         sock.setblocking(False)
         match message:
             case wire.ClientConnection(good):
-                self._receiver.client(sock, good)
+                self._process.client(sock, good)
             case wire.WorkerConnection(worker, idle_since):
-                self._receiver.worker(sock, worker, idle_since)
+                self._process.worker(sock, worker, idle_since)
             case _:
                 sock.close()
 
-    def _follow(self, message: wire.Message) -> None:
+    def _apply(self, message: wire.Message) -> None:
         now = self._clock()
         match message:
-            case wire.Rejected(why):
-                self._fail(f"the process that serves says no: {why}")
+            case wire.Rejected(reason):
+                self._fail(f"the process that serves says no: {reason}")
             case wire.Accounts(rows):
                 self._rows += rows
-                self._spread()
+                self._insert_accounts()
             case wire.AccountsCopied() if self._channel is not None:
                 self._channel.send(wire.StateRequest())
             case wire.StatePart("debts", value):
-                self._debts.append(value)
+                self._deficits.append(value)
             case wire.StatePart("outs", value):
                 self._parts["outs"] += value
             case wire.StatePart(name, value):
@@ -149,10 +149,10 @@
             case wire.StateComplete():
                 self._restore(now)
             case wire.AttemptStarted(row):
-                self._theirs.add((row["request"], row["number"]))
+                self._predecessor_attempts.add((row["request"], row["number"]))
                 state.adopt(self._gateway, now, row, spends=True)
             case wire.AttemptEnded():
-                self._theirs.discard((message.request, message.number))
+                self._predecessor_attempts.discard((message.request, message.number))
                 self._handle(
                     interface.Outcome(
                         message.request,
@@ -164,24 +164,24 @@
                         used=message.used,
                     )
                 )
-            case wire.OperatorCall(word, worker):
-                self._receiver.call(word, worker)
+            case wire.OperatorCall(command, worker):
+                self._process.call(command, worker)
 
-    def _spread(self) -> None:
-        """Put accounts in as they come, so that no step is long at the end."""
+    def _insert_accounts(self) -> None:
+        """Insert accounts as they arrive, so that no single step at the end takes long."""
         rows, self._rows = self._rows, []
         state.put_accounts(self._gateway, self._clock(), rows)
-        # Guards whoever waits against collections that look at all customers, ever more of them: 90 ms with 30,000. An
-        # account is in no cycle, so it is freed without them.
+        # Keeps garbage collections from scanning a growing number of accounts, which would stall clients: 90 ms with
+        # 30,000 accounts. Accounts are in no reference cycle, so they are freed without the collector.
         gc.freeze()
 
     def _restore(self, now: float) -> None:
-        self._receiver.receive(self._parts)
-        self._theirs.update((row["request"], row["number"]) for row in self._parts["outs"])
+        self._process.receive(self._parts)
+        self._predecessor_attempts.update((row["request"], row["number"]) for row in self._parts["outs"])
         state.put_core(self._gateway, now, self._parts, self._parts["outs"])
-        for debts in self._debts:
-            self._gateway.quotas.deficits.restore(debts)
+        for deficits in self._deficits:
+            self._gateway.quotas.deficits.restore(deficits)
         self._restored = True
-        self._parts, self._debts = {}, []
-        if not self._given.done():
-            self._given.set_result(True)
+        self._parts, self._deficits = {}, []
+        if not self._completed.done():
+            self._completed.set_result(True)
--- a/oliveloft/takeover/wire.py
+++ b/oliveloft/takeover/wire.py
@@ -1,7 +1,8 @@
-"""The messages between the process that gives and the one that takes, each in a datagram with a checksum.
+"""The messages between predecessor and successor in a hot restart, each in one datagram with a checksum.
 
-msgpack with fields by name, so that an older and a newer version leave what they do not know (`VERSION` rises where
-that is not enough). Every datagram begins with the CRC-32 of the rest, big-endian.
+The encoding is msgpack with fields by name, so each version ignores fields that it does not know; `VERSION` is raised
+for changes where that is not enough. Every datagram begins with the CRC-32 of the rest, big-endian. Tags and field
+names are part of the format.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 import msgspec
 
 VERSION = 1
-LONGEST = 128 * 1024  # bytes of a datagram
+MAX_DATAGRAM_BYTES = 128 * 1024
 
 
 class Damaged(Exception):
-    """A datagram that cannot be read."""
+    """Raised for a datagram that cannot be decoded."""
 
 
 class Hello(msgspec.Struct, tag="Hello"):
-    """The taker: who it is, and what its clock says (CLOCK_MONOTONIC, seconds)."""
+    """From the successor: its protocol version, its name and its clock (CLOCK_MONOTONIC, seconds)."""
 
     version: int
     name: str
@@ -28,63 +29,69 @@
 
 
 class Rejected(msgspec.Struct, tag="No"):
-    """Either side: nothing is given or taken, and why."""
+    """From either side: the handoff is rejected, and the reason."""
 
     why: str
 
 
 class Accounts(msgspec.Struct, tag="Accounts"):
-    """The giver: some customers' accounts."""
+    """From the predecessor: some customers' accounts; a later row of a customer replaces an earlier one."""
 
     rows: list[dict[str, Any]]
 
 
 class AccountsCopied(msgspec.Struct, tag="Copied"):
-    """The giver: all accounts were told once."""
+    """From the predecessor: every account was sent at least once."""
 
 
 class StateRequest(msgspec.Struct, tag="Take"):
-    """The taker: it can serve, and the rest is to come now."""
+    """From the successor: it is ready for the rest of the state."""
 
 
 class StatePart(msgspec.Struct, tag="Part"):
-    """The giver, which accepts no more from here on: a part of what it knows."""
+    """From the predecessor: a named part of its state other than accounts.
+
+    Except for the quota deficits ("debts"), parts are sent once it has stopped accepting clients.
+    """
 
     name: str
     value: Any
 
 
 class StateComplete(msgspec.Struct, tag="Given"):
-    """The giver: that was all."""
+    """From the predecessor: the state is complete."""
 
     clock: float
 
 
 class Accepted(msgspec.Struct, tag="Taken"):
-    """The taker: it accepts."""
+    """From the successor: it accepts clients."""
 
 
 class ClientConnection(msgspec.Struct, tag="Client"):
-    """The giver: a client's connection with nothing of a request on it goes along."""
+    """From the predecessor: the attached descriptor is a client connection with no request in progress.
+
+    `good`: whether it has carried a valid request.
+    """
 
     good: bool
 
 
 class WorkerConnection(msgspec.Struct, tag="Worker"):
-    """The giver: an idle connection to a worker goes along."""
+    """From the predecessor: the attached descriptor is an idle connection to a worker."""
 
     worker: str
     idle_since: float
 
 
 class AttemptStarted(msgspec.Struct, tag="Began"):
-    """The giver: it has begun an attempt."""
+    """From the predecessor: it has started an attempt."""
 
     row: dict[str, Any]
 
 
 class AttemptEnded(msgspec.Struct, tag="Ended"):
-    """The giver: an attempt of its has ended."""
+    """From the predecessor: one of its attempts has ended. `took` is in seconds."""
 
     request: str
     number: int
@@ -95,7 +102,7 @@
 
 
 class OperatorCall(msgspec.Struct, tag="Call"):
-    """Either side: operators have called it, and the other one is to do the same."""
+    """From either side: an operator's call that the other process is to apply as well."""
 
     word: str
     worker: str = ""
@@ -120,15 +127,15 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as a datagram."""
+    """Encode a message as a datagram."""
     data = _encoder.encode(message)
     return zlib.crc32(data).to_bytes(4, "big") + data
 
 
 def decode(datagram: bytes) -> Message:
-    """The message of a datagram. Damaged where there is none."""
+    """Decode a datagram; raise `Damaged` if it is not a valid message."""
     if zlib.crc32(datagram[4:]).to_bytes(4, "big") != datagram[:4]:
-        raise Damaged("the checksum does not fit")
+        raise Damaged("checksum mismatch")
     try:
         message: Message = _decoder.decode(datagram[4:])
     except msgspec.MsgspecError as error:
--- a/tests/counting/test_client.py
+++ b/tests/counting/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the counter against a stand-in: each call has one answer, whatever happens to the connection."""
+"""The counter client against a fake service: each call has one result, whatever happens to the connection."""
 
 import asyncio
 
@@ -8,101 +8,102 @@
 from oliveloft.counter.client import Counter as Client
 from rig.counting import Counter, Service
 
-WAIT = 0.5
+TIMEOUT_SECONDS = 0.5
 
 
-async def up(counter: Counter, wait: float = WAIT) -> Client:
-    client = Client(asyncio.get_running_loop(), ("127.0.0.1", counter.port), wait, 1)
+async def connected_client(counter: Counter, timeout_seconds: float = TIMEOUT_SECONDS) -> Client:
+    client = Client(asyncio.get_running_loop(), ("127.0.0.1", counter.port), timeout_seconds, 1)
     while (await call(client)).status == interface.UNREACHABLE:
         await asyncio.sleep(0.01)
     return client
 
 
 async def call(client: Client, name: int = 7, amount: float = 0.0) -> interface.CounterResult:
-    heard: asyncio.Queue[interface.CounterResult] = asyncio.Queue()
-    client.call(interface.CounterAdd(name, amount, 30.0), heard.put_nowait)
-    return await asyncio.wait_for(heard.get(), 10.0)
+    results: asyncio.Queue[interface.CounterResult] = asyncio.Queue()
+    client.call(interface.CounterAdd(name, amount, 30.0), results.put_nowait)
+    return await asyncio.wait_for(results.get(), 10.0)
 
 
-def play(scenario) -> None:
-    async def whole() -> None:
+def run_scenario(scenario) -> None:
+    async def with_counter() -> None:
         counter = await Counter(Service()).start()
         try:
-            client = await up(counter)
+            client = await connected_client(counter)
             await scenario(counter, client)
             client.stop()
         finally:
             counter.stop()
 
-    asyncio.run(whole())
+    asyncio.run(with_counter())
 
 
-def test_totals_add_up_over_clients_and_come_in_the_order_of_the_calls():
+def test_totals_add_up_across_clients_and_arrive_in_the_order_of_the_calls():
     async def scenario(counter, client):
-        other = await up(counter)
-        answers = await asyncio.gather(*(call(client, 3, 0.5) for _ in range(50)))
-        assert [answer.total for answer in answers] == [0.5 * n for n in range(1, 51)]
+        other = await connected_client(counter)
+        results = await asyncio.gather(*(call(client, 3, 0.5) for _ in range(50)))
+        assert [result.total for result in results] == [0.5 * n for n in range(1, 51)]
         assert (await call(other, 3, -25.0)).total == 0.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_counter_that_turns_away_or_says_nothing_ends_the_call_as_that():
+def test_an_overloaded_or_unresponsive_counter_ends_the_call_with_that_status():
     async def scenario(counter, client):
         counter.service.busy = True
         assert (await call(client)).status == interface.OVERLOADED
         counter.service.busy = False
         counter.service.dead = {0}
-        answer = await call(client)
-        assert answer.status == interface.TIMED_OUT and answer.took >= WAIT
+        result = await call(client)
+        assert result.status == interface.TIMED_OUT and result.took >= TIMEOUT_SECONDS
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_late_answer_is_not_taken_for_that_of_the_next_call():
+def test_a_late_reply_is_not_matched_to_the_next_call():
     async def scenario(counter, client):
-        counter.service.rate, counter.service.queue, client._wait = 2.0, 5.0, 0.05  # each takes half a second
+        counter.service.rate, counter.service.queue, client._timeout_seconds = 2.0, 5.0, 0.05  # 0.5 s per call
         assert (await call(client, 3, 1.0)).status == interface.TIMED_OUT
-        client._wait = 5.0
+        client._timeout_seconds = 5.0
         assert (await call(client, 4, 5.0)).total == 5.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    "spoilt", [b"$3\r\nabc\r\n", b"*1\r\n:1\r\n", b":7\r\n", b"+OK\r\n", b"$-1\r\n", b"?\r\n", b"$3\r\ninf\r\n"]
+    "malformed", [b"$3\r\nabc\r\n", b"*1\r\n:1\r\n", b":7\r\n", b"+OK\r\n", b"$-1\r\n", b"?\r\n", b"$3\r\ninf\r\n"]
 )
-def test_a_spoilt_answer_ends_the_connection_and_the_next_call_opens_another(spoilt):
+def test_a_malformed_reply_closes_the_connection_and_the_next_call_opens_another(malformed):
     async def scenario(counter, client):
-        counter.spoil = spoilt
+        counter.spoil = malformed
         assert (await call(client, 3, 1.0)).status == interface.TIMED_OUT  # it may have been added
-        while (answer := await call(client, 3, 1.0)).status == interface.UNREACHABLE:
+        while (result := await call(client, 3, 1.0)).status == interface.UNREACHABLE:
             await asyncio.sleep(0.01)
-        assert answer.total == 2.0
+        assert result.total == 2.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_it_comes_back_after_the_counter_was_gone_and_follows_it_to_another_address():
+def test_it_reconnects_after_an_outage_and_follows_a_change_of_address():
     async def scenario(counter, client):
         assert (await call(client, 3, 1.0)).total == 1.0
         counter.stop()
         while (await call(client, 3, 1.0)).status != interface.UNREACHABLE:
             await asyncio.sleep(0.01)
         other = await Counter().start()
-        client.move(("127.0.0.1", other.port))
-        while (answer := await call(client, 3, 1.0)).status != interface.SUCCESS:
+        client.change_address(("127.0.0.1", other.port))
+        while (result := await call(client, 3, 1.0)).status != interface.SUCCESS:
             await asyncio.sleep(0.01)
-        assert answer.total == 1.0
+        assert result.total == 1.0
         other.stop()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 class RacingLoop:
-    """An event loop whose first connection comes up in the moment in which its time is over.
+    """An event loop whose first connection is established at the very moment of the connect timeout.
 
-    It is closed with no word to its protocol, as uvloop does where a connect is cancelled after it has succeeded.
+    The connection is closed without a call to its protocol, as uvloop does when a connect is cancelled after it has
+    succeeded.
     """
 
     def __init__(self, loop):
@@ -121,13 +122,13 @@
         return transport, protocol
 
 
-def test_a_connection_that_comes_up_as_its_time_ends_is_not_kept():
-    """Each call was written to it, and failed, for as long as the process lived."""
+def test_a_connection_established_as_the_connect_times_out_is_not_used():
+    """If it is used, each call is written to a closed connection and fails for as long as the process runs."""
 
     async def scenario():
         counter = await Counter(Service()).start()
         loop = RacingLoop(asyncio.get_running_loop())
-        client = Client(loop, ("127.0.0.1", counter.port), WAIT, 1)
+        client = Client(loop, ("127.0.0.1", counter.port), TIMEOUT_SECONDS, 1)
         statuses = []
         while not statuses or statuses[-1] == interface.UNREACHABLE:
             statuses.append((await call(client)).status)
--- a/tests/manage/test_protocol.py
+++ b/tests/manage/test_protocol.py
@@ -1,4 +1,4 @@
-"""The operators' lines."""
+"""The line protocol for operators' calls, and the state that LEAVE and JOIN change."""
 
 import pytest
 
@@ -17,8 +17,8 @@
         (b"JOIN", protocol.Call("JOIN")),
     ],
 )
-def test_calls_are_read_in_any_case_and_spacing(line, call):
-    assert protocol.read(line) == call
+def test_calls_are_parsed_in_any_case_and_spacing(line, call):
+    assert protocol.parse(line) == call
 
 
 @pytest.mark.parametrize(
@@ -36,17 +36,17 @@
         b"\x00",
     ],
 )
-def test_what_is_no_call_is_told_so(line):
-    with pytest.raises(protocol.BadCall) as error:
-        protocol.read(line)
-    assert len(protocol.answer(False, str(error.value)).splitlines()) == 1
+def test_invalid_calls_raise_an_error_with_a_one_line_answer(line):
+    with pytest.raises(protocol.InvalidCall) as error:
+        protocol.parse(line)
+    assert len(protocol.format_answer(False, str(error.value)).splitlines()) == 1
 
 
-def test_an_answer_is_one_line_whatever_it_says():
-    assert protocol.answer(True, "a\r\nb") == b"ok a b\n" and protocol.answer(False, "no") == b"fail no\n"
+def test_an_answer_is_always_one_line():
+    assert protocol.format_answer(True, "a\r\nb") == b"ok a b\n" and protocol.format_answer(False, "no") == b"fail no\n"
 
 
-def test_idle_connections_stay_until_whoever_sends_clients_has_heard():
+def test_idle_connections_stay_open_until_the_sender_of_clients_has_noticed_leave():
     presence = Presence()
     assert presence.leave(1.0) and not presence.leave(5.0)
     assert presence.closes() and not presence.clears(1.0 + HEARD / 2) and presence.clears(1.01 + HEARD)
