--- a/oliveloft/cli.py
+++ b/oliveloft/cli.py
@@ -175,17 +175,17 @@
         "status", help="members, the stage of each start, broken links, maintenance, memory"
     )
     _add_fleet_option(fleet_status)
-    fleet_status.add_argument("--json", action="store_true", help="print JSON")
+    fleet_status.add_argument("--json", action="store_true", help="print one JSON object")
     fleet_status.set_defaults(run=_fleet_status)
     planners = verbs.add_parser("planners", help="ask the planners about themselves")
     planners_verbs = planners.add_subparsers(dest="what", required=True, metavar="WHAT")
     planners_status = planners_verbs.add_parser("status", help="ownership, epochs, outstanding grants, age of reports")
     _add_config_option(planners_status)
-    planners_status.add_argument("--json", action="store_true", help="print JSON")
+    planners_status.add_argument("--json", action="store_true", help="print one JSON object")
     planners_status.set_defaults(run=_status)
     settings = verbs.add_parser("settings", help="list a gatekeeper's settings and the decision that uses each")
     settings.add_argument("file", metavar="FILE", help="a gatekeeper's JSON file, for example deploy/example.json")
-    settings.add_argument("--json", action="store_true", help="print JSON")
+    settings.add_argument("--json", action="store_true", help="print one JSON object")
     settings.set_defaults(run=_settings)
     manage = verbs.add_parser(
         "manage",
@@ -204,7 +204,7 @@
     manage.add_argument(
         "--within", type=positive_number, default=1.0, help="seconds to wait for the answer (default 1)"
     )
-    manage.add_argument("--json", action="store_true", help="print JSON")
+    manage.add_argument("--json", action="store_true", help="print one JSON object")
     manage.set_defaults(run=_manage)
     return parser
 
--- a/tests/gatekeeper/test_generated_settings.py
+++ b/tests/gatekeeper/test_generated_settings.py
@@ -1,4 +1,7 @@
-"""Settings of other customers: names, effects, limits and deadlines at their bounds; it starts, serves, keeps rules."""
+"""Generated settings, with names, effects, limits and deadlines up to their bounds.
+
+A gatekeeper must start with them, serve, and respect the limits that they set.
+"""
 
 import asyncio
 import copy
@@ -12,13 +15,13 @@
 EFFECTS = ("pure", "token", "side_effect")
 
 
-def generated(seed):
-    """Settings that any customer may have; the first few seeds sit at the bounds."""
-    random, facts = Random(seed), copy.deepcopy(FACTS)
-    edge = seed < 4
-    pick = (lambda low, high: (low, high)[random.random() < 0.5]) if edge else random.uniform
+def generated_settings(seed):
+    """Return random valid settings; the first four seeds take each value at one of its bounds."""
+    random, settings = Random(seed), copy.deepcopy(FACTS)
+    at_bounds = seed < 4
+    pick = (lambda low, high: (low, high)[random.random() < 0.5]) if at_bounds else random.uniform
     names = random.sample(["fetch-text", "a", "Switch_9", "order.v2", "x" * 60, "get~all"], len(EFFECTS))
-    facts["Classes"] = [
+    settings["Classes"] = [
         {
             "Name": name,
             "Effect": effect,
@@ -31,7 +34,7 @@
         }
         for name, effect in zip(names, random.sample(EFFECTS, len(EFFECTS)), strict=True)
     ]
-    facts["Plans"] = [
+    settings["Plans"] = [
         {
             "AtOnce": random.choice((0, 2)),
             "BeyondEarns": pick(0, 0.3),
@@ -45,7 +48,7 @@
         }
         for n in range(3)
     ]
-    facts["Caps"].update(
+    settings["Caps"].update(
         Cancel=random.random() < 0.5,
         SecondCopies=random.random() < 0.5,
         MaxAttempts=int(pick(1, 6)),
@@ -53,15 +56,15 @@
         MaxRetryAfterUs=int(pick(0, 1) * 1e6),
         IdleCloseUs=int(pick(1, 60) * 1e6),
     )
-    facts["Rules"].update(DrainGraceUs=int(pick(0.25, 1.0) * 1e6), ColdFrom=pick(0.1, 1.0))
-    facts["FamilyInfo"].update(MeterUs=random.choice((0, 500_000, 2_000_000)), UnitsTop=random.choice((1, 4)))
-    facts["Discovery"] = random.choice(("pushed", "on_request"))
-    facts["TickUs"] = random.choice((1000, 4000))
-    return facts
+    settings["Rules"].update(DrainGraceUs=int(pick(0.25, 1.0) * 1e6), ColdFrom=pick(0.1, 1.0))
+    settings["FamilyInfo"].update(MeterUs=random.choice((0, 500_000, 2_000_000)), UnitsTop=random.choice((1, 4)))
+    settings["Discovery"] = random.choice(("pushed", "on_request"))
+    settings["TickUs"] = random.choice((1000, 4000))
+    return settings
 
 
-def asks(facts, klass, plan, timeout):
-    """A request of a class as its settings want it."""
+def class_request(settings, klass, plan, timeout):
+    """Return a valid request of a class."""
     return Client.request(
         klass["Name"],
         timeout=f"{timeout:.3f}",
@@ -72,39 +75,39 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_it_starts_serves_and_keeps_the_rules(seed, monkeypatch):
-    facts = generated(seed)
-    monkeypatch.setattr("rig.fake_servers.FACTS", facts)
+def test_it_starts_serves_and_respects_the_limits(seed, monkeypatch):
+    settings = generated_settings(seed)
+    monkeypatch.setattr("rig.fake_servers.FACTS", settings)
 
     async def scenario():
         workers = [Worker(name) for name in "uvw"]
         loop = asyncio.get_running_loop()
         async with scene(*workers) as (gatekeeper, _, client):
-            for klass in facts["Classes"]:
-                for plan in facts["Plans"]:
-                    client.send(asks(facts, klass, plan["Name"], 8.0))
+            for klass in settings["Classes"]:
+                for plan in settings["Plans"]:
+                    client.send(class_request(settings, klass, plan["Name"], 8.0))
                     assert (await client.receive()).status == 200
-            for klass in facts["Classes"]:  # a reset behind the last byte: what may have run
+            for klass in settings["Classes"]:  # a reset after the last byte: the request may have run
                 for worker in workers:
                     worker.script = reset
                 before = sum(len(worker.seen) for worker in workers)
-                client.send(asks(facts, klass, "plan-0", 8.0))
+                client.send(class_request(settings, klass, "plan-0", 8.0))
                 reply = await client.receive()
-                tries = sum(len(worker.seen) for worker in workers) - before
-                assert reply.status in (502, 503, 504) and 1 <= tries <= facts["Caps"]["MaxAttempts"]
-                assert tries == 1 or klass["Effect"] != "side_effect"
+                attempts = sum(len(worker.seen) for worker in workers) - before
+                assert reply.status in (502, 503, 504) and 1 <= attempts <= settings["Caps"]["MaxAttempts"]
+                assert attempts == 1 or klass["Effect"] != "side_effect"
                 for worker in workers:
                     worker.script = answer()
-                while reply.status != 200:  # they are taken for well again
-                    client.send(asks(facts, facts["Classes"][0], "plan-0", 8.0))
+                while reply.status != 200:  # until the workers count as healthy again
+                    client.send(class_request(settings, settings["Classes"][0], "plan-0", 8.0))
                     reply = await client.receive()
             for worker in workers:
                 worker.script = hang
-            klass = min(facts["Classes"], key=lambda k: k["DeadlineUs"])
-            began = loop.time()
-            client.send(asks(facts, klass, "plan-0", 20.0))  # more than the class allows
+            klass = min(settings["Classes"], key=lambda k: k["DeadlineUs"])
+            started_at = loop.time()
+            client.send(class_request(settings, klass, "plan-0", 20.0))  # longer than the deadline of the class
             assert (await client.receive()).status in (502, 503, 504)
-            assert loop.time() - began < klass["DeadlineUs"] / 1e6 + 0.5
+            assert loop.time() - started_at < klass["DeadlineUs"] / 1e6 + 0.5
             await until(lambda: gatekeeper.process.returncode is None)
 
     run(scenario())
@@ -123,15 +126,15 @@
         (("Classes", 1, "SloUs"), None, "Classes[1].SloUs"),
     ],
 )
-def test_settings_that_cannot_be_followed_end_the_start_with_one_line_naming_the_key(path, value, key):
-    made = config(9)
-    made["settings"] = facts = generated(5)
+def test_invalid_settings_end_the_start_with_one_line_that_names_the_key(path, value, key):
+    configuration = config(9)
+    configuration["settings"] = settings = generated_settings(5)
     for step in path[:-1]:
-        facts = facts[step]
-    facts[path[-1]] = value
+        settings = settings[step]
+    settings[path[-1]] = value
 
     async def scenario():
-        gatekeeper = await launch(json.dumps(made))
+        gatekeeper = await launch(json.dumps(configuration))
         assert await gatekeeper.process.wait() == 2
         await gatekeeper._reading
         assert len(gatekeeper.log) == 1 and key in gatekeeper.log[0], gatekeeper.log
--- a/tests/manage/test_operations.py
+++ b/tests/manage/test_operations.py
@@ -1,4 +1,4 @@
-"""The operators' address of the real program."""
+"""Operators' calls to the real program."""
 
 import asyncio
 import json
@@ -13,16 +13,16 @@
 from rig.fake_servers import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, spawn, until
 
 
-def test_calls_are_answered_whatever_form_they_come_in():
+def test_calls_are_answered_in_every_accepted_form():
     async def scenario():
         async with scene(Worker("w")) as (gatekeeper, _, _):
-            for line, end in (
+            for line, send_eof in (
                 (b"HEALTH\n", False),
                 (b"health\r\n", False),
                 (b"Health", True),
                 (b"HEALTH\nJOIN\n", False),
             ):
-                assert (await gatekeeper.call(line, end)).startswith("ok ")
+                assert (await gatekeeper.call(line, send_eof)).startswith("ok ")
             for line in (
                 b"\n",
                 b"NOTHING\n",
@@ -38,7 +38,7 @@
     run(scenario())
 
 
-def test_sixty_callers_that_say_nothing_keep_nobody_out():
+def test_sixty_unresponsive_callers_lock_nobody_out():
     async def scenario():
         async with scene(Worker("w")) as (gatekeeper, _, client):
             callers = [await asyncio.open_connection("127.0.0.1", gatekeeper.management) for _ in range(60)]
@@ -52,7 +52,7 @@
     run(scenario())
 
 
-def test_a_worker_out_gets_nothing_at_any_address_and_comes_back():
+def test_a_worker_in_maintenance_gets_no_requests_at_any_address_until_it_is_back():
     async def scenario():
         worker, other = Worker("w"), Worker("v")
         async with scene(worker, other) as (gatekeeper, discovery, client):
@@ -74,19 +74,19 @@
     run(scenario())
 
 
-def test_an_attempt_whose_connection_is_coming_up_is_taken_back_and_goes_elsewhere():
+def test_maintenance_cancels_an_attempt_that_is_still_connecting_and_retries_elsewhere():
     async def scenario():
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+        full_listener = socket.socket()
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
         fillers = []
-        for _ in range(2):  # its queue is full: what connects further stays on its way
+        for _ in range(2):  # fill its accept queue: further connects stay pending
             filler = socket.socket()
             filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
+            filler.connect_ex(full_listener.getsockname())
             fillers.append(filler)
         stuck = Worker("stuck")
-        stuck.port = full.getsockname()[1]
+        stuck.port = full_listener.getsockname()[1]
         other = await Worker("v").start()
         discovery = await Discovery([stuck.entry()]).start()
         gatekeeper = await launch(config(discovery.port, changes={"Caps": {"ConnectTimeoutUs": 3000000}}))
@@ -102,19 +102,19 @@
         assert reply.status == 200 and len(other.seen) == 1
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
-        for held in (*fillers, full):
-            held.close()
+        for sock in (*fillers, full_listener):
+            sock.close()
 
     run(scenario())
 
 
-def test_leave_says_no_at_once_serves_what_comes_and_closes_the_idle_ones():
+def test_leave_fails_health_at_once_still_serves_requests_and_closes_idle_connections():
     async def scenario():
         worker = Worker("w")
         async with scene(worker) as (gatekeeper, _, idle):
             assert (await idle.ask()).status == 200
-            go = asyncio.Event()
-            worker.script = once(go)
+            proceed = asyncio.Event()
+            worker.script = once(proceed)
             held = await gatekeeper.client()
             held.send(Client.request("write", timeout="3.0"))
             await until(lambda: len(worker.seen) == 2)
@@ -127,7 +127,7 @@
             assert late.status == 200 and late.headers["connection"] == "close"
             async with asyncio.timeout(3):
                 assert await idle.ended()
-            go.set()
+            proceed.set()
             assert (await held.receive()).status == 200 and await held.ended()
             assert (await gatekeeper.call("JOIN")).startswith("ok ")
             assert await gatekeeper.health() == 200
@@ -137,7 +137,7 @@
     run(scenario())
 
 
-def test_sigterm_after_leave_ends_with_nothing_lost():
+def test_sigterm_after_leave_loses_nothing():
     async def scenario():
         worker = Worker("w", hang)
         async with scene(worker, ends=True) as (gatekeeper, _, client):
@@ -151,15 +151,15 @@
     run(scenario())
 
 
-def test_the_inherited_socket_is_taken_and_a_bad_one_named():
+def test_the_inherited_socket_is_used_and_an_invalid_one_reported():
     async def scenario():
         held = socket.socket()
         held.bind(("127.0.0.1", 0))
         held.listen(64)
         discovery = await Discovery([]).start()
-        made = config(discovery.port)
-        made["listen"] = f"127.0.0.1:{held.getsockname()[1]}"
-        gatekeeper = await spawn(json.dumps(made), accept=held)
+        configuration = config(discovery.port)
+        configuration["listen"] = f"127.0.0.1:{held.getsockname()[1]}"
+        gatekeeper = await spawn(json.dumps(configuration), accept=held)
         await gatekeeper.listening()
         assert gatekeeper.port == held.getsockname()[1] and await gatekeeper.health() == 503
         gatekeeper.process.kill()
@@ -167,19 +167,19 @@
         for text in ("x", "97"):
             os.environ["PROXY_ACCEPT_FD"] = text
             try:
-                bad = await launch(made)
+                rejected = await launch(configuration)
             finally:
                 del os.environ["PROXY_ACCEPT_FD"]
-            assert await bad.process.wait() == 2
-            await bad._reading
-            assert len(bad.log) == 1 and "PROXY_ACCEPT_FD" in bad.log[0]
+            assert await rejected.process.wait() == 2
+            await rejected._reading
+            assert len(rejected.log) == 1 and "PROXY_ACCEPT_FD" in rejected.log[0]
         held.close()
 
     run(scenario())
 
 
 @pytest.mark.parametrize("where", ["nowhere", "127.0.0.1:99999"])
-def test_a_bad_address_for_operators_is_named(where):
+def test_an_invalid_address_for_operators_is_reported_with_its_key(where):
     async def scenario():
         gatekeeper = await launch({**config(9), "management": where})
         assert await gatekeeper.process.wait() == 2
@@ -189,18 +189,18 @@
     run(scenario())
 
 
-def test_the_command_line_makes_calls_and_says_how_they_went():
+def test_the_command_line_makes_calls_and_reports_their_results():
     async def scenario():
         async with scene(Worker("w")) as (gatekeeper, _, _):
             at = f"127.0.0.1:{gatekeeper.management}"
 
-            async def manage(*words):
+            async def manage(*arguments):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "oliveloft",
                     "manage",
-                    *words,
+                    *arguments,
                     stdout=asyncio.subprocess.PIPE,
                     stderr=asyncio.subprocess.PIPE,
                     cwd=Path(__file__).parents[2],
@@ -209,12 +209,17 @@
                 return process.returncode, out.decode(), err.decode()
 
             code, out, _ = await manage("health", "--at", at, "--json")
-            told = json.loads(out)
-            assert code == 0 and told["ok"] and told["call"] == "HEALTH" and told["ms"] < 1000
+            result = json.loads(out)
+            assert code == 0 and result["ok"] and result["call"] == "HEALTH" and result["ms"] < 1000
             code, out, _ = await manage("OFFLINE", "nobody", "--at", at)
             assert code == 1 and out.startswith("fail ") and "nobody" in out
-            for words in (("RESTART", "--at", at), ("OFFLINE", "--at", at), ("HEALTH", "--at", "nowhere"), ("HEALTH",)):
-                code, _, err = await manage(*words)
+            for arguments in (
+                ("RESTART", "--at", at),
+                ("OFFLINE", "--at", at),
+                ("HEALTH", "--at", "nowhere"),
+                ("HEALTH",),
+            ):
+                code, _, err = await manage(*arguments)
                 assert code == 2 and len(err.splitlines()) == 1
             with socket.socket() as unused:
                 unused.bind(("127.0.0.1", 0))
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -1,4 +1,4 @@
-"""One process takes another's place under load: the real program, on a socket that both inherit."""
+"""Hot restarts of the real program, whose processes inherit one listening socket and share a folder."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 ]
 
 
-def test_three_upgrades_under_load_refuse_reset_and_lose_nothing():
+def test_three_hot_restarts_under_load_refuse_reset_and_lose_nothing():
     async def scenario():
         async with House(Worker("w"), Worker("v")) as house:
             old = await house.process()
@@ -35,29 +35,29 @@
                     new = await house.process()
                     old.process.send_signal(signal.SIGTERM)
                     assert await old.process.wait() == 0
-                    mark = len(load.statuses)
-                    await until(lambda: len(load.statuses) > mark + 100)  # noqa: B023
+                    served_before = len(load.statuses)
+                    await until(lambda: len(load.statuses) > served_before + 100)  # noqa: B023
                     old = new
             assert load.broken == 0 and set(load.statuses) == {200}
             connections = sum(worker.connections for worker in house.workers)
-            assert connections <= 60  # those to workers went along as well
+            assert connections <= 60  # connections to workers were passed on as well
 
     run(scenario())
 
 
-def test_what_is_out_is_answered_by_the_old_process_and_its_connection_goes_on_in_the_new_one():
+def test_the_old_process_answers_requests_in_flight_and_their_connections_continue_in_the_new_one():
     async def scenario():
-        worker, go = Worker("w"), asyncio.Event()
+        worker, proceed = Worker("w"), asyncio.Event()
         async with House(worker) as house:
             old = await house.process()
             client = Client(*await asyncio.open_connection("127.0.0.1", old.port))
-            worker.script = once(go)
+            worker.script = once(proceed)
             client.send(Client.request("write", timeout="3.0"))
             await until(lambda: worker.seen)
             worker.script = answer()
             await house.process()
             old.process.send_signal(signal.SIGTERM)
-            go.set()
+            proceed.set()
             reply = await client.receive()
             assert reply.status == 200 and "connection" not in reply.headers
             assert await old.process.wait() == 0
@@ -66,18 +66,18 @@
     run(scenario())
 
 
-def test_quotas_bans_and_a_drain_go_over():
+def test_quotas_maintenance_and_drain_state_are_handed_over():
     async def scenario():
         worker, other = Worker("w"), Worker("v")
         async with House(worker, other) as house:
-            made = config(house.discovery.port, changes={})
-            made["settings"]["Plans"] = PLANS
-            old = await house.process(settings=made["settings"])
+            configuration = config(house.discovery.port, changes={})
+            configuration["settings"]["Plans"] = PLANS
+            old = await house.process(settings=configuration["settings"])
             client = Client(*await asyncio.open_connection("127.0.0.1", old.port))
-            first = [(await client.ask("write")).status for _ in range(12)]
-            assert first.count(503) > 3  # the store is empty
+            statuses = [(await client.ask("write")).status for _ in range(12)]
+            assert statuses.count(503) > 3  # the token bucket is empty
             assert (await old.call("OFFLINE w")).startswith("ok ")
-            new = await house.process(settings=made["settings"])
+            new = await house.process(settings=configuration["settings"])
             old.process.send_signal(signal.SIGTERM)
             await old.process.wait()
             assert [(await client.ask("write")).status for _ in range(4)] == [503] * 4
@@ -88,7 +88,7 @@
             assert len(worker.seen) == seen
             assert (await new.call("ONLINE w")).startswith("ok ")
             await new.call("LEAVE")
-            last = await house.process(ready=False, settings=made["settings"])
+            last = await house.process(ready=False, settings=configuration["settings"])
             await last.listening()
             assert (await last.call("HEALTH")) == "fail sending clients away"
             assert (await last.call("JOIN")).startswith("ok ")
@@ -97,7 +97,7 @@
     run(scenario())
 
 
-def test_calls_that_still_reach_the_old_process_reach_the_new_one():
+def test_calls_to_the_old_process_are_forwarded_to_the_new_one():
     async def scenario():
         worker, other = Worker("w"), Worker("v")
         async with House(worker, other) as house:
@@ -115,18 +115,18 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("how", ["killed", "other name", "garbage"])
-def test_where_the_new_process_fails_the_old_one_goes_on(how):
+@pytest.mark.parametrize("failure", ["killed", "other name", "garbage"])
+def test_if_the_new_process_fails_the_old_one_continues(failure):
     async def scenario():
         async with House(Worker("w")) as house:
             old = await house.process()
             async with Load(old.port, 5) as load:
-                if how == "killed":
+                if failure == "killed":
                     new = await house.process(ready=False)
                     await asyncio.sleep(0.2)
                     new.process.kill()
                     await new.process.wait()
-                elif how == "other name":
+                elif failure == "other name":
                     new = await house.process(ready=False, name="another")
                     await new.logged("starting with nothing")
                     new.process.kill()
@@ -135,9 +135,9 @@
                         caller.connect(str(Path(house.folder.name) / "oliveloft.takeover"))
                         caller.send(b"what is this")
                         await asyncio.sleep(0.1)
-                mark = len(load.statuses)
-                await until(lambda: len(load.statuses) > mark + 200)
-            assert load.broken == 0 or how == "killed"  # it may have accepted some by then
+                served_before = len(load.statuses)
+                await until(lambda: len(load.statuses) > served_before + 200)
+            assert load.broken == 0 or failure == "killed"  # it may have accepted clients before it was killed
             late = Client(*await asyncio.open_connection("127.0.0.1", old.port))
             assert (await late.ask("write")).status == 200
             assert old.process.returncode is None
@@ -145,7 +145,7 @@
     run(scenario())
 
 
-def test_where_the_old_process_was_killed_the_new_one_starts_with_nothing():
+def test_after_the_old_process_was_killed_the_new_one_starts_without_state():
     async def scenario():
         async with House(Worker("w")) as house:
             old = await house.process()
@@ -158,7 +158,7 @@
     run(scenario())
 
 
-def test_where_nobody_can_be_waited_for_the_process_serves_all_the_same():
+def test_the_process_serves_even_if_it_cannot_listen_for_a_successor():
     async def scenario():
         async with House(Worker("w")) as house:
             with contextlib.suppress(FileNotFoundError):
@@ -171,14 +171,14 @@
     run(scenario())
 
 
-def test_a_further_attempt_of_the_old_process_keeps_to_a_ban_that_the_new_one_was_told_of():
+def test_retries_of_the_old_process_respect_maintenance_that_only_the_new_one_was_told_of():
     async def scenario():
         worker, other = Worker("w"), Worker("v")
         async with House(worker, other) as house:
             old = await house.process()
             clients = [Client(*await asyncio.open_connection("127.0.0.1", house.port)) for _ in range(8)]
-            go = asyncio.Event()
-            worker.script = other.script = once(go, answer(503, b"", "X-Not-Processed: 1\r\n"))
+            proceed = asyncio.Event()
+            worker.script = other.script = once(proceed, answer(503, b"", "X-Not-Processed: 1\r\n"))
             for client in clients:
                 client.send(Client.request("write", timeout="3.0"))
             await until(lambda: len(worker.seen) + len(other.seen) == 8)
@@ -186,9 +186,9 @@
             await old.logged("the new process serves")
             assert (await new.call("OFFLINE w")).startswith("ok ")
             await old.logged("w is out")
-            await asyncio.sleep(0.6)  # the grace
+            await asyncio.sleep(0.6)  # longer than the grace period of a drain
             seen = len(worker.seen)
-            go.set()
+            proceed.set()
             replies = [await client.receive() for client in clients]
             assert len(worker.seen) == seen and {reply.status for reply in replies} <= {503, 200}
             assert (await new.call("ONLINE w")).startswith("ok ")
@@ -197,7 +197,7 @@
     run(scenario())
 
 
-def test_where_the_new_process_dies_after_it_took_over_the_old_one_accepts_again():
+def test_if_the_new_process_dies_after_the_handoff_the_old_one_accepts_clients_again():
     async def scenario():
         async with House(Worker("w")) as house:
             old = await house.process()
@@ -210,7 +210,7 @@
             async with asyncio.timeout(3):
                 assert (await late.ask("write")).status == 200
             assert (await old.call("HEALTH")).startswith("ok ")
-            last = await house.process()  # and it can be followed again
+            last = await house.process()  # a later successor can take over again
             await last.logged("management at")
             old.process.terminate()
             assert await old.process.wait() == 0
