--- a/oliveloft/config/loading.py
+++ b/oliveloft/config/loading.py
@@ -20,7 +20,8 @@
 MICROSECONDS_PER_SECOND = 1_000_000
 BYTES_PER_MB = 1024 * 1024
 BASE_MEMORY_MB = 48  # needed beside buffered bodies: the process itself and the windows of streamed bodies
-BUFFER_SHARE, MIN_BUFFER_MB = 0.75, 1  # memory for buffered long bodies: a share of the rest, and at least so much
+# Long bodies may be buffered in this share of the memory limit less BASE_MEMORY_MB, and at least in MIN_BUFFER_MB.
+BUFFER_SHARE, MIN_BUFFER_MB = 0.75, 1
 
 
 class ConfigError(Exception):
--- a/oliveloft/gatekeeper/process.py
+++ b/oliveloft/gatekeeper/process.py
@@ -1,7 +1,8 @@
 """Runs one gatekeeper process, from its configuration to its shutdown on a signal.
 
-The order of the start matters: the operators' address first, so that operators are answered whatever happens; then the
-state of a predecessor or of the disk; then discovery; and the clients' listener once workers are known.
+The start has a fixed order: the operators' address first, so that operators are answered whatever happens to the rest;
+then the state of a predecessor or of the disk; then the waits for a discovery agent of this process's own, the fleet
+and the planners, as far as there are any; and the clients' listener last.
 """
 
 from __future__ import annotations
@@ -47,10 +48,11 @@
 # SIGKILL follows SIGTERM no sooner than the longest deadline (counted up to MAX_DEADLINE_SECONDS) plus
 # KILL_DELAY_SECONDS. All requests are answered KILL_MARGIN_SECONDS earlier: what SIGKILL interrupts is lost.
 MAX_DEADLINE_SECONDS, KILL_DELAY_SECONDS, KILL_MARGIN_SECONDS = 3.0, 0.7, 0.12
-SWEEP_INTERVAL_SECONDS = 0.25  # between checks of idle connections, or less:
-SWEEP_IDLE_TIMEOUT_SHARE = 0.1  # this share of the workers' idle timeout
+# Idle connections are checked at this interval, or at this share of the workers' idle timeout if that is shorter.
+SWEEP_INTERVAL_SECONDS = 0.25
+SWEEP_IDLE_TIMEOUT_SHARE = 0.1
 RESERVED_DESCRIPTORS = 48  # for all but clients and workers, and for connections that are being closed
-CLIENT_SHARE = 0.6  # of the other descriptors; the rest is for workers
+CLIENT_SHARE = 0.6  # of the other descriptors, for client connections; the rest is for connections to workers
 IDLE_CLIENT_SHARE = 0.2  # of all descriptors, for idle client connections: clients hold a third of them at most
 # A successor already has its predecessor's worker list, and must not keep clients waiting.
 SUCCESSOR_ANSWER_SECONDS = 1.0
--- a/oliveloft/takeover/handoff.py
+++ b/oliveloft/takeover/handoff.py
@@ -34,8 +34,8 @@
 class Handoff:
     """Connects this process to the other one of a hot restart.
 
-    It implements `PredecessorProcess` and `SuccessorProcess`: a process is the successor at its start and the
-    predecessor once it serves.
+    It implements `PredecessorProcess` and `SuccessorProcess`: a process is a successor when it starts and a predecessor
+    once it serves.
     """
 
     def __init__(
@@ -165,9 +165,9 @@
         if "start_times" in parts:  # a predecessor of an earlier version does not send them
             self._start_times.restore(parts["start_times"])
         self._gateway.counting.clock(self.clock_offset)
-        left = parts.get("left")
-        if left is not None:
-            self._presence.leave(float(left))
+        draining_since = parts.get("left")
+        if draining_since is not None:
+            self._presence.leave(float(draining_since))
         update = DiscoveryUpdate({"index": 0, "snapshot": True, "endpoints": []})
         for worker, zone, cell, status, size, started, host, port in parts["list"]:
             entry = interface.WorkerEntry(worker, zone, cell, status, size, started)
--- a/oliveloft/takeover/wire.py
+++ b/oliveloft/takeover/wire.py
@@ -78,20 +78,23 @@
 
 
 class WorkerConnection(msgspec.Struct, tag="Worker"):
-    """From the predecessor: the attached descriptor is an idle connection to a worker."""
+    """From the predecessor: the attached descriptor is an idle connection to a worker.
+
+    `idle_since` is on the clock that both processes share.
+    """
 
     worker: str
     idle_since: float
 
 
 class AttemptStarted(msgspec.Struct, tag="Began"):
-    """From the predecessor: it has started an attempt."""
+    """From the predecessor: it has started an attempt; `row` is what `state.out_row` returns."""
 
     row: dict[str, Any]
 
 
 class AttemptEnded(msgspec.Struct, tag="Ended"):
-    """From the predecessor: one of its attempts has ended. `took` is in seconds."""
+    """From the predecessor: one of its attempts has ended; the fields are those of `interface.Outcome`."""
 
     request: str
     number: int
--- a/tests/manage/test_operations.py
+++ b/tests/manage/test_operations.py
@@ -115,8 +115,8 @@
             assert (await idle.ask()).status == 200
             proceed = asyncio.Event()
             worker.script = once(proceed)
-            held = await gatekeeper.client()
-            held.send(Client.request("write", timeout="3.0"))
+            busy_client = await gatekeeper.client()
+            busy_client.send(Client.request("write", timeout="3.0"))
             await until(lambda: len(worker.seen) == 2)
             for _ in range(2):
                 assert (await gatekeeper.call("LEAVE")).startswith("ok ")
@@ -128,7 +128,7 @@
             async with asyncio.timeout(3):
                 assert await idle.ended()
             proceed.set()
-            assert (await held.receive()).status == 200 and await held.ended()
+            assert (await busy_client.receive()).status == 200 and await busy_client.ended()
             assert (await gatekeeper.call("JOIN")).startswith("ok ")
             assert await gatekeeper.health() == 200
             again = await (await gatekeeper.client()).ask("write")
@@ -153,15 +153,15 @@
 
 def test_the_inherited_socket_is_used_and_an_invalid_one_reported():
     async def scenario():
-        held = socket.socket()
-        held.bind(("127.0.0.1", 0))
-        held.listen(64)
+        inherited = socket.socket()
+        inherited.bind(("127.0.0.1", 0))
+        inherited.listen(64)
         discovery = await Discovery([]).start()
         configuration = config(discovery.port)
-        configuration["listen"] = f"127.0.0.1:{held.getsockname()[1]}"
-        gatekeeper = await spawn(json.dumps(configuration), accept=held)
+        configuration["listen"] = f"127.0.0.1:{inherited.getsockname()[1]}"
+        gatekeeper = await spawn(json.dumps(configuration), accept=inherited)
         await gatekeeper.listening()
-        assert gatekeeper.port == held.getsockname()[1] and await gatekeeper.health() == 503
+        assert gatekeeper.port == inherited.getsockname()[1] and await gatekeeper.health() == 503
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
         for text in ("x", "97"):
@@ -173,7 +173,7 @@
             assert await rejected.process.wait() == 2
             await rejected._reading
             assert len(rejected.log) == 1 and "PROXY_ACCEPT_FD" in rejected.log[0]
-        held.close()
+        inherited.close()
 
     run(scenario())
 
