--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -197,3 +197,18 @@
     driver.ask(after=15.0)
     assert worker.turn_interval < first / 2
     assert worker.next_turn_at - driver.now <= worker.turn_interval
+
+
+def test_request_is_decided_after_zero_latencies_and_a_worker_back_from_maintenance():
+    """Guards against a division by zero in the slow-start limit, by a shortest usual latency of 0 s.
+
+    The clock of the event loop has a resolution of 1 ms, so a latency can be measured as exactly 0 s.
+    """
+    driver = Driver()
+    serve(driver, 20, took=0.0)
+    assert driver.gateway.fleet.shortest_usual_latency == 0.0
+    for out in (True, False):
+        results = driver.give(interface.SetMaintenance("w0", out), after=1.0)
+        assert [action.known for action in results if isinstance(action, interface.MaintenanceResult)] == [True]
+    _, actions = driver.ask(after=0.01)
+    assert len(actions) == 1 and isinstance(actions[0], interface.Send | interface.Refuse)
--- a/tests/planning/test_pace.py
+++ b/tests/planning/test_pace.py
@@ -103,6 +103,16 @@
         assert estimate.decide(float(n)) == 0.0
 
 
+def test_capacity_is_finite_after_responses_with_a_total_latency_of_zero_and_a_missed_request():
+    """Guards against a division by zero in the drain fraction: one forwarder's report could make a planner raise."""
+    estimate = Estimate(0.0)
+    estimate.report(0.0, WorkerLoad("w", 8, 0.0, 0.0, 0, 1, 0))
+    first = estimate.decide(0.0)
+    estimate.report(0.0, WorkerLoad("w", 0, 0.0, 0.0, 0, 0, 0))
+    for capacity in (first, estimate.decide(0.0), estimate.shown(0.0)["pace"]):
+        assert math.isfinite(capacity) and capacity >= 0.0
+
+
 COUNT = st.integers(0, 10**6)
 AMOUNT = st.floats(0.0, 1e6)
 
