--- a/oliveloft/fleet/config.py
+++ b/oliveloft/fleet/config.py
@@ -12,9 +12,9 @@
 from micagate.membership.messages import LONGEST
 from micagate.recovery.stages import Limits
 from oliveloft.config.loading import ConfigError, address
-from oliveloft.planners.config import Table, Tls, access
+from oliveloft.planners.config import ConfigTable, Tls, parse_access
 
-MOST_MEMBERS = 1000
+MAX_MEMBERS = 1000
 T = TypeVar("T", Terms, Limits)
 
 
@@ -43,12 +43,12 @@
 
 def parse(raw: Mapping[str, Any], folder: Path) -> FleetConfig:
     """A checked configuration; files are named from the folder that the configuration is in."""
-    top = Table("fleet.toml", raw)
+    top = ConfigTable("fleet.toml", raw)
     members = _addresses("members", top.take("members", dict))
     if not members:
         raise ConfigError("members: none named")
-    if len(members) > MOST_MEMBERS:
-        raise ConfigError(f"members: {len(members)}, at most {MOST_MEMBERS}")
+    if len(members) > MAX_MEMBERS:
+        raise ConfigError(f"members: {len(members)}, at most {MAX_MEMBERS}")
     taken: dict[tuple[str, int], str] = {}
     for name, where in members.items():
         if where in taken:
@@ -58,34 +58,36 @@
     for name in listen:
         if name not in members:
             raise ConfigError(f"listen.{name}: is none of the members")
-    memory = Table("memory", top.take("memory", dict, {}))
-    kept = memory.take("folder", str, "")
-    memory.done()
-    times = _numbers(Table("times", top.take("times", dict, {})), Terms)
-    limits = _numbers(Table("recovery", top.take("recovery", dict, {})), Limits)
-    secret, tls = access(Table("access", top.take("access", dict, {})), folder)
-    top.done()
-    return FleetConfig(members, listen, str(folder / kept) if kept else "", times, limits, secret, tls)
+    memory = ConfigTable("memory", top.take("memory", dict, {}))
+    memory_folder = memory.take("folder", str, "")
+    memory.reject_unknown_keys()
+    times = _numbers(ConfigTable("times", top.take("times", dict, {})), Terms)
+    limits = _numbers(ConfigTable("recovery", top.take("recovery", dict, {})), Limits)
+    secret, tls = parse_access(ConfigTable("access", top.take("access", dict, {})), folder)
+    top.reject_unknown_keys()
+    return FleetConfig(
+        members, listen, str(folder / memory_folder) if memory_folder else "", times, limits, secret, tls
+    )
 
 
 def _addresses(table: str, raw: Mapping[str, Any]) -> dict[str, tuple[str, int]]:
-    made = {}
-    for name, where in raw.items():
+    addresses = {}
+    for name, raw_address in raw.items():
         if not 0 < len(name) <= LONGEST:
             raise ConfigError(f"{table}.{name[:64]}: a name has 1 to {LONGEST} characters")
         try:
-            made[name] = address(where)
+            addresses[name] = address(raw_address)
         except ValueError as error:
             raise ConfigError(f"{table}.{name}: {error}") from error
-    return made
+    return addresses
 
 
-def _numbers(table: Table, kind: type[T]) -> T:
-    given: dict[str, Any] = {}
-    for each in fields(kind):
-        given[each.name] = table.take(each.name, int if each.name == "full" else (int, float), each.default)
-    table.done()
+def _numbers(table: ConfigTable, kind: type[T]) -> T:
+    values: dict[str, Any] = {}
+    for field in fields(kind):
+        values[field.name] = table.take(field.name, int if field.name == "full" else (int, float), field.default)
+    table.reject_unknown_keys()
     try:
-        return kind(**given)
+        return kind(**values)
     except ValueError as error:
         raise ConfigError(f"{table.name}.{error}") from error
--- a/oliveloft/fleet/peers.py
+++ b/oliveloft/fleet/peers.py
@@ -9,58 +9,58 @@
 from micagate.membership.messages import Heartbeat, Message, RecoveryAnswer, RecoveryQuery, StateSummary, check
 from oliveloft.fleet.config import FleetConfig
 from oliveloft.planners import wire
-from oliveloft.planners.peer import Peer
+from oliveloft.planners.peer import FramedConnection
 
 log = logging.getLogger("oliveloft")
 
-CONNECT = 0.5  # seconds for a connection to come up and open
-OPENING = 2.0  # seconds that a caller may take to prove itself
-MOST_CALLERS = 256
+CONNECT_TIMEOUT_SECONDS = 0.5  # seconds for a connection to come up and open
+HANDSHAKE_TIMEOUT_SECONDS = 2.0  # seconds that a caller may take to prove itself
+MAX_UNAUTHENTICATED_CONNECTIONS = 256
 
 
-class Owner(Protocol):
+class LinkObserver(Protocol):
     """What the links tell."""
 
-    def linked(self, peer: str) -> None:
+    def link_opened(self, peer: str) -> None:
         """A link to a member stands."""
 
-    def unlinked(self, peer: str, refused: bool) -> None:
+    def link_closed(self, peer: str, refused: bool) -> None:
         """A link to a member has ended, or none could be made; `refused`: nobody listens there."""
 
-    def heard(self, peer: str, message: Message) -> None:
+    def message_received(self, peer: str, message: Message) -> None:
         """A member says something."""
 
     def status(self) -> str:
         """This member's state as JSON."""
 
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """The number of this member's life."""
 
-    def later(self, peer: str) -> Heartbeat:
+    def known_incarnation(self, peer: str) -> Heartbeat:
         """What is known of a member, for one that calls in an earlier life of it."""
 
 
-class Line(Peer):
+class MemberConnection(FramedConnection):
     """A connection to another member, whichever side made it."""
 
-    def __init__(self, peers: Peers, calls: str = "") -> None:
+    def __init__(self, peers: PeerLinks, dialed_peer: str = "") -> None:
         super().__init__()
-        self._peers, self._calls = peers, calls  # whom it calls; empty: it was accepted
+        self._peers, self._dialed_peer = peers, dialed_peer  # whom it calls; empty: it was accepted
         self.peer = ""  # once it has proved itself
-        self.life = 0  # of whoever called
+        self.incarnation = 0  # of whoever called
         self._challenge = b""
-        self.opened: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.handshake_done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Whoever was called challenges."""
         super().connection_made(transport)
-        if self._calls:
+        if self._dialed_peer:
             return
-        if not self._peers.accepts(self):
-            self.drop()
+        if not self._peers.accept(self):
+            self.abort()
             return
-        self._timer = asyncio.get_running_loop().call_later(OPENING, self.drop)
+        self._timer = asyncio.get_running_loop().call_later(HANDSHAKE_TIMEOUT_SECONDS, self.abort)
         self.send(wire.Challenge(wire.VERSION, self.nonce))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -68,33 +68,33 @@
         self.transport = None
         if self._timer is not None:
             self._timer.cancel()
-        if not self.opened.done():
-            self.opened.set_result(False)
-        self._peers.ended(self)
+        if not self.handshake_done.done():
+            self.handshake_done.set_result(False)
+        self._peers.connection_ended(self)
 
-    def wrong(self, why: str) -> None:
+    def protocol_error(self, reason: str) -> None:
         """Say why, and close."""
-        self._peers.complain(self.peer or self._calls, why)
+        self._peers.log_problem(self.peer or self._dialed_peer, reason)
         if self.transport is not None:
-            self.send(wire.Refused(why[:200]))
+            self.send(wire.Refused(reason[:200]))
             self.transport.close()
 
-    def take(self, message: wire.Message) -> None:
+    def handle_message(self, message: wire.Message) -> None:
         """A message has come."""
         if self.peer:
             if isinstance(message, Heartbeat | StateSummary | RecoveryQuery | RecoveryAnswer):
                 check(message)
-                self._peers.owner.heard(self.peer, message)
+                self._peers.observer.message_received(self.peer, message)
             elif isinstance(message, wire.Refused):
                 raise wire.WireError(f"refused: {message.why[:200]}")
             else:
                 raise wire.WireError(f"a {type(message).__name__} from a member")
-        elif self._calls:
-            self._opens(message)
+        elif self._dialed_peer:
+            self._dialer_handshake(message)
         else:
-            self._called(message)
+            self._listener_handshake(message)
 
-    def _opens(self, message: wire.Message) -> None:
+    def _dialer_handshake(self, message: wire.Message) -> None:
         peers = self._peers
         secret = peers.config.secret
         match message:
@@ -111,21 +111,21 @@
                         len(peers.config.members),
                         self.nonce,
                         wire.proof(secret, "peer", nonce, self.nonce, peers.name),
-                        ((0, peers.owner.life()),),
+                        ((0, peers.observer.incarnation()),),
                     )
                 )
             case wire.Welcome(name, proof):
-                if name != self._calls:
+                if name != self._dialed_peer:
                     raise wire.WireError(f"it is {name[:64]!r}")
                 if not wire.proved(secret, "member", self.nonce, self._challenge, name, proof):
                     raise wire.WireError("the secret is wrong")
-                self._stands(name)
+                self._handshake_complete(name)
             case wire.Refused(why):
                 raise wire.WireError(f"refused: {why[:200]}")
             case _:
                 raise wire.WireError(f"a {type(message).__name__} at the opening")
 
-    def _called(self, message: wire.Message) -> None:
+    def _listener_handshake(self, message: wire.Message) -> None:
         peers = self._peers
         if not isinstance(message, wire.Hello):
             raise wire.WireError("the opening is no Hello")
@@ -138,7 +138,7 @@
         )
         if message.role == "status":
             self.send(welcome)
-            self.send(wire.Status(peers.owner.status()))
+            self.send(wire.Status(peers.observer.status()))
             if self.transport is not None:
                 self.transport.close()
             return
@@ -149,122 +149,124 @@
         if message.forwarders != len(peers.config.members):
             raise wire.WireError(f"a file with {message.forwarders} members, here {len(peers.config.members)}")
         self.send(welcome)
-        self.life = message.epochs[0][1] if message.epochs else 0
-        before = peers.lines.get(message.name)
-        if before is not None and before.life > self.life:
+        self.incarnation = message.epochs[0][1] if message.epochs else 0
+        existing = peers.connections.get(message.name)
+        if existing is not None and existing.incarnation > self.incarnation:
             # Two processes go by one name. The later one's link stays; this one hears of it.
-            self.send(peers.owner.later(message.name))
+            self.send(peers.observer.known_incarnation(message.name))
             if self.transport is not None:
                 self.transport.close()
             return
-        self._stands(message.name)
+        self._handshake_complete(message.name)
 
-    def _stands(self, peer: str) -> None:
+    def _handshake_complete(self, peer: str) -> None:
         self.peer = peer
         self.framer.most = wire.MOST_FRAME
         if self._timer is not None:
             self._timer.cancel()
-        if not self.opened.done():
-            self.opened.set_result(True)
-        self._peers.stands(self)
+        if not self.handshake_done.done():
+            self.handshake_done.set_result(True)
+        self._peers.handshake_complete(self)
 
 
-class Peers:
+class PeerLinks:
     """All links of one member."""
 
-    def __init__(self, name: str, config: FleetConfig, owner: Owner) -> None:
-        self.name, self.config, self.owner = name, config, owner
-        self.lines: dict[str, Line] = {}
-        self._callers: set[Line] = set()
-        self._dials: dict[str, asyncio.Task[None]] = {}
-        self._complaints: dict[str, str] = {}
+    def __init__(self, name: str, config: FleetConfig, observer: LinkObserver) -> None:
+        self.name, self.config, self.observer = name, config, observer
+        self.connections: dict[str, MemberConnection] = {}
+        self._unauthenticated: set[MemberConnection] = set()
+        self._dial_tasks: dict[str, asyncio.Task[None]] = {}
+        self._logged_problems: dict[str, str] = {}
         self._server: asyncio.Server | None = None
         self._stopped = False
-        self.quiet = False  # another process has this one's name: no links are sought any more
+        self.dialing_disabled = False  # another process has this one's name: no links are sought any more
 
     async def start(self) -> None:
         """Listen. OSError where that can't be."""
         host, port = self.config.listen.get(self.name, self.config.members[self.name])
         context = self.config.tls.server() if self.config.tls else None
-        self._server = await asyncio.get_running_loop().create_server(lambda: Line(self), host, port, ssl=context)
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: MemberConnection(self), host, port, ssl=context
+        )
 
     def stop(self) -> None:
         """Close all."""
         self._stopped = True
         if self._server is not None:
             self._server.close()
-        for task in self._dials.values():
+        for task in self._dial_tasks.values():
             task.cancel()
-        for line in [*self.lines.values(), *self._callers]:
-            line.drop()
+        for connection in [*self.connections.values(), *self._unauthenticated]:
+            connection.abort()
 
     def dial(self, peer: str) -> None:
         """Make a link, unless one is being made."""
-        if peer not in self._dials and not self._stopped and not self.quiet:
-            self._dials[peer] = asyncio.get_running_loop().create_task(self._dial(peer))
+        if peer not in self._dial_tasks and not self._stopped and not self.dialing_disabled:
+            self._dial_tasks[peer] = asyncio.get_running_loop().create_task(self._dial(peer))
 
     async def _dial(self, peer: str) -> None:
-        line = Line(self, peer)
+        connection = MemberConnection(self, peer)
         host, port = self.config.members[peer]
         refused = False
         try:
-            async with asyncio.timeout(CONNECT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 context = self.config.tls.client() if self.config.tls else None
-                await asyncio.get_running_loop().create_connection(lambda: line, host, port, ssl=context)
-                if await line.opened:
+                await asyncio.get_running_loop().create_connection(lambda: connection, host, port, ssl=context)
+                if await connection.handshake_done:
                     return
         except ConnectionRefusedError:
             refused = True
         except (OSError, TimeoutError):
             pass
         finally:
-            self._dials.pop(peer, None)
-        line.drop()
-        if not self._stopped and peer not in self.lines:
-            self.owner.unlinked(peer, refused)
+            self._dial_tasks.pop(peer, None)
+        connection.abort()
+        if not self._stopped and peer not in self.connections:
+            self.observer.link_closed(peer, refused)
 
-    def accepts(self, line: Line) -> bool:
+    def accept(self, connection: MemberConnection) -> bool:
         """Whether one more caller is let in, who has not proved itself yet."""
-        if len(self._callers) >= MOST_CALLERS:
+        if len(self._unauthenticated) >= MAX_UNAUTHENTICATED_CONNECTIONS:
             return False
-        self._callers.add(line)
+        self._unauthenticated.add(connection)
         return True
 
-    def stands(self, line: Line) -> None:
+    def handshake_complete(self, connection: MemberConnection) -> None:
         """A link stands; one of the same member before it is over."""
-        self._callers.discard(line)
-        before = self.lines.get(line.peer)
-        self.lines[line.peer] = line
-        if before is not None:
-            before.drop()
-        if self._complaints.pop(line.peer, ""):
-            log.info("member %s: back", line.peer)
-        self.owner.linked(line.peer)
-
-    def ended(self, line: Line) -> None:
+        self._unauthenticated.discard(connection)
+        previous = self.connections.get(connection.peer)
+        self.connections[connection.peer] = connection
+        if previous is not None:
+            previous.abort()
+        if self._logged_problems.pop(connection.peer, ""):
+            log.info("member %s: back", connection.peer)
+        self.observer.link_opened(connection.peer)
+
+    def connection_ended(self, connection: MemberConnection) -> None:
         """A connection is over."""
-        self._callers.discard(line)
-        if line.peer and self.lines.get(line.peer) is line:
-            del self.lines[line.peer]
+        self._unauthenticated.discard(connection)
+        if connection.peer and self.connections.get(connection.peer) is connection:
+            del self.connections[connection.peer]
             if not self._stopped:
-                self.owner.unlinked(line.peer, False)
-                self.dial(line.peer)  # at once: whether its machine refuses tells why
+                self.observer.link_closed(connection.peer, False)
+                self.dial(connection.peer)  # at once: whether its machine refuses tells why
 
     def close(self, peer: str) -> None:
         """End a link that nobody needs."""
-        line = self.lines.pop(peer, None)
-        if line is not None:
-            line.drop()
-            self.owner.unlinked(peer, False)
+        connection = self.connections.pop(peer, None)
+        if connection is not None:
+            connection.abort()
+            self.observer.link_closed(peer, False)
 
     def send(self, peer: str, message: Message) -> None:
         """Say something to a neighbour; one that does not read is told again by what its digest lacks."""
-        line = self.lines.get(peer)
-        if line is not None and not line.blocked:
-            line.send(message)
+        connection = self.connections.get(peer)
+        if connection is not None and not connection.blocked:
+            connection.send(message)
 
-    def complain(self, peer: str, why: str) -> None:
+    def log_problem(self, peer: str, reason: str) -> None:
         """Log what is wrong, once until it is well again."""
-        if self._complaints.get(peer) != why:
-            self._complaints[peer] = why
-            log.warning("member %s: %s", peer or "?", why)
+        if self._logged_problems.get(peer) != reason:
+            self._logged_problems[peer] = reason
+            log.warning("member %s: %s", peer or "?", reason)
--- a/oliveloft/fleet/status.py
+++ b/oliveloft/fleet/status.py
@@ -11,7 +11,7 @@
 from oliveloft.config.loading import ConfigError
 from oliveloft.fleet.config import FleetConfig, load
 from oliveloft.planners import wire
-from oliveloft.planners.status import inquire
+from oliveloft.planners.status import query_status
 
 States = dict[str, dict[str, Any]]
 
@@ -21,7 +21,7 @@
 
     async def one(name: str) -> dict[str, Any]:
         try:
-            return await inquire("member", config.members[name], config.secret, config.tls, len(config.members))
+            return await query_status("member", config.members[name], config.secret, config.tls, len(config.members))
         except ConnectionRefusedError:
             return {"name": name, "error": "nobody listens there"}
         except (OSError, wire.WireError, TimeoutError) as error:
--- a/oliveloft/memory/memory.py
+++ b/oliveloft/memory/memory.py
@@ -19,24 +19,27 @@
 import msgspec
 
 from oliveloft.memory.files import Disk
-from oliveloft.memory.log import LOCK, PIECE, Found, Key, Log
+from oliveloft.memory.log import COPY_CHUNK_RECORDS, LOCK_FILE, Key, Log, LogContents
 
 log = logging.getLogger("oliveloft")
 
-FLUSH = 0.25  # seconds after which a record that nobody waits for is on its way
-HOLD = 3.0  # seconds that the disk may fail, or hang, before nothing on it is to be believed
-AGAIN = 1.0  # seconds between tries at a disk that fails
-LEAST, GROWN = 1 << 20, 4  # bytes, and times the last copy, from which on the log is made anew
-BATCH = 2000  # records written at once: a thread that encodes holds the interpreter
+FLUSH_INTERVAL_SECONDS = 0.25  # seconds after which a record that nobody waits for is on its way
+DISK_FAILURE_TIMEOUT_SECONDS = 3.0  # seconds that the disk may fail, or hang, before nothing on it is to be believed
+RETRY_INTERVAL_SECONDS = 1.0  # seconds between tries at a disk that fails
+MIN_COMPACTION_BYTES, COMPACTION_GROWTH_FACTOR = (
+    1 << 20,
+    4,
+)  # bytes, and times the last copy, from which on the log is made anew
+MAX_BATCH_RECORDS = 2000  # records written at once: a thread that encodes holds the interpreter
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Unusable(Exception):
+class MemoryUnavailableError(Exception):
     """A folder that no memory can be kept in; the text says why."""
 
 
-class Memory:
+class RecordStore:
     """One folder, one owner. `lost` is called when nothing on disk is to be believed any more, `again` when it is."""
 
     def __init__(
@@ -44,214 +47,227 @@
         loop: asyncio.AbstractEventLoop,
         disk: Disk,
         owner: str,
-        lost: Callable[[str], None] = lambda why: None,
-        again: Callable[[], None] = lambda: None,
+        on_lost: Callable[[str], None] = lambda why: None,
+        on_recovered: Callable[[], None] = lambda: None,
     ) -> None:
-        self._loop, self._disk, self._lost, self._again = loop, disk, lost, again
+        self._loop, self._disk, self._on_lost, self._on_recovered = loop, disk, on_lost, on_recovered
         self._log = Log(disk, owner)
-        self._writer = ThreadPoolExecutor(1, "memory")
-        self._beside = ThreadPoolExecutor(1, "memory-void")  # for when the writer hangs
-        self._live: dict[Key, msgspec.Raw] = {}  # all that holds, as it is written
+        self._write_executor = ThreadPoolExecutor(1, "memory")
+        self._void_executor = ThreadPoolExecutor(1, "memory-void")  # for when the writer hangs
+        self._current: dict[Key, msgspec.Raw] = {}  # all that holds, as it is written
         self._pending: dict[Key, msgspec.Raw | None] = {}
-        self._waiting: list[asyncio.Future[bool]] = []
-        self._busy = False
-        self._began = 0.0  # when the writer got what it has
-        self._failing: float | None = None  # since when
-        self._next_try = 0.0
-        self._copying: list[Key] | None = None  # left of a copy under way
-        self._copied = 0  # bytes of the last copy
-        self._given_up = False
-        self.believed = False  # whether what is on disk holds, and what is told to be there will be
-        self.why = "not open"
-        self.batches = self.records = 0
-        self.slowest = 0.0  # seconds of a batch
+        self._sync_waiters: list[asyncio.Future[bool]] = []
+        self._writing = False
+        self._write_started_at = 0.0  # when the writer got what it has
+        self._failing_since: float | None = None  # since when
+        self._next_retry_at = 0.0
+        self._keys_to_copy: list[Key] | None = None  # left of a copy under way
+        self._last_copy_bytes = 0  # bytes of the last copy
+        self._marked_untrusted = False
+        self.trusted = False  # whether what is on disk holds, and what is told to be there will be
+        self.unavailable_reason = "not open"
+        self.batch_count = self.record_count = 0
+        self.slowest_batch_seconds = 0.0  # seconds of a batch
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
-    async def open(self) -> Found:
+    async def open(self) -> LogContents:
         """Read what is there. Unusable where another process has the folder, or it can't be read."""
 
-        def find() -> Found:
-            if not self._disk.lock(LOCK):
-                raise Unusable("another process has it")
+        def find() -> LogContents:
+            if not self._disk.lock(LOCK_FILE):
+                raise MemoryUnavailableError("another process has it")
             return self._log.find()
 
         try:
-            found = await self._loop.run_in_executor(self._writer, find)
+            found = await self._loop.run_in_executor(self._write_executor, find)
         except OSError as error:
-            raise Unusable(error.strerror or str(error)) from error
+            raise MemoryUnavailableError(error.strerror or str(error)) from error
         return found
 
-    async def begin(self, records: dict[Key, Any]) -> bool:
+    async def rewrite(self, records: dict[Key, Any]) -> bool:
         """Hold these, and only these, from now on; whether they are on disk."""
-        self._live = {key: msgspec.Raw(_encode(value)) for key, value in records.items()}
-        rows = [(kind, key, raw) for (kind, key), raw in self._live.items()]
-        self._busy, self._began = True, time.monotonic()
+        self._current = {key: msgspec.Raw(_encode(value)) for key, value in records.items()}
+        rows = [(kind, key, raw) for (kind, key), raw in self._current.items()]
+        self._writing, self._write_started_at = True, time.monotonic()
         self._tick()
         try:
-            await self._loop.run_in_executor(self._writer, self._log.begin, rows)
+            await self._loop.run_in_executor(self._write_executor, self._log.begin, rows)
         except OSError as error:
-            self._busy = False
-            self._fails(error)
-            self.give_up(error.strerror or str(error))  # what stands there is of an earlier life
+            self._writing = False
+            self._record_failure(error)
+            self.mark_untrusted(error.strerror or str(error))  # what stands there is of an earlier life
         else:
-            self._busy = False
-            if self._given_up:
-                self._failing = self._began  # it came too late: all is written once more before it counts
+            self._writing = False
+            if self._marked_untrusted:
+                self._failing_since = (
+                    self._write_started_at
+                )  # it came too late: all is written once more before it counts
             else:
-                self.believed, self.why = True, ""
-        return self.believed
+                self.trusted, self.unavailable_reason = True, ""
+        return self.trusted
 
     def put(self, kind: str, key: str, value: Any) -> None:
         """Remember; a value of None is to be forgotten."""
         if value is None:
-            if self._live.pop((kind, key), None) is None:
+            if self._current.pop((kind, key), None) is None:
                 return
             self._pending[kind, key] = None
         else:
             raw = msgspec.Raw(_encode(value))
-            if self._live.get((kind, key)) == raw:
+            if self._current.get((kind, key)) == raw:
                 return
-            self._live[kind, key] = self._pending[kind, key] = raw
+            self._current[kind, key] = self._pending[kind, key] = raw
 
-    def keep(self, kind: str, key: str, value: Any) -> asyncio.Future[bool]:
+    def put_and_sync(self, kind: str, key: str, value: Any) -> asyncio.Future[bool]:
         """Remember; the answer is whether it is on disk."""
         self.put(kind, key, value)
-        return self.synced()
+        return self.sync()
 
-    def synced(self) -> asyncio.Future[bool]:
+    def sync(self) -> asyncio.Future[bool]:
         """Write what there is now; whether it is on disk."""
         done: asyncio.Future[bool] = self._loop.create_future()
-        if self._closed or self._failing is not None and not self.believed:
+        if self._closed or self._failing_since is not None and not self.trusted:
             done.set_result(False)
         else:
-            self._waiting.append(done)
-            self._write()
+            self._sync_waiters.append(done)
+            self._write_next_batch()
         return done
 
-    def holds(self, kind: str) -> list[str]:
+    def keys_of_kind(self, kind: str) -> list[str]:
         """The keys of a kind."""
-        return [key for each, key in self._live if each == kind]
+        return [key for record_kind, key in self._current if record_kind == kind]
 
     def __len__(self) -> int:
-        return len(self._live)
+        return len(self._current)
 
     # The thread's work, one thing at a time.
 
-    def _write(self) -> None:
-        if self._busy or self._closed or self._failing is not None:
+    def _write_next_batch(self) -> None:
+        if self._writing or self._closed or self._failing_since is not None:
             return
-        if self._copying is None and self._log.size > max(LEAST, GROWN * self._copied):
-            self._copying = list(self._live)
-            self._copied = sum(map(len, self._live.values()))
-        if not (self._pending or self._waiting or self._copying is not None):
+        if self._keys_to_copy is None and self._log.size > max(
+            MIN_COMPACTION_BYTES, COMPACTION_GROWTH_FACTOR * self._last_copy_bytes
+        ):
+            self._keys_to_copy = list(self._current)
+            self._last_copy_bytes = sum(map(len, self._current.values()))
+        if not (self._pending or self._sync_waiters or self._keys_to_copy is not None):
             return
-        keys = list(self._pending)[:BATCH]
+        keys = list(self._pending)[:MAX_BATCH_RECORDS]
         rows = [(kind, key, self._pending.pop((kind, key))) for kind, key in keys]
-        waiting: list[asyncio.Future[bool]] = []
+        waiters: list[asyncio.Future[bool]] = []
         if not self._pending:
-            waiting, self._waiting = self._waiting, []
-        piece: list[tuple[str, str, Any]] | None = None
-        if self._copying is not None:
-            taken, self._copying = self._copying[-PIECE:], self._copying[:-PIECE]
-            piece = [(*key, self._live[key]) for key in taken if key in self._live]
-        self._run(self._append, rows, piece, waiting=waiting, anew=False)
-
-    def _append(self, rows: Sequence[tuple[str, str, Any]], piece: Sequence[tuple[str, str, Any]] | None) -> None:
+            waiters, self._sync_waiters = self._sync_waiters, []
+        copy_rows: list[tuple[str, str, Any]] | None = None
+        if self._keys_to_copy is not None:
+            copied_keys, self._keys_to_copy = (
+                self._keys_to_copy[-COPY_CHUNK_RECORDS:],
+                self._keys_to_copy[:-COPY_CHUNK_RECORDS],
+            )
+            copy_rows = [(*key, self._current[key]) for key in copied_keys if key in self._current]
+        self._submit(self._write_batch, rows, copy_rows, waiters=waiters, full_rewrite=False)
+
+    def _write_batch(
+        self, rows: Sequence[tuple[str, str, Any]], copy_rows: Sequence[tuple[str, str, Any]] | None
+    ) -> None:
         if rows:
             self._log.append(rows)
-        if piece is not None:
+        if copy_rows is not None:
             if not self._log.copying:
-                self._log.start()
-            self._log.copy(piece)
-            if not piece:
-                self._log.finish()
+                self._log.start_copy()
+            self._log.copy_records(copy_rows)
+            if not copy_rows:
+                self._log.finish_copy()
         if rows:
             self._log.sync()
 
-    def _run(self, work: Callable[..., None], *words: Any, waiting: list[asyncio.Future[bool]], anew: bool) -> None:
-        self._busy, self._began = True, time.monotonic()
-        future = self._loop.run_in_executor(self._writer, work, *words)
-        future.add_done_callback(lambda done: self._done(done, len(words[0]), waiting, anew))
+    def _submit(
+        self, work: Callable[..., None], *arguments: Any, waiters: list[asyncio.Future[bool]], full_rewrite: bool
+    ) -> None:
+        self._writing, self._write_started_at = True, time.monotonic()
+        future = self._loop.run_in_executor(self._write_executor, work, *arguments)
+        future.add_done_callback(lambda done: self._write_done(done, len(arguments[0]), waiters, full_rewrite))
 
-    def _done(self, done: asyncio.Future[None], count: int, waiting: list[asyncio.Future[bool]], anew: bool) -> None:
-        self._busy = False
-        self.slowest = max(self.slowest, time.monotonic() - self._began)
+    def _write_done(
+        self, done: asyncio.Future[None], count: int, waiters: list[asyncio.Future[bool]], full_rewrite: bool
+    ) -> None:
+        self._writing = False
+        self.slowest_batch_seconds = max(self.slowest_batch_seconds, time.monotonic() - self._write_started_at)
         error = done.exception() if not done.cancelled() else asyncio.CancelledError("closed")
         if error is None:
-            self.batches += 1
-            self.records += count
-            if self._copying is not None and not self._log.copying:
-                self._copying = None
-            if anew:  # else it hung and was given up: what it has written was voided
-                self._recovered()
+            self.batch_count += 1
+            self.record_count += count
+            if self._keys_to_copy is not None and not self._log.copying:
+                self._keys_to_copy = None
+            if full_rewrite:  # else it hung and was given up: what it has written was voided
+                self._mark_recovered()
         else:
-            self._copying = None
-            self._fails(error)
-        for future in waiting:
+            self._keys_to_copy = None
+            self._record_failure(error)
+        for future in waiters:
             if not future.done():
-                future.set_result(error is None and self.believed)
+                future.set_result(error is None and self.trusted)
         if error is None:
-            self._write()
+            self._write_next_batch()
 
-    def _fails(self, error: BaseException) -> None:
-        if self._failing is None:
-            self._failing = time.monotonic()
+    def _record_failure(self, error: BaseException) -> None:
+        if self._failing_since is None:
+            self._failing_since = time.monotonic()
             log.warning("memory: %s", error)
-        self._next_try = time.monotonic() + AGAIN
-        self.why = str(error)
-        for future in self._waiting:
+        self._next_retry_at = time.monotonic() + RETRY_INTERVAL_SECONDS
+        self.unavailable_reason = str(error)
+        for future in self._sync_waiters:
             if not future.done():
                 future.set_result(False)
-        self._waiting.clear()
+        self._sync_waiters.clear()
 
-    def _recovered(self) -> None:
-        self._failing, self._given_up = None, False
-        self.why = ""
-        if not self.believed:
-            self.believed = True
+    def _mark_recovered(self) -> None:
+        self._failing_since, self._marked_untrusted = None, False
+        self.unavailable_reason = ""
+        if not self.trusted:
+            self.trusted = True
             log.info("memory: on disk again")
-            self._again()
+            self._on_recovered()
 
-    def give_up(self, why: str) -> None:
+    def mark_untrusted(self, reason: str) -> None:
         """Nothing on disk is to be believed from here on: said to the owner first, then to the disk."""
-        self.believed, self._given_up = False, True
-        self.why = why
-        self._failing = self._failing or time.monotonic()
-        self._lost(why)
-        log.warning("memory: %s; nothing of it is believed from here on", why)
-        for future in self._waiting:
+        self.trusted, self._marked_untrusted = False, True
+        self.unavailable_reason = reason
+        self._failing_since = self._failing_since or time.monotonic()
+        self._on_lost(reason)
+        log.warning("memory: %s; nothing of it is believed from here on", reason)
+        for future in self._sync_waiters:
             if not future.done():
                 future.set_result(False)
-        self._waiting.clear()
+        self._sync_waiters.clear()
 
         def void() -> None:
-            self._log.void()
+            self._log.mark_void()
 
-        done = self._loop.run_in_executor(self._beside, void)
+        done = self._loop.run_in_executor(self._void_executor, void)
         done.add_done_callback(lambda f: f.exception())  # it may fail as all else does
 
     def _tick(self) -> None:
         if self._closed:
             return
-        self._timer = self._loop.call_later(FLUSH, self._tick)
+        self._timer = self._loop.call_later(FLUSH_INTERVAL_SECONDS, self._tick)
         now = time.monotonic()
-        if self._busy:
-            if now - self._began > HOLD:
-                if self.believed:
-                    self.give_up(f"no answer of the disk for {HOLD:g} s")
-                self._failing = self._failing or self._began
+        if self._writing:
+            if now - self._write_started_at > DISK_FAILURE_TIMEOUT_SECONDS:
+                if self.trusted:
+                    self.mark_untrusted(f"no answer of the disk for {DISK_FAILURE_TIMEOUT_SECONDS:g} s")
+                self._failing_since = self._failing_since or self._write_started_at
             return
-        if self._failing is not None:
-            if self.believed and now - self._failing > HOLD:
-                self.give_up(self.why)
-            if now >= self._next_try:  # a whole copy: what the failure left is not known
-                self._next_try = now + AGAIN
-                rows = [(kind, key, raw) for (kind, key), raw in self._live.items()]
+        if self._failing_since is not None:
+            if self.trusted and now - self._failing_since > DISK_FAILURE_TIMEOUT_SECONDS:
+                self.mark_untrusted(self.unavailable_reason)
+            if now >= self._next_retry_at:  # a whole copy: what the failure left is not known
+                self._next_retry_at = now + RETRY_INTERVAL_SECONDS
+                rows = [(kind, key, raw) for (kind, key), raw in self._current.items()]
                 self._pending.clear()
-                self._run(self._log.begin, rows, waiting=[], anew=True)
+                self._submit(self._log.begin, rows, waiters=[], full_rewrite=True)
             return
-        self._write()
+        self._write_next_batch()
 
     async def close(self, last: Sequence[tuple[str, str, Any]] = ()) -> None:
         """Write what is left, and these last, and let the folder go."""
@@ -259,10 +275,10 @@
             self._timer.cancel()
         for kind, key, value in last:
             self.put(kind, key, value)
-        while self._pending and self._failing is None and not self._closed:
-            await self.synced()
+        while self._pending and self._failing_since is None and not self._closed:
+            await self.sync()
         self._closed = True
-        self._writer.shutdown(wait=False, cancel_futures=True)
-        self._beside.shutdown(wait=False, cancel_futures=True)
-        if not self._busy:
+        self._write_executor.shutdown(wait=False, cancel_futures=True)
+        self._void_executor.shutdown(wait=False, cancel_futures=True)
+        if not self._writing:
             self._log.close()
--- a/oliveloft/planners/config.py
+++ b/oliveloft/planners/config.py
@@ -14,8 +14,8 @@
 from micagate.planning.terms import Terms
 from oliveloft.config.loading import ConfigError, address
 
-MOST_FORWARDERS = 10_000
-SHORTEST_SECRET = 16
+MAX_FORWARDERS = 10_000
+MIN_SECRET_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,15 +29,15 @@
     def server(self) -> ssl.SSLContext:
         """A context that takes only peers with a certificate of the authority."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-        return self._loaded(context)
+        return self._load_certificates(context)
 
     def client(self) -> ssl.SSLContext:
         """The same for the side that connects; names are not checked, the authority is the membership."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         context.check_hostname = False
-        return self._loaded(context)
+        return self._load_certificates(context)
 
-    def _loaded(self, context: ssl.SSLContext) -> ssl.SSLContext:
+    def _load_certificates(self, context: ssl.SSLContext) -> ssl.SSLContext:
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         context.verify_mode = ssl.CERT_REQUIRED
         context.load_verify_locations(self.authority)
@@ -61,7 +61,7 @@
     paces: bool = False
 
 
-class Table:
+class ConfigTable:
     """A table of the file, whose keys are taken one by one; what is left over is an error."""
 
     def __init__(self, name: str, raw: object) -> None:
@@ -82,7 +82,7 @@
             raise ConfigError(f"{self.name}.{key}: must be {' or '.join(k.__name__ for k in kinds)}, " f"not {value!r}")
         return value
 
-    def done(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Nothing else may stand here."""
         for key in self._raw:
             near = difflib.get_close_matches(key, self._known, 1)
@@ -102,13 +102,13 @@
 
 def parse(raw: Mapping[str, Any], folder: Path) -> PlannersConfig:
     """A checked configuration; files are named from the folder that the configuration is in."""
-    top = Table("planners.toml", raw)
-    terms = _terms(Table("terms", top.take("terms", dict, {})))
-    forwarders = Table("forwarders", top.take("forwarders", dict))
+    top = ConfigTable("planners.toml", raw)
+    terms = _terms(ConfigTable("terms", top.take("terms", dict, {})))
+    forwarders = ConfigTable("forwarders", top.take("forwarders", dict))
     count = forwarders.take("count", int)
-    if not 1 <= count <= MOST_FORWARDERS:
-        raise ConfigError(f"forwarders.count: must be from 1 to {MOST_FORWARDERS}, not {count}")
-    forwarders.done()
+    if not 1 <= count <= MAX_FORWARDERS:
+        raise ConfigError(f"forwarders.count: must be from 1 to {MAX_FORWARDERS}, not {count}")
+    forwarders.reject_unknown_keys()
     planners: dict[str, tuple[str, int]] = {}
     for name, where in top.take("planners", dict).items():
         if not name or len(name) > 64 or "/" in name:
@@ -119,7 +119,7 @@
             raise ConfigError(f"planners.{name}: {error}") from error
     if not planners:
         raise ConfigError("planners: none named")
-    store = Table("store", top.take("store", dict, {}))
+    store = ConfigTable("store", top.take("store", dict, {}))
     engine = store.take("engine", str, "embedded")
     if engine not in ("embedded", "etcd"):
         raise ConfigError(f"store.engine: must be embedded or etcd, not {engine!r}")
@@ -132,12 +132,12 @@
     session = store.take("session", (int, float), 2.0)
     if not 1 <= session <= 60:
         raise ConfigError(f"store.session: must be from 1 to 60 s, not {session!r}")
-    store.done()
-    workers = Table("workers", top.take("workers", dict, {}))
+    store.reject_unknown_keys()
+    workers = ConfigTable("workers", top.take("workers", dict, {}))
     paces = workers.take("paces", bool, False)
-    workers.done()
-    secret, tls = access(Table("access", top.take("access", dict, {})), folder)
-    top.done()
+    workers.reject_unknown_keys()
+    secret, tls = parse_access(ConfigTable("access", top.take("access", dict, {})), folder)
+    top.reject_unknown_keys()
     return PlannersConfig(
         terms,
         count,
@@ -152,19 +152,19 @@
     )
 
 
-def _terms(table: Table) -> Terms:
-    given = {}
+def _terms(table: ConfigTable) -> Terms:
+    values = {}
     for field in fields(Terms):
-        whole = field.name in ("entries", "shards")
-        given[field.name] = table.take(field.name, int if whole else (int, float), field.default)
-    table.done()
+        is_integer = field.name in ("entries", "shards")
+        values[field.name] = table.take(field.name, int if is_integer else (int, float), field.default)
+    table.reject_unknown_keys()
     try:
-        return Terms(**given)
+        return Terms(**values)
     except ValueError as error:
         raise ConfigError(f"terms.{error}") from error
 
 
-def access(table: Table, folder: Path) -> tuple[bytes, Tls | None]:
+def parse_access(table: ConfigTable, folder: Path) -> tuple[bytes, Tls | None]:
     """The shared secret (empty: none) and the certificates."""
     file = table.take("secret_file", str, "")
     secret = b""
@@ -173,11 +173,11 @@
             secret = (folder / file).read_bytes().strip()
         except OSError as error:
             raise ConfigError(f"access.secret_file: {error}") from error
-        if len(secret) < SHORTEST_SECRET:
-            raise ConfigError(f"access.secret_file: {file} must hold {SHORTEST_SECRET} bytes or more")
+        if len(secret) < MIN_SECRET_BYTES:
+            raise ConfigError(f"access.secret_file: {file} must hold {MIN_SECRET_BYTES} bytes or more")
     names = [table.take(key, str, "") for key in ("certificate", "key", "authority")]
     is_open = table.take("open", bool, False)
-    table.done()
+    table.reject_unknown_keys()
     tls = None
     if any(names):
         if not all(names):
--- a/oliveloft/planners/keeper.py
+++ b/oliveloft/planners/keeper.py
@@ -17,12 +17,12 @@
 
 log = logging.getLogger("oliveloft")
 
-LOOK = 0.1  # seconds between looks at what to claim
-AGAIN = 0.3  # seconds until a failed call is tried again
-RENEWALS = 4  # in the time of a session
+CLAIM_INTERVAL_SECONDS = 0.1  # seconds between looks at what to claim
+RETRY_INTERVAL_SECONDS = 0.3  # seconds until a failed call is tried again
+RENEWALS_PER_SESSION = 4  # in the time of a session
 
 
-class Keeper:
+class StoreSession:
     """One planner's place in the store; `changed` is called with the owned shards and their epochs."""
 
     def __init__(
@@ -32,20 +32,22 @@
         address: str,
         prefix: str,
         session: float,
-        changed: Callable[[dict[int, int]], None],
+        on_ownership_changed: Callable[[dict[int, int]], None],
         now: Callable[[], float],
     ) -> None:
         self._store, self._ownership, self._address = store, ownership, address
-        self._prefix, self._ttl, self._changed, self._now = prefix, session, changed, now
+        self._prefix, self._ttl, self._on_ownership_changed, self._now = prefix, session, on_ownership_changed, now
         self._lease = 0
         self._owned: dict[int, int] = {}
-        self._reading = False  # the store's state is known
-        self.trouble = ""  # what the store's last call failed by
+        self._state_known = False  # the store's state is known
+        self.last_error = ""  # what the store's last call failed by
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         """Take a place."""
-        self._tasks = [asyncio.create_task(work()) for work in (self._session, self._follow, self._claim)]
+        self._tasks = [
+            asyncio.create_task(work()) for work in (self._maintain_lease, self._watch_store, self._run_transfers)
+        ]
 
     async def stop(self) -> None:
         """Give up the place, so that others need not wait for the session's end."""
@@ -56,17 +58,17 @@
             with contextlib.suppress(StoreError):
                 await self._store.revoke(self._lease)
 
-    def _failed(self, error: StoreError) -> None:
-        if not self.trouble:
+    def _record_failure(self, error: StoreError) -> None:
+        if not self.last_error:
             log.warning("store: %s; what is owned stays owned, trying again", error)
-        self.trouble = str(error) or type(error).__name__
+        self.last_error = str(error) or type(error).__name__
 
-    def _well(self) -> None:
-        if self.trouble:
+    def _record_success(self) -> None:
+        if self.last_error:
             log.info("store: back")
-        self.trouble = ""
+        self.last_error = ""
 
-    async def _session(self) -> None:
+    async def _maintain_lease(self) -> None:
         """Have a lease, and a member's entry under it."""
         while True:
             try:
@@ -80,13 +82,13 @@
                     log.warning("store: the session has ended; beginning anew")
                     self._lease = 0  # the watch has told, or will tell, that what was owned under it is gone
                     continue
-                self._well()
-                await asyncio.sleep(self._ttl / RENEWALS)
+                self._record_success()
+                await asyncio.sleep(self._ttl / RENEWALS_PER_SESSION)
             except StoreError as error:
-                self._failed(error)
-                await asyncio.sleep(AGAIN)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
-    async def _follow(self) -> None:
+    async def _watch_store(self) -> None:
         """Know the store's state: read it, then watch, and read again after any break."""
         while True:
             try:
@@ -102,18 +104,18 @@
                     ],
                 )
                 for entry in snapshot.entries:
-                    self._seen(now, entry.key, entry.value, entry.modified)
-                self._reading = True
-                self._tell()
+                    self._apply_entry(now, entry.key, entry.value, entry.modified)
+                self._state_known = True
+                self._notify_ownership()
                 async for changes in self._store.watch(self._prefix, snapshot.revision):
                     for change in changes:
-                        self._seen(self._now(), change.key, change.value, change.modified)
-                    self._tell()
+                        self._apply_entry(self._now(), change.key, change.value, change.modified)
+                    self._notify_ownership()
             except StoreError as error:
-                self._failed(error)
-                await asyncio.sleep(AGAIN)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
-    def _seen(self, now: float, key: str, value: str | None, modified: int) -> None:
+    def _apply_entry(self, now: float, key: str, value: str | None, modified: int) -> None:
         kind, _, name = key.removeprefix(self._prefix).partition("/")
         if kind == "members":
             self._ownership.member(now, name, value is not None)
@@ -130,39 +132,39 @@
         except (ValueError, KeyError, TypeError) as error:
             log.warning("store: %s holds nonsense: %r", key, error)
 
-    def _tell(self) -> None:
+    def _notify_ownership(self) -> None:
         owned = self._ownership.owned()
         if owned != self._owned:
             self._owned = owned
-            self._changed(dict(owned))
+            self._on_ownership_changed(dict(owned))
 
-    async def _claim(self) -> None:
+    async def _run_transfers(self) -> None:
         """Try what should be claimed or given up."""
         while True:
-            await asyncio.sleep(LOOK)
-            if not self._lease or not self._reading:
+            await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
+            if not self._lease or not self._state_known:
                 continue
-            for wish in self._ownership.wishes(self._now()):
+            for transfer in self._ownership.wishes(self._now()):
                 try:
-                    await self._try(wish)
+                    await self._commit_transfer(transfer)
                 except StoreError as error:
-                    self._failed(error)
-                    await asyncio.sleep(AGAIN)
+                    self._record_failure(error)
+                    await asyncio.sleep(RETRY_INTERVAL_SECONDS)
                     break
 
-    async def _try(self, wish: Claim | Release) -> None:
-        key, now = f"{self._prefix}owners/{wish.shard}", self._now()
-        if isinstance(wish, Release):
-            if await self._store.commit({key: wish.modified}, [], [key]) is not None:
-                self._ownership.owner(now, wish.shard, None)
-                self._tell()
+    async def _commit_transfer(self, transfer: Claim | Release) -> None:
+        key, now = f"{self._prefix}owners/{transfer.shard}", self._now()
+        if isinstance(transfer, Release):
+            if await self._store.commit({key: transfer.modified}, [], [key]) is not None:
+                self._ownership.owner(now, transfer.shard, None)
+                self._notify_ownership()
             return
-        value = json.dumps({"planner": self._ownership.name, "epoch": wish.epoch})
-        epochs = f"{self._prefix}epochs/{wish.shard}"
+        value = json.dumps({"planner": self._ownership.name, "epoch": transfer.epoch})
+        epoch_key = f"{self._prefix}epochs/{transfer.shard}"
         revision = await self._store.commit(
-            {key: 0, epochs: wish.modified}, [Put(key, value, self._lease), Put(epochs, str(wish.epoch))]
+            {key: 0, epoch_key: transfer.modified}, [Put(key, value, self._lease), Put(epoch_key, str(transfer.epoch))]
         )
         if revision is not None:
-            self._ownership.owner(now, wish.shard, Owner(self._ownership.name, wish.epoch, revision))
-            self._ownership.epoch(wish.shard, wish.epoch, revision)
-            self._tell()
+            self._ownership.owner(now, transfer.shard, Owner(self._ownership.name, transfer.epoch, revision))
+            self._ownership.epoch(transfer.shard, transfer.epoch, revision)
+            self._notify_ownership()
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -16,18 +16,18 @@
 from micagate.planning.ownership import shard_of
 from oliveloft.planners import wire
 from oliveloft.planners.config import PlannersConfig
-from oliveloft.planners.peer import Peer
+from oliveloft.planners.peer import FramedConnection
 
 log = logging.getLogger("oliveloft")
 
-TICK = 0.05  # seconds between looks at what is due
-PULSE = 1.0  # seconds between signs of life, which tell the epochs heard of
-SILENT = 2.5  # seconds after which a planner that says nothing is taken for gone
-BACKOFF, LONGEST_BACKOFF = 0.1, 1.0  # seconds between tries to connect
-CONNECT = 1.0  # seconds for a connection to come up and open
+TICK_SECONDS = 0.05  # seconds between looks at what is due
+PULSE_INTERVAL_SECONDS = 1.0  # seconds between signs of life, which tell the epochs heard of
+PLANNER_TIMEOUT_SECONDS = 2.5  # seconds after which a planner that says nothing is taken for gone
+INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 1.0  # seconds between tries to connect
+CONNECT_TIMEOUT_SECONDS = 1.0  # seconds for a connection to come up and open
 
 
-class Decisions(Protocol):
+class ShareConsumer(Protocol):
     """What the links need of the dispatcher."""
 
     def apply_shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
@@ -38,31 +38,31 @@
         workers."""
 
 
-class _Line(Peer):
+class _PlannerConnection(FramedConnection):
     """A connection to one planner."""
 
-    def __init__(self, link: _Link) -> None:
+    def __init__(self, link: _PlannerLink) -> None:
         super().__init__()
         self._link = link
         self._challenge = b""
-        self.pulsed = 0.0
-        self.open = False
+        self.pulse_sent_at = 0.0
+        self.is_open = False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self._link.lost(self, str(exc or "closed"))
+        self._link.connection_lost(self, str(exc or "closed"))
 
-    def take(self, message: wire.Message) -> None:
-        if self.open:
-            self._link.links.take(self._link.name, message)
+    def handle_message(self, message: wire.Message) -> None:
+        if self.is_open:
+            self._link.links.handle_message(self._link.name, message)
         else:
-            self._opening(message)
+            self._handshake(message)
 
-    def wrong(self, why: str) -> None:
-        self._link.complain(why)
-        self.drop()
+    def protocol_error(self, reason: str) -> None:
+        self._link.log_problem(reason)
+        self.abort()
 
-    def _opening(self, message: wire.Message) -> None:
+    def _handshake(self, message: wire.Message) -> None:
         links = self._link.links
         match message:
             case wire.Challenge(version, nonce):
@@ -88,24 +88,24 @@
                 secret = links.config.secret
                 if not wire.proved(secret, "planner", self.nonce, self._challenge, planner, proof):
                     raise wire.WireError("the secret is wrong")
-                self.open = True
+                self.is_open = True
                 links.planners[planner] = links.now() - age
                 self.framer.most = wire.MOST_FRAME
-                self._link.opened()
+                self._link.handshake_complete()
             case wire.Refused(why):
                 raise wire.WireError(f"refused: {why[:200]}")
             case _:
                 raise wire.WireError(f"a {type(message).__name__} at the opening")
 
 
-class _Link:
+class _PlannerLink:
     """The way to one planner, connected again and again."""
 
-    def __init__(self, links: Links, name: str, where: tuple[str, int]) -> None:
-        self.links, self.name, self._where = links, name, where
-        self.line: _Line | None = None
-        self._pause = BACKOFF
-        self._complaint = ""
+    def __init__(self, links: Links, name: str, address: tuple[str, int]) -> None:
+        self.links, self.name, self._address = links, name, address
+        self.connection: _PlannerConnection | None = None
+        self._backoff = INITIAL_BACKOFF_SECONDS
+        self._logged_problem = ""
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -113,53 +113,53 @@
         self._task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
-        line = self.line = _Line(self)
-        host, port = self._where
+        connection = self.connection = _PlannerConnection(self)
+        host, port = self._address
         try:
-            async with asyncio.timeout(CONNECT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 context = self.links.config.tls.client() if self.links.config.tls else None
-                await asyncio.get_running_loop().create_connection(lambda: line, host, port, ssl=context)
+                await asyncio.get_running_loop().create_connection(lambda: connection, host, port, ssl=context)
         except (OSError, TimeoutError) as error:
-            self.lost(line, f"cannot connect: {error or 'timed out'}")
+            self.connection_lost(connection, f"cannot connect: {error or 'timed out'}")
 
-    def opened(self) -> None:
-        self._pause = BACKOFF
-        if self._complaint:
+    def handshake_complete(self) -> None:
+        self._backoff = INITIAL_BACKOFF_SECONDS
+        if self._logged_problem:
             log.info("planner %s: back", self.name)
-        self._complaint = ""
+        self._logged_problem = ""
 
-    def complain(self, why: str) -> None:
+    def log_problem(self, reason: str) -> None:
         """Log what is wrong, once until the planner is back."""
-        if why != self._complaint:
-            log.warning("planner %s: %s", self.name, why)
-        self._complaint = why
+        if reason != self._logged_problem:
+            log.warning("planner %s: %s", self.name, reason)
+        self._logged_problem = reason
 
-    def lost(self, line: _Line, why: str) -> None:
-        if line is not self.line:
+    def connection_lost(self, connection: _PlannerConnection, reason: str) -> None:
+        if connection is not self.connection:
             return
-        self.line = None
-        if not self._complaint:
-            self.complain(why)
-        self.links.lost(self.name)
+        self.connection = None
+        if not self._logged_problem:
+            self.log_problem(reason)
+        self.links.planner_disconnected(self.name)
         # Spread out: all forwarders lose a planner at the same moment.
-        pause = self._pause * random.uniform(0.5, 1.5)
-        self._timer = asyncio.get_running_loop().call_later(pause, self.start)
-        self._pause = min(LONGEST_BACKOFF, 2 * self._pause)
+        delay = self._backoff * random.uniform(0.5, 1.5)
+        self._timer = asyncio.get_running_loop().call_later(delay, self.start)
+        self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
 
     def stop(self) -> None:
         for handle in (self._task, self._timer):
             if handle is not None:
                 handle.cancel()
-        line, self.line = self.line, None
-        if line is not None:
-            line.drop()
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.abort()
 
 
 class Links:
     """All of a forwarder's links."""
 
-    def __init__(self, name: str, index: int, config: PlannersConfig, decisions: Decisions, born: float) -> None:
-        self.name, self.index, self.config, self._decisions = name, index, config, decisions
+    def __init__(self, name: str, index: int, config: PlannersConfig, decisions: ShareConsumer, born: float) -> None:
+        self.name, self.index, self.config, self._share_consumer = name, index, config, decisions
         shards = config.terms.shards
         cache: dict[str, int] = {}
 
@@ -175,16 +175,16 @@
             config.terms, index, config.forwarders, born, first_session=random.getrandbits(52), shard_of=shard
         )
         self._demands = Demands(born)
-        self._links = {planner: _Link(self, planner, where) for planner, where in config.planners.items()}
-        self._owned: dict[str, set[int]] = {}
+        self._links = {planner: _PlannerLink(self, planner, where) for planner, where in config.planners.items()}
+        self._owned_shards: dict[str, set[int]] = {}
         self.planners: dict[str, float] = {}  # when each began its present life, as far as it has told
         # Asked before loans are promised up to a time: whether that is on record. A report waits where it is not.
         self.records: Callable[[float], bool] = lambda until: True
         # Asked whether what an earlier life lent is surely back: with a memory that may be known sooner.
         self.over: Callable[[float], bool] = lambda now: False
-        self._surveyed = 0.0
+        self._demand_reported_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._soon = False
+        self._flush_scheduled = False
 
     @staticmethod
     def now() -> float:
@@ -208,14 +208,14 @@
     @property
     def open(self) -> int:
         """How many planners can be spoken to."""
-        return sum(link.line is not None and link.line.open for link in self._links.values())
+        return sum(link.connection is not None and link.connection.is_open for link in self._links.values())
 
     async def ready(self) -> None:
         """Wait until what an earlier life of this forwarder may have lent is surely back."""
         while not (self.holder.ready(self.now()) or self.over(self.now())):
             await asyncio.sleep(0.05)
 
-    def take(self, planner: str, message: wire.Message) -> None:
+    def handle_message(self, planner: str, message: wire.Message) -> None:
         """A planner has said something."""
         now = self.now()
         match message:
@@ -225,9 +225,9 @@
                     self._flush_soon()
             case wire.Owned(shards):
                 owned = {shard for shard, _ in shards}
-                for shard in self._owned.get(planner, set()) - owned:
+                for shard in self._owned_shards.get(planner, set()) - owned:
                     self.holder.planner_deposed(now, planner, shard)
-                self._owned[planner] = owned
+                self._owned_shards[planner] = owned
                 for shard, epoch in shards:
                     self.holder.planner_elected(now, planner, shard, epoch)
             case RestartSession(shard, session):
@@ -237,15 +237,15 @@
             case _:
                 raise wire.WireError(f"a {type(message).__name__} from a planner")
 
-    def lost(self, planner: str) -> None:
+    def planner_disconnected(self, planner: str) -> None:
         """A planner's connection has ended."""
-        self._owned.pop(planner, None)
+        self._owned_shards.pop(planner, None)
         self.holder.planner_disconnected(self.now(), planner)
 
     def _flush_soon(self) -> None:
         """Answer what a planner said in this round of the loop, once."""
-        if not self._soon:
-            self._soon = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
@@ -253,37 +253,39 @@
 
         What is lent must be out of use here before a planner hears of it: so shares go first.
         """
-        self._soon = False
+        self._flush_scheduled = False
         now = self.now()
         blocked = {
-            name for name, link in self._links.items() if link.line is None or not link.line.open or link.line.blocked
+            name
+            for name, link in self._links.items()
+            if link.connection is None or not link.connection.is_open or link.connection.blocked
         }
         for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
-            self.holder.record_released(event.session, self._decisions.apply_shares(event))
+            self.holder.record_released(event.session, self._share_consumer.apply_shares(event))
         if not self.records(now + self.config.terms.term * (1 + 3 * self.config.terms.drift)):
             return  # what is reported renews loans: not beyond what a next life would know of
         for planner, report in self.holder.reports(now, blocked):
-            line = self._links[planner].line
-            if line is not None:
-                line.send(report)
+            connection = self._links[planner].connection
+            if connection is not None:
+                connection.send(report)
 
     def _tick(self) -> None:
-        self._timer = self._loop.call_later(TICK, self._tick)
+        self._timer = self._loop.call_later(TICK_SECONDS, self._tick)
         now = self.now()
-        if now - self._surveyed >= self.config.terms.interval / 2:
-            self._surveyed = now
-            seen = self._decisions.demand_report(self.config.paces)
-            self.holder.demand(now, self._demands.survey(now, seen.resources))
-            self.holder.record_worker_loads(seen.workers)
+        if now - self._demand_reported_at >= self.config.terms.interval / 2:
+            self._demand_reported_at = now
+            report = self._share_consumer.demand_report(self.config.paces)
+            self.holder.demand(now, self._demands.survey(now, report.resources))
+            self.holder.record_worker_loads(report.workers)
         self._flush()
         for link in self._links.values():
-            line = link.line
-            if line is None or not line.open:
+            connection = link.connection
+            if connection is None or not connection.is_open:
                 continue
-            if now - line.heard > SILENT:
-                link.complain("silent")
-                line.drop()
-            elif now - line.pulsed > PULSE and not line.blocked:
+            if now - connection.last_received_at > PLANNER_TIMEOUT_SECONDS:
+                link.log_problem("silent")
+                connection.abort()
+            elif now - connection.pulse_sent_at > PULSE_INTERVAL_SECONDS and not connection.blocked:
                 # However busy the line is: a planner that claims shards has to know the epochs.
-                line.pulsed = now
-                line.send(wire.Pulse(tuple(self.holder.epochs().items())))
+                connection.pulse_sent_at = now
+                connection.send(wire.Pulse(tuple(self.holder.epochs().items())))
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -15,22 +15,26 @@
 from oliveloft.config.loading import ConfigError
 from oliveloft.planners import wire
 from oliveloft.planners.config import PlannersConfig
-from oliveloft.planners.keeper import Keeper
-from oliveloft.planners.peer import Peer
+from oliveloft.planners.keeper import StoreSession
+from oliveloft.planners.peer import FramedConnection
 from oliveloft.store.etcd import Etcd
 from oliveloft.store.interface import Store
 
 log = logging.getLogger("oliveloft")
 
-TICK = 0.05  # seconds between looks at what is due
-SOON = 0.004  # seconds after a report in which others are waited for, so that one decision serves them all
-TELL = 0.5  # seconds between two tellings of what is owned, which also show that the planner is there
-SILENT = 3.0  # seconds after which a peer that says nothing is dropped
-OPENING = 2.0  # seconds that a peer may take to prove itself
-MOST_SEATS = 2048
+TICK_SECONDS = 0.05  # seconds between looks at what is due
+DECISION_DELAY_SECONDS = (
+    0.004  # seconds after a report in which others are waited for, so that one decision serves them all
+)
+OWNERSHIP_INTERVAL_SECONDS = (
+    0.5  # seconds between two tellings of what is owned, which also show that the planner is there
+)
+PEER_TIMEOUT_SECONDS = 3.0  # seconds after which a peer that says nothing is dropped
+HANDSHAKE_TIMEOUT_SECONDS = 2.0  # seconds that a peer may take to prove itself
+MAX_CONNECTIONS = 2048
 
 
-class Seat(Peer):
+class ClientConnection(FramedConnection):
     """A peer's connection: a forwarder's, or one that asks for the status."""
 
     def __init__(self, planner: Planner) -> None:
@@ -42,24 +46,24 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Challenge."""
         super().connection_made(transport)
-        if self._planner.joined(self):
+        if self._planner.connection_opened(self):
             self.send(wire.Challenge(wire.VERSION, self.nonce))
         else:
-            self.drop()
+            self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Gone."""
         self.transport = None
-        self._planner.left(self)
+        self._planner.connection_lost(self)
 
-    def take(self, message: wire.Message) -> None:
+    def handle_message(self, message: wire.Message) -> None:
         """A message of the peer."""
         if not self.role:
-            self._open(message)
+            self._handshake(message)
         else:
-            self._planner.take(self, message)
+            self._planner.handle_message(self, message)
 
-    def _open(self, message: wire.Message) -> None:
+    def _handshake(self, message: wire.Message) -> None:
         if not isinstance(message, wire.Hello):
             raise wire.WireError("the opening is no Hello")
         if message.version != wire.VERSION:
@@ -69,26 +73,26 @@
             raise wire.WireError("the secret is wrong")
         if message.role not in ("forwarder", "status"):
             raise wire.WireError(f"role {message.role[:20]!r}")
-        self._planner.opened(self, message)
+        self._planner.handshake_complete(self, message)
         self.framer.most = wire.MOST_FRAME
         self.send(
             wire.Welcome(
                 self._planner.name,
                 wire.proof(secret, "planner", message.nonce, self.nonce, self._planner.name),
-                self._planner.age(),
+                self._planner.uptime(),
             )
         )
         if message.role == "status":
             self.send(wire.Status(json.dumps(self._planner.status())))
         else:
-            self._planner.tell(self)
+            self._planner.send_ownership(self)
 
-    def wrong(self, why: str) -> None:
+    def protocol_error(self, reason: str) -> None:
         """Say why, and close; the log has it once for each peer and reason."""
         if self.transport is not None:
-            where = self.transport.get_extra_info("peername")
-            self._planner.complain(self.name or (where[0] if where else "?"), why)
-            self.send(wire.Refused(why[:200]))
+            address = self.transport.get_extra_info("peername")
+            self._planner.log_problem(self.name or (address[0] if address else "?"), reason)
+            self.send(wire.Refused(reason[:200]))
             self.transport.close()
 
 
@@ -99,28 +103,28 @@
         self.name, self.config = name, config
         self._ownership = Ownership(name, config.terms.shards)
         self._ledgers: dict[int, Ledger] = {}
-        self._seats: set[Seat] = set()
-        self._forwarders: dict[str, Seat] = {}
-        self._complaints: set[tuple[str, str]] = set()
-        self._soon: asyncio.TimerHandle | None = None
-        self._told_at = 0.0
-        self.plan_time = 0.0  # seconds spent in deciding
-        self._began = self.now()
+        self._connections: set[ClientConnection] = set()
+        self._forwarders: dict[str, ClientConnection] = {}
+        self._logged_problems: set[tuple[str, str]] = set()
+        self._decision_timer: asyncio.TimerHandle | None = None
+        self._ownership_sent_at = 0.0
+        self.planning_seconds = 0.0  # seconds spent in deciding
+        self._started_at = self.now()
         host, port = config.planners[name]
-        self._keeper = Keeper(
-            store, self._ownership, f"{host}:{port}", config.prefix, config.session, self._owns, self.now
+        self._store_session = StoreSession(
+            store, self._ownership, f"{host}:{port}", config.prefix, config.session, self._ownership_changed, self.now
         )
         self._server: asyncio.Server | None = None
-        self._ticking: asyncio.TimerHandle | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
 
     @staticmethod
     def now() -> float:
         """This planner's clock: monotonic, and read anew at each look, also after a pause."""
         return time.monotonic()
 
-    def age(self) -> float:
+    def uptime(self) -> float:
         """Seconds that this planner is up."""
-        return self.now() - self._began
+        return self.now() - self._started_at
 
     async def start(self) -> None:
         """Listen, and take a place in the store."""
@@ -128,26 +132,26 @@
         host, port = self.config.planners[self.name]
         context = self.config.tls.server() if self.config.tls else None
         try:
-            self._server = await self._loop.create_server(lambda: Seat(self), host, port, ssl=context)
+            self._server = await self._loop.create_server(lambda: ClientConnection(self), host, port, ssl=context)
         except OSError as error:
             raise ConfigError(f"planners.{self.name}: {error.strerror or error}") from error
-        self._keeper.start()
+        self._store_session.start()
         self._tick()
 
     async def stop(self) -> None:
         """Give up the shards and close."""
-        await self._keeper.stop()
-        for handle in (self._ticking, self._soon):
+        await self._store_session.stop()
+        for handle in (self._tick_timer, self._decision_timer):
             if handle is not None:
                 handle.cancel()
         if self._server is not None:
             self._server.close()
-        for seat in list(self._seats):
-            seat.drop()
+        for connection in list(self._connections):
+            connection.abort()
 
     # Ownership.
 
-    def _owns(self, owned: dict[int, int]) -> None:
+    def _ownership_changed(self, owned: dict[int, int]) -> None:
         now = self.now()
         for shard in [s for s, ledger in self._ledgers.items() if owned.get(s) != ledger.epoch]:
             del self._ledgers[shard]
@@ -155,30 +159,30 @@
             if shard not in self._ledgers:
                 self._ledgers[shard] = Ledger(self.config.terms, shard, epoch, self.config.forwarders, now)
         log.info("owns %d of %d shards", len(owned), self.config.terms.shards)
-        self._tell_all()
+        self._send_ownership_to_all()
 
-    def _tell_all(self) -> None:
-        self._told_at = self.now()
-        for seat in self._forwarders.values():
-            self.tell(seat)
+    def _send_ownership_to_all(self) -> None:
+        self._ownership_sent_at = self.now()
+        for connection in self._forwarders.values():
+            self.send_ownership(connection)
 
-    def tell(self, seat: Seat) -> None:
+    def send_ownership(self, connection: ClientConnection) -> None:
         """Tell a forwarder what this planner owns."""
-        if not seat.blocked:
-            seat.send(wire.Owned(tuple((shard, ledger.epoch) for shard, ledger in self._ledgers.items())))
+        if not connection.blocked:
+            connection.send(wire.Owned(tuple((shard, ledger.epoch) for shard, ledger in self._ledgers.items())))
 
     # Peers.
 
-    def joined(self, seat: Seat) -> bool:
+    def connection_opened(self, connection: ClientConnection) -> bool:
         """A connection has come up; False where there are too many."""
-        if len(self._seats) >= MOST_SEATS:
-            self.complain("connections", f"more than {MOST_SEATS}")
+        if len(self._connections) >= MAX_CONNECTIONS:
+            self.log_problem("connections", f"more than {MAX_CONNECTIONS}")
             return False
-        self._seats.add(seat)
-        self._loop.call_later(OPENING, lambda: None if seat.role else seat.drop())
+        self._connections.add(connection)
+        self._loop.call_later(HANDSHAKE_TIMEOUT_SECONDS, lambda: None if connection.role else connection.abort())
         return True
 
-    def opened(self, seat: Seat, hello: wire.Hello) -> None:
+    def handshake_complete(self, connection: ClientConnection, hello: wire.Hello) -> None:
         """A peer has proved itself."""
         if hello.role == "forwarder":
             if hello.forwarders != self.config.forwarders:
@@ -189,41 +193,41 @@
                 )
             if not 0 <= hello.index < self.config.forwarders or not 0 < len(hello.name) <= 64:
                 raise wire.WireError(f"no forwarder {hello.name[:64]!r} with the number {hello.index}")
-            seat.name, seat.index = hello.name, hello.index
-            before = self._forwarders.get(hello.name)
-            if before is not None:
-                before.drop()  # an earlier life, or a connection that broke unseen
-                self._leave(hello.name)
-            self._forwarders[hello.name] = seat
-            self._heard(hello.epochs)
-        seat.role = hello.role
-
-    def left(self, seat: Seat) -> None:
+            connection.name, connection.index = hello.name, hello.index
+            previous = self._forwarders.get(hello.name)
+            if previous is not None:
+                previous.abort()  # an earlier life, or a connection that broke unseen
+                self._forwarder_left(hello.name)
+            self._forwarders[hello.name] = connection
+            self._record_epochs(hello.epochs)
+        connection.role = hello.role
+
+    def connection_lost(self, connection: ClientConnection) -> None:
         """A connection is gone."""
-        self._seats.discard(seat)
-        if self._forwarders.get(seat.name) is seat:
-            del self._forwarders[seat.name]
-            self._leave(seat.name)
+        self._connections.discard(connection)
+        if self._forwarders.get(connection.name) is connection:
+            del self._forwarders[connection.name]
+            self._forwarder_left(connection.name)
 
-    def _leave(self, name: str) -> None:
+    def _forwarder_left(self, name: str) -> None:
         for ledger in self._ledgers.values():
             ledger.forwarder_left(self.now(), name)
 
-    def _heard(self, epochs: tuple[tuple[int, int], ...]) -> None:
+    def _record_epochs(self, epochs: tuple[tuple[int, int], ...]) -> None:
         for shard, epoch in epochs:
             if 0 <= shard < self.config.terms.shards and 0 <= epoch < 1 << 62:
                 self._ownership.heard(shard, epoch)
 
-    def complain(self, who: str, why: str) -> None:
+    def log_problem(self, source: str, reason: str) -> None:
         """Log a complaint once."""
-        if (who, why) not in self._complaints:
-            if len(self._complaints) < 256:
-                self._complaints.add((who, why))
-            log.warning("%s: %s", who, why)
+        if (source, reason) not in self._logged_problems:
+            if len(self._logged_problems) < 256:
+                self._logged_problems.add((source, reason))
+            log.warning("%s: %s", source, reason)
 
-    def take(self, seat: Seat, message: wire.Message) -> None:
+    def handle_message(self, connection: ClientConnection, message: wire.Message) -> None:
         """A message of a peer that has proved itself."""
-        if seat.role != "forwarder":
+        if connection.role != "forwarder":
             raise wire.WireError("nothing more is taken on a status connection")
         match message:
             case Report():
@@ -231,39 +235,39 @@
                 ledger = self._ledgers.get(message.shard)
                 if ledger is None or ledger.epoch != message.epoch:
                     return  # it will hear of the owner
-                again = ledger.report(self.now(), seat.name, seat.index, message)
-                if again is not None:
-                    seat.send(again)
-                elif self._soon is None:
-                    self._soon = self._loop.call_later(SOON, self._decide)
+                restart = ledger.report(self.now(), connection.name, connection.index, message)
+                if restart is not None:
+                    connection.send(restart)
+                elif self._decision_timer is None:
+                    self._decision_timer = self._loop.call_later(DECISION_DELAY_SECONDS, self._decide)
             case wire.Pulse(epochs):
-                self._heard(epochs)
+                self._record_epochs(epochs)
             case _:
                 raise wire.WireError(f"a {type(message).__name__} from a forwarder")
 
     # Deciding.
 
     def _decide(self) -> None:
-        self._soon = None
-        blocked = {name for name, seat in self._forwarders.items() if seat.blocked}
+        self._decision_timer = None
+        blocked = {name for name, connection in self._forwarders.items() if connection.blocked}
         began = time.perf_counter()
         for ledger in self._ledgers.values():
-            for name, word in ledger.pending_updates(self.now(), blocked):
-                seat = self._forwarders.get(name)
-                if seat is not None:
-                    seat.send(word)
-        self.plan_time += time.perf_counter() - began
+            for name, update in ledger.pending_updates(self.now(), blocked):
+                connection = self._forwarders.get(name)
+                if connection is not None:
+                    connection.send(update)
+        self.planning_seconds += time.perf_counter() - began
 
     def _tick(self) -> None:
-        self._ticking = self._loop.call_later(TICK, self._tick)
+        self._tick_timer = self._loop.call_later(TICK_SECONDS, self._tick)
         now = self.now()
-        if self._soon is None:
+        if self._decision_timer is None:
             self._decide()
-        if now - self._told_at >= TELL:
-            self._tell_all()
-            for seat in list(self._seats):
-                if now - seat.heard > SILENT and seat.role:
-                    seat.drop()
+        if now - self._ownership_sent_at >= OWNERSHIP_INTERVAL_SECONDS:
+            self._send_ownership_to_all()
+            for connection in list(self._connections):
+                if now - connection.last_received_at > PEER_TIMEOUT_SECONDS and connection.role:
+                    connection.abort()
 
     # What can be seen.
 
@@ -274,15 +278,15 @@
         workers: dict[str, dict[str, float]] = {}
         forwarders: dict[str, dict[str, Any]] = {
             name: {
-                "number": seat.index,
-                "heard_s": round(now - seat.heard, 3),
+                "number": connection.index,
+                "heard_s": round(now - connection.last_received_at, 3),
                 "report_s": None,
                 "grants": 0,
                 "granted": 0.0,
-                "bytes": seat.read + seat.sent,
-                "blocked": seat.blocked,
+                "bytes": connection.bytes_received + connection.bytes_sent,
+                "blocked": connection.blocked,
             }
-            for name, seat in self._forwarders.items()
+            for name, connection in self._forwarders.items()
         }
         for shard, ledger in sorted(self._ledgers.items()):
             shards[str(shard)] = {
@@ -313,9 +317,9 @@
                 forwarders[name]["report_s"] = round(age if known is None else min(age, known), 3)
         return {
             "planner": self.name,
-            "up_s": round(now - self._began, 1),
-            "store": self._keeper.trouble or "ok",
-            "plan_s": round(self.plan_time, 3),
+            "up_s": round(now - self._started_at, 1),
+            "store": self._store_session.last_error or "ok",
+            "plan_s": round(self.planning_seconds, 3),
             "shards": shards,
             "forwarders": forwarders,
             "workers": workers,
@@ -327,12 +331,12 @@
 
 async def serve(name: str, config: PlannersConfig) -> int:
     """Run a planner until a signal; the exit status. The first of the planners hosts an embedded store."""
-    standin = None
+    embedded_store = None
     if config.embedded and name == next(iter(config.planners)):
         from rig.etcd import EtcdStandIn
 
         try:
-            standin = await EtcdStandIn(int(config.endpoints[0].rpartition(":")[2])).start()
+            embedded_store = await EtcdStandIn(int(config.endpoints[0].rpartition(":")[2])).start()
         except (OSError, ValueError) as error:
             raise ConfigError(f"store.endpoints: {error}") from error
     store = Etcd(config.endpoints)
@@ -349,6 +353,6 @@
         await planner.stop()
     finally:
         await store.close()
-        if standin is not None:
-            await standin.stop()
+        if embedded_store is not None:
+            await embedded_store.stop()
     return 0
--- a/oliveloft/planners/status.py
+++ b/oliveloft/planners/status.py
@@ -11,19 +11,19 @@
 from oliveloft.planners import wire
 from oliveloft.planners.config import PlannersConfig, Tls, load
 
-PATIENCE = 2.0  # seconds for a planner to answer
+QUERY_TIMEOUT_SECONDS = 2.0  # seconds for a planner to answer
 
 
-async def ask(name: str, config: PlannersConfig) -> dict[str, Any]:
+async def query_planner(name: str, config: PlannersConfig) -> dict[str, Any]:
     """One planner's state; WireError or OSError where it can't be had."""
-    return await inquire("planner", config.planners[name], config.secret, config.tls, config.forwarders)
+    return await query_status("planner", config.planners[name], config.secret, config.tls, config.forwarders)
 
 
-async def inquire(side: str, where: tuple[str, int], secret: bytes, tls: Tls | None, count: int) -> dict[str, Any]:
+async def query_status(side: str, where: tuple[str, int], secret: bytes, tls: Tls | None, count: int) -> dict[str, Any]:
     """The state of whoever listens there, a `planner` or a `member`; WireError or OSError where it can't be had."""
     host, port = where
     context = tls.client() if tls else None
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection(host, port, ssl=context)
         framer = wire.Framer()
         framer.most = 16 * 1024 * 1024
@@ -58,7 +58,7 @@
 
     async def one(name: str) -> dict[str, Any]:
         try:
-            return await ask(name, config)
+            return await query_planner(name, config)
         except (OSError, wire.WireError, TimeoutError) as error:
             return {"planner": name, "error": str(error) or "no answer in time"}
 
--- a/oliveloft/store/etcd.py
+++ b/oliveloft/store/etcd.py
@@ -12,18 +12,18 @@
 
 from oliveloft.store.interface import Change, Compacted, Entry, Put, Snapshot, StoreError
 
-MOST = 4 * 1024 * 1024  # bytes of an answer or of a line of a watch
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024  # bytes of an answer or of a line of a watch
 
 
-def _text(raw: str) -> str:
+def _decode(raw: str) -> str:
     return base64.b64decode(raw).decode()
 
 
-def _coded(text: str) -> str:
+def _encode(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
 
 
-def _after(prefix: str) -> str:
+def _prefix_end(prefix: str) -> str:
     """The first key that comes after all that begin so."""
     raw = prefix.encode()
     return base64.b64encode(raw[:-1] + bytes([raw[-1] + 1])).decode()
@@ -39,7 +39,7 @@
         self._timeout = timeout
         self._session: aiohttp.ClientSession | None = None
 
-    def _client(self) -> aiohttp.ClientSession:
+    def _http_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=32))
         return self._session
@@ -49,10 +49,10 @@
         why = "no endpoint"
         for endpoint in list(self._endpoints):
             try:
-                async with self._client().post(
+                async with self._http_session().post(
                     endpoint + path, json=body, timeout=aiohttp.ClientTimeout(total=self._timeout)
                 ) as answer:
-                    raw = await answer.content.read(MOST)
+                    raw = await answer.content.read(MAX_RESPONSE_BYTES)
                     made = json.loads(raw)
                     if answer.status != 200:
                         raise StoreError(f"{path}: {answer.status} {str(made)[:200]}")
@@ -92,11 +92,11 @@
 
     async def read(self, prefix: str) -> Snapshot:
         """All keys that begin so."""
-        body = {"key": _coded(prefix), "range_end": _after(prefix)}
+        body = {"key": _encode(prefix), "range_end": _prefix_end(prefix)}
         made = await self._post("/v3/kv/range", body, repeat=True)
         try:
             entries = tuple(
-                Entry(_text(kv["key"]), _text(kv.get("value", "")), int(kv["mod_revision"]))
+                Entry(_decode(kv["key"]), _decode(kv.get("value", "")), int(kv["mod_revision"]))
                 for kv in made.get("kvs", ())
             )
             return Snapshot(int(made["header"]["revision"]), entries)
@@ -108,14 +108,14 @@
     ) -> int | None:
         """Write all or nothing."""
         compare = [
-            {"key": _coded(key), "target": "MOD", "result": "EQUAL", "mod_revision": str(modified)}
+            {"key": _encode(key), "target": "MOD", "result": "EQUAL", "mod_revision": str(modified)}
             for key, modified in expect.items()
         ]
         success: list[dict[str, Any]] = [
-            {"request_put": {"key": _coded(put.key), "value": _coded(put.value), "lease": str(put.lease)}}
+            {"request_put": {"key": _encode(put.key), "value": _encode(put.value), "lease": str(put.lease)}}
             for put in puts
         ]
-        success += [{"request_delete_range": {"key": _coded(key)}} for key in deletes]
+        success += [{"request_delete_range": {"key": _encode(key)}} for key in deletes]
         made = await self._post("/v3/kv/txn", {"compare": compare, "success": success})
         try:
             return int(made["header"]["revision"]) if made.get("succeeded") else None
@@ -126,8 +126,8 @@
         """The changes under a prefix after a revision."""
         body = {
             "create_request": {
-                "key": _coded(prefix),
-                "range_end": _after(prefix),
+                "key": _encode(prefix),
+                "range_end": _prefix_end(prefix),
                 "start_revision": str(after + 1),
                 "progress_notify": True,
             }
@@ -135,10 +135,10 @@
         why = "no endpoint"
         for endpoint in list(self._endpoints):
             try:
-                async with self._client().post(
+                async with self._http_session().post(
                     endpoint + "/v3/watch",
                     json=body,
-                    read_bufsize=MOST,
+                    read_bufsize=MAX_RESPONSE_BYTES,
                     timeout=aiohttp.ClientTimeout(total=None, sock_connect=self._timeout),
                 ) as answer:
                     if answer.status != 200:
@@ -167,8 +167,8 @@
         changes = []
         for event in result.get("events", ()):
             kv = event["kv"]
-            value = None if event.get("type") == "DELETE" else _text(kv.get("value", ""))
-            changes.append(Change(_text(kv["key"]), value, int(kv["mod_revision"])))
+            value = None if event.get("type") == "DELETE" else _decode(kv.get("value", ""))
+            changes.append(Change(_decode(kv["key"]), value, int(kv["mod_revision"])))
         return changes
 
     async def close(self) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -13,7 +13,7 @@
 import pytest
 
 from oliveloft.memory.files import PlainDisk
-from oliveloft.memory.log import NAME, Log
+from oliveloft.memory.log import LOG_FILE_PATTERN, Log
 from rig.capacity import Capacity
 from rig.fake_servers import Client, spawn, until
 from rig.installation import free_port
@@ -321,7 +321,7 @@
             await load.run(2.0, settle=False)
             fleet.kill(0)
             await fleet.dead(0)
-            (name,) = [name for name in os.listdir(fleet.folder(0)) if NAME.fullmatch(name)]
+            (name,) = [name for name in os.listdir(fleet.folder(0)) if LOG_FILE_PATTERN.fullmatch(name)]
             path = fleet.folder(0) / name
             data = bytearray(path.read_bytes())
             data[len(data) // 2] ^= 0x10
--- a/tests/memory/test_log.py
+++ b/tests/memory/test_log.py
@@ -5,7 +5,7 @@
 import pytest
 
 from oliveloft.memory.files import PlainDisk
-from oliveloft.memory.log import STATE, Log
+from oliveloft.memory.log import STATE_FILE, Log
 from rig.disks import Broken, Knobs, Memory
 
 
@@ -28,7 +28,7 @@
     log.close()
     found = Log(PlainDisk(str(tmp_path)), "g1").find()
     assert found.records == {("ban", "w1"): [2, "in"]}
-    assert (found.owner, found.torn, found.spoilt, found.void) == ("g1", False, "", False)
+    assert (found.owner, found.torn, found.damage, found.voided) == ("g1", False, "", False)
 
 
 def test_a_cut_at_any_time_leaves_all_that_was_synced_and_only_what_was_written():
@@ -44,14 +44,14 @@
                 log.sync()
                 promised = dict(written)
             if random.random() < 0.1:  # a copy under way, that may never come to its end
-                log.start()
-                log.copy([("k", str(key), value) for key, value in written.items()])
+                log.start_copy()
+                log.copy_records([("k", str(key), value) for key, value in written.items()])
                 if random.random() < 0.5:
-                    log.finish()
+                    log.finish_copy()
                     promised = dict(written)
         disk.power(random)
         _, found = opened(Broken(below))
-        assert not found.spoilt, (seed, found)
+        assert not found.damage, (seed, found)
         for key, value in promised.items():
             assert found.records[("k", str(key))] >= value, (seed, key)
         assert all(value <= written[int(key)] for (_, key), value in found.records.items())
@@ -72,7 +72,7 @@
             below.files[name][at] ^= 1 << bit
             found = Log(below, "g1").find()
             assert all(value == int(key) for (_, key), value in found.records.items())
-            assert found.spoilt, (at, bit)
+            assert found.damage, (at, bit)
             named += 1
             for other in [other for other in below.files if other != name and ".log" in other]:
                 del below.files[other]
@@ -86,7 +86,7 @@
     (name,) = [name for name in below.files if name.endswith(".log")]
     below.files[name] += bytes(4096)
     found = Log(below, "g1").find()
-    assert found.records == {("k", "1"): 1} and found.torn and not found.spoilt
+    assert found.records == {("k", "1"): 1} and found.torn and not found.damage
 
 
 def test_a_neighbour_s_files_are_named_and_set_aside_and_not_lost():
@@ -122,23 +122,23 @@
     knobs.room = 0
     with pytest.raises(OSError, match="full"):
         log.append([("k", "2", 2)])
-    log.void()
+    log.mark_void()
     _, found = opened(Broken(below))
-    assert found.void and found.records == {("k", "1"): 1}
+    assert found.voided and found.records == {("k", "1"): 1}
 
 
 def test_a_void_log_is_believed_again_only_once_a_new_one_is_whole():
     below = Memory()
     disk = Broken(below)
     log = begun(disk, [("mark", "c", 5)])
-    log.void()
-    log.start()
-    log.copy([("mark", "c", 1)])
+    log.mark_void()
+    log.start_copy()
+    log.copy_records([("mark", "c", 1)])
     disk.power(Random(1))
     log, found = opened(below)
-    assert found.void
+    assert found.voided
     log.begin([])
-    assert below.files[STATE][:4] == b"good" and not Log(below, "g1").find().void
+    assert below.files[STATE_FILE][:4] == b"good" and not Log(below, "g1").find().voided
 
 
 def test_a_read_only_disk_says_so(tmp_path):
--- a/tests/memory/test_memory.py
+++ b/tests/memory/test_memory.py
@@ -8,25 +8,25 @@
 from oliveloft.memory import memory as module
 from oliveloft.memory.files import PlainDisk
 from oliveloft.memory.log import Log
-from oliveloft.memory.memory import Memory, Unusable
+from oliveloft.memory.memory import MemoryUnavailableError, RecordStore
 from rig.disks import Broken, Knobs
 from rig.fake_servers import run, until
 
 
 async def started(folder, knobs=None, **told):
-    memory = Memory(asyncio.get_running_loop(), Broken(PlainDisk(str(folder)), knobs or Knobs()), "g1", **told)
+    memory = RecordStore(asyncio.get_running_loop(), Broken(PlainDisk(str(folder)), knobs or Knobs()), "g1", **told)
     found = await memory.open()
-    await memory.begin(found.records)
+    await memory.rewrite(found.records)
     return memory, found
 
 
 def test_what_is_kept_is_on_disk_when_told_and_the_rest_soon(tmp_path):
     async def scenario():
         memory, _ = await started(tmp_path)
-        assert await memory.keep("ban", "w", [1, "out"])
+        assert await memory.put_and_sync("ban", "w", [1, "out"])
         assert Log(PlainDisk(str(tmp_path)), "g1").find().records == {("ban", "w"): [1, "out"]}
         memory.put("core", "", {"pace": 3.0})
-        await asyncio.sleep(3 * module.FLUSH)
+        await asyncio.sleep(3 * module.FLUSH_INTERVAL_SECONDS)
         assert Log(PlainDisk(str(tmp_path)), "g1").find().records[("core", "")] == {"pace": 3.0}
         await memory.close([("life", "", {"end": "asked"})])
         assert Log(PlainDisk(str(tmp_path)), "g1").find().records[("life", "")] == {"end": "asked"}
@@ -37,7 +37,7 @@
 def test_the_folder_is_one_process_s(tmp_path):
     async def scenario():
         memory, _ = await started(tmp_path)
-        with pytest.raises(Unusable, match="another process"):
+        with pytest.raises(MemoryUnavailableError, match="another process"):
             await started(tmp_path)
         await memory.close()
 
@@ -50,7 +50,7 @@
         memory, _ = await started(tmp_path, knobs)
         knobs.sync_takes = 0.6
         began = time.monotonic()
-        waiting = [memory.keep("k", str(n), n) for n in range(500)]
+        waiting = [memory.put_and_sync("k", str(n), n) for n in range(500)]
         longest, last = 0.0, time.monotonic()
         while not all(f.done() for f in waiting):
             await asyncio.sleep(0.002)
@@ -63,24 +63,24 @@
 
 
 def test_a_disk_that_fails_is_given_up_voided_and_taken_up_again(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "HOLD", 0.4)
-    monkeypatch.setattr(module, "AGAIN", 0.2)
+    monkeypatch.setattr(module, "DISK_FAILURE_TIMEOUT_SECONDS", 0.4)
+    monkeypatch.setattr(module, "RETRY_INTERVAL_SECONDS", 0.2)
 
     async def scenario():
         knobs, told = Knobs(), []
-        memory, _ = await started(tmp_path, knobs, lost=told.append, again=lambda: told.append("again"))
-        assert await memory.keep("k", "1", 1)
+        memory, _ = await started(tmp_path, knobs, on_lost=told.append, on_recovered=lambda: told.append("again"))
+        assert await memory.put_and_sync("k", "1", 1)
         knobs.room = 0
-        assert not await memory.keep("k", "2", 2)
+        assert not await memory.put_and_sync("k", "2", 2)
         await until(lambda: len(told) == 1)
-        assert "full" in told[0] and not memory.believed
-        await until(lambda: Log(PlainDisk(str(tmp_path)), "g1").find().void)
-        assert not await memory.keep("k", "3", 3)
+        assert "full" in told[0] and not memory.trusted
+        await until(lambda: Log(PlainDisk(str(tmp_path)), "g1").find().voided)
+        assert not await memory.put_and_sync("k", "3", 3)
         knobs.room = -1
         await until(lambda: told[1:] == ["again"])
-        assert await memory.keep("k", "4", 4)
+        assert await memory.put_and_sync("k", "4", 4)
         found = Log(PlainDisk(str(tmp_path)), "g1").find()
-        assert not found.void and set(found.records) == {("k", str(n)) for n in (1, 2, 3, 4)}
+        assert not found.voided and set(found.records) == {("k", str(n)) for n in (1, 2, 3, 4)}
         await memory.close()
 
     run(scenario())
@@ -93,28 +93,28 @@
         log.begin([("mark", "c", 1)])
         log.close()
         knobs = Knobs(room=0)
-        memory = Memory(asyncio.get_running_loop(), Broken(PlainDisk(str(tmp_path)), knobs), "g1")
+        memory = RecordStore(asyncio.get_running_loop(), Broken(PlainDisk(str(tmp_path)), knobs), "g1")
         found = await memory.open()
-        assert not found.void and not await memory.begin(found.records)
-        await until(lambda: Log(PlainDisk(str(tmp_path)), "g1").find().void)
+        assert not found.voided and not await memory.rewrite(found.records)
+        await until(lambda: Log(PlainDisk(str(tmp_path)), "g1").find().voided)
         knobs.room = -1
-        await until(lambda: memory.believed)
-        assert not Log(PlainDisk(str(tmp_path)), "g1").find().void
+        await until(lambda: memory.trusted)
+        assert not Log(PlainDisk(str(tmp_path)), "g1").find().voided
         await memory.close()
 
     run(scenario())
 
 
 def test_a_disk_that_hangs_is_given_up_though_it_says_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "HOLD", 0.4)
+    monkeypatch.setattr(module, "DISK_FAILURE_TIMEOUT_SECONDS", 0.4)
 
     async def scenario():
         knobs, told = Knobs(), []
-        memory, _ = await started(tmp_path, knobs, lost=lambda why: told.append(why))
+        memory, _ = await started(tmp_path, knobs, on_lost=lambda why: told.append(why))
         knobs.sync_takes = 1.5
-        waiting = memory.keep("k", "1", 1)
+        waiting = memory.put_and_sync("k", "1", 1)
         await until(lambda: told)
-        assert "no answer" in told[0] and not memory.believed
+        assert "no answer" in told[0] and not memory.trusted
         assert not await waiting  # on disk in the end, but nobody is to rely on it any more
         knobs.sync_takes = 0.0
         await asyncio.sleep(1.5)
@@ -124,24 +124,26 @@
 
 
 def test_the_log_is_made_anew_while_records_come_and_loses_none(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "LEAST", 20_000)
-    monkeypatch.setattr(module, "GROWN", 1)
-    monkeypatch.setattr(module, "FLUSH", 0.01)
+    monkeypatch.setattr(module, "MIN_COMPACTION_BYTES", 20_000)
+    monkeypatch.setattr(module, "COMPACTION_GROWTH_FACTOR", 1)
+    monkeypatch.setattr(module, "FLUSH_INTERVAL_SECONDS", 0.01)
 
     async def scenario():
         memory, _ = await started(tmp_path)
         disk = PlainDisk(str(tmp_path))
         end = 0
-        while end < 4000 or Log(disk, "g1").find().number <= 2:  # how many copies it takes depends on the disk's pace
+        while (
+            end < 4000 or Log(disk, "g1").find().file_number <= 2
+        ):  # how many copies it takes depends on the disk's pace
             for n in range(end, end + 50):
                 memory.put("k", str(n % 900), n)
             end += 50
-            await memory.synced()
+            await memory.sync()
         for n in range(0, 900, 3):
             memory.put("k", str(n), None)
-        assert await memory.synced()
+        assert await memory.sync()
         found = Log(disk, "g1").find()
-        assert found.number > 2 and not found.spoilt
+        assert found.file_number > 2 and not found.damage
         assert found.records == {("k", str(n % 900)): n for n in range(end - 900, end) if (n % 900) % 3}
         await memory.close()
 
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -18,7 +18,7 @@
 from oliveloft.planners.config import load
 from oliveloft.planners.link import Links
 from oliveloft.planners.planner import Planner
-from oliveloft.planners.status import ask
+from oliveloft.planners.status import query_planner
 from oliveloft.store.etcd import Etcd
 from rig.etcd import EtcdStandIn
 from rig.fake_servers import run, until
@@ -235,7 +235,9 @@
             wrong = settings(tmp_path, config.planners["p1"][1], config.endpoints[0], secret="not that secret at all")
             links = Links("f2", 2, wrong, Nothing(), -100.0)
             links.start()
-            await until(lambda: sum(seat.read > 0 for seat in made._seats) or complaints(caplog))
+            await until(
+                lambda: sum(connection.bytes_received > 0 for connection in made._connections) or complaints(caplog)
+            )
             await asyncio.sleep(0.5)  # some more tries
             assert links.open == 0 and "f2" not in made._forwarders
             assert len([line for line in complaints(caplog) if line.startswith("planner p1")]) <= 2
@@ -269,19 +271,19 @@
         async with planner(tmp_path) as (made, config):
             writer, read = await open_line(config)
             await until(lambda: "f0" in made._forwarders)
-            seat = made._forwarders["f0"]
-            seat.pause_writing()  # as the transport says once its bound is reached
+            connection = made._forwarders["f0"]
+            connection.pause_writing()  # as the transport says once its bound is reached
             ledger = made._ledgers[0]
             ledger.report(made.now(), "f0", 0, Report(0, ledger.epoch, 1, 1, 0, 0.0, (Need("k", 0, 3, 0.1),)))
             ledger.report(made.now(), "f1", 1, Report(0, ledger.epoch, 2, 1, 0, 0.0, (Need("k", 0, 3, 1.0),)))
-            sent = seat.sent
+            sent = connection.bytes_sent
             for _ in range(20):
                 made._decide()
-                made._tell_all()
-            assert seat.sent == sent
-            seat.resume_writing()
+                made._send_ownership_to_all()
+            assert connection.bytes_sent == sent
+            connection.resume_writing()
             made._decide()
-            assert seat.sent > sent  # what added up goes out at once, and once
+            assert connection.bytes_sent > sent  # what added up goes out at once, and once
             writer.close()
 
     run(scenario())
@@ -330,14 +332,14 @@
 
     async def scenario():
         async with planner(tmp_path, access=good) as (made, config):
-            assert (await ask("p1", config))["planner"] == "p1"
+            assert (await query_planner("p1", config))["planner"] == "p1"
             links = Links("f0", 0, config, Nothing(), -100.0)
             links.start()
             await until(lambda: links.open == 1)
             links.stop()
             wrong = settings(tmp_path, config.planners["p1"][1], config.endpoints[0], access=bad)
             with pytest.raises((OSError, wire.WireError)):
-                await ask("p1", wrong)
+                await query_planner("p1", wrong)
             reader, writer = await asyncio.open_connection(*config.planners["p1"])
             writer.write(wire.encode(wire.Hello(1, "status", "s", 0, 3, b"", b"")))
             with contextlib.suppress(ConnectionError):
