--- a/oliveloft/fleet/__init__.py
+++ b/oliveloft/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A gatekeeper among others that it knows, with a memory: the world round `micagate.membership` and `recovery`."""
+"""A gatekeeper as a cluster member: sockets and disk for `micagate.membership` and `micagate.recovery`."""
--- a/oliveloft/fleet/config.py
+++ b/oliveloft/fleet/config.py
@@ -1,4 +1,4 @@
-"""`deploy/fleet.toml`, checked key by key: the gatekeepers that know each other, and what each remembers."""
+"""Loads and checks `deploy/fleet.toml`: the members of the cluster and where each stores its records."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """A checked configuration; times are seconds. `listen` has members that listen elsewhere than where others call."""
+    """A checked configuration; times are seconds.
+
+    `listen` has the members that listen at another address than the one that peers connect to. `folder` is where
+    records are stored; empty: nowhere.
+    """
 
     members: dict[str, tuple[str, int]]
     listen: dict[str, tuple[str, int]]
@@ -32,7 +36,7 @@
 
 
 def load(path: str) -> FleetConfig:
-    """The configuration in a file."""
+    """Load a configuration file. ConfigError where it cannot be read or is invalid."""
     try:
         with open(path, "rb") as file:
             raw = tomllib.load(file)
@@ -42,22 +46,22 @@
 
 
 def parse(raw: Mapping[str, Any], folder: Path) -> FleetConfig:
-    """A checked configuration; files are named from the folder that the configuration is in."""
+    """Check a parsed configuration; paths in it are relative to `folder`. ConfigError where it is invalid."""
     top = ConfigTable("fleet.toml", raw)
     members = _addresses("members", top.take("members", dict))
     if not members:
-        raise ConfigError("members: none named")
+        raise ConfigError("members: must name at least one member")
     if len(members) > MAX_MEMBERS:
         raise ConfigError(f"members: {len(members)}, at most {MAX_MEMBERS}")
     taken: dict[tuple[str, int], str] = {}
     for name, where in members.items():
         if where in taken:
-            raise ConfigError(f"members.{name}: {where[0]}:{where[1]} is {taken[where]}'s already")
+            raise ConfigError(f"members.{name}: {where[0]}:{where[1]} is already the address of {taken[where]}")
         taken[where] = name
     listen = _addresses("listen", top.take("listen", dict, {}))
     for name in listen:
         if name not in members:
-            raise ConfigError(f"listen.{name}: is none of the members")
+            raise ConfigError(f"listen.{name}: is not one of the members")
     memory = ConfigTable("memory", top.take("memory", dict, {}))
     memory_folder = memory.take("folder", str, "")
     memory.reject_unknown_keys()
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -1,7 +1,8 @@
-"""A gatekeeper as a member: its memory, its links, and its start in stages. It decides nothing of its own.
+"""Runs a gatekeeper as a cluster member: its record store, its links to other members and its start in stages.
 
-`remember` reads the disk, `opens` waits until clients may come; after that each look carries marks and rows to the disk
-and what members say to the decisions.
+`remember` reads the disk and `opens` waits until clients may be served. After that each periodic tick writes
+high-water marks and changed state to the disk and passes what other members report to the gateway. The rules
+themselves are in `micagate.membership` and `micagate.recovery`; this module only connects them to disk and sockets.
 """
 
 from __future__ import annotations
@@ -42,29 +43,29 @@
 
 log = logging.getLogger("oliveloft")
 
-STARTUP_TICK_SECONDS = 0.02  # seconds between looks at links and stages while clients wait
-SERVING_TICK_SECONDS = 0.1  # ... and at links and what has changed once they are served
-URGENT_MARK_INTERVAL_SECONDS, MARK_INTERVAL_SECONDS = (
-    0.02,
-    0.1,
-)  # seconds between looks for marks that somebody waits for, and for those that can wait
-SLOW_START_INTERVAL_SECONDS = 0.1  # ... for workers that have warmed
-IDLE_MARKS_PER_SECOND = 200  # marks looked at in a second, whether they say anything
-OPERATOR_CALL_TIMEOUT_SECONDS = (
-    0.8  # seconds that an operator's call waits for the disk: it is owed an answer within one
-)
-MAX_REPORTED_WORKERS = 200  # of which a member that comes back is told
-LEASE_RECORD_AHEAD_SECONDS = 0.3  # seconds that loans on record reach beyond what was asked for
+STARTUP_TICK_SECONDS = 0.02  # interval of link and stage checks while clients wait for the start
+SERVING_TICK_SECONDS = 0.1  # interval of link and state checks once clients are served
+# Interval of checks for high-water marks that a request waits for, and of writes of those that can wait.
+URGENT_MARK_INTERVAL_SECONDS, MARK_INTERVAL_SECONDS = 0.02, 0.1
+SLOW_START_INTERVAL_SECONDS = 0.1  # interval of checks for workers that have finished slow start
+IDLE_MARKS_PER_SECOND = 200  # high-water marks checked each second for removal as idle
+OPERATOR_CALL_TIMEOUT_SECONDS = 0.8  # wait for the disk in an operator's call, which must be answered within 1 s
+MAX_REPORTED_WORKERS = 200  # workers included in the answer to a recovering member
+LEASE_RECORD_AHEAD_SECONDS = 0.3  # how far the recorded lease expiry is put beyond the requested one
+# Record kinds on disk.
 FACT, INCARNATION, BOOT, MARK, SEEN, DRAIN, LEASES = "fact", "life", "boot", "mark", "seen", "drain", "loans"
-MAINTENANCE = "ban"
-UNKNOWN_AGE_SECONDS = 1e9  # seconds: longer than anything is kept
+MAINTENANCE = "ban"  # kind of the fact that takes a worker out of service or returns it
+UNKNOWN_AGE_SECONDS = 1e9  # age of persisted state without a timestamp; older than any retention period
 
-# Opens a folder as a disk: for tests, which put a broken one in its place.
+# Opens a folder as a disk. Tests replace it to inject disk faults.
 open_disk: Callable[[str], files.Disk] = files.PlainDisk
 
 
 class Member:
-    """One member's process."""
+    """One gatekeeper process as a member of the cluster.
+
+    Times are seconds on the event loop's clock unless a name says Unix time.
+    """
 
     def __init__(
         self,
@@ -79,12 +80,12 @@
     ) -> None:
         self._loop, self.name, self.fleet = loop, name, fleet
         self._gateway, self._dispatcher, self._presence = gateway, dispatcher, presence
-        self._clock_offset, self._settings = offset, settings  # of the loop's clock to Unix time
+        self._clock_offset, self._settings = offset, settings  # Unix time minus loop time
         self._longest_deadline = max(klass.deadline for klass in settings.classes)
-        self._void_incarnations: dict[str, int] = {}  # of others, that said that their memory is not to be believed
+        self._void_incarnations: dict[str, int] = {}  # peer -> incarnation whose record store is voided
         self._random = Random()
         self.memory: RecordStore | None = None
-        self.memory_unavailable_reason = "none is set" if not fleet.folder else ""  # why there is no memory
+        self.memory_unavailable_reason = "none is set" if not fleet.folder else ""
         self._loaded = LogContents()
         self._boot_id = ""
         self._started_at = loop.time()
@@ -99,23 +100,27 @@
         self._state_walk: Walk | None = None
         self._open_event = asyncio.Event()
         self._opening = False
-        self._restored_workers: dict[str, None] = {}  # workers that have turned up and were not looked up yet
+        self._restored_workers: dict[str, None] = {}  # workers whose state was restored, as an ordered set
         self._slow_start_updated_at = self._idle_marks_swept_at = self._marks_written_at = 0.0
-        self._leases_recorded_until = 0.0  # until when loans are on record, on this clock
+        self._leases_recorded_until = 0.0  # lease expiry that is on disk
         self._leases_requested_until = 0.0
-        self.planner_start_times: Callable[[], dict[str, float] | None] = lambda: None  # None: there are none
+        # Start time of each planner's process; None where no planners are configured.
+        self.planner_start_times: Callable[[], dict[str, float] | None] = lambda: None
         self._worker_list_ready: Callable[[], bool] = lambda: True
         self._stopped = False
         self.longest_step_seconds = 0.0
 
-    # The start.
+    # Start.
 
     def unix_time(self) -> float:
-        """Unix time."""
+        """Return the current Unix time in seconds."""
         return time.time()
 
     async def remember(self) -> None:
-        """Read the disk, take up what holds whatever the others say, and listen. OSError where that can't be."""
+        """Load the record store, restore state that needs no confirmation by peers, and start to listen.
+
+        Raises OSError where the listening address cannot be bound.
+        """
         now = self._loop.time()
         if self.fleet.folder:
             await self._load_memory()
@@ -126,7 +131,7 @@
             if kind == FACT and (fact := _parse_fact(key, value)) is not None
         ]
         last = self._last_incarnation_number()
-        # Never one that was: above the last on disk, and by the clock and chance where there is none.
+        # A number that was never used before: above the last one on disk, and by clock and chance without a disk.
         boot = max(last + 1, int(self.unix_time() * 1000) * 1024 + self._random.randrange(1024))
         self.members = members = Members(
             self.name,
@@ -173,10 +178,10 @@
         await self._peer_links.start()
         self._tick()
         log.info(
-            "fleet: %s, life %d, %s, ended %s",
+            "fleet: %s, incarnation %d, %s, previous end: %s",
             self.name,
             boot,
-            f"memory of {len(self._loaded.records)} records"
+            f"{len(self._loaded.records)} records in memory"
             if not self.memory_unavailable_reason
             else f"no memory: {self.memory_unavailable_reason}",
             self._previous_end().value,
@@ -205,7 +210,7 @@
         return row if isinstance(row, dict) and self._loaded.owner == self.name else {}
 
     def _last_incarnation_number(self) -> int:
-        """The last life that the disk tells of."""
+        """Return the highest incarnation number recorded on disk, 0 if there is none."""
         own = self._loaded.owner == self.name
         return max(
             _int_or_zero(self._loaded.records.get((BOOT, ""))) if own else 0,
@@ -223,7 +228,7 @@
         return End.KILLED if life["machine"] == self._boot_id else End.POWER
 
     def _assess_start(self, peers: Peers) -> Case:
-        """The circumstances of this start."""
+        """Return the circumstances of this start: state of the disk, previous end, answers of peers."""
         loaded = self._loaded
         if not loaded.records:
             disk = Disk.NONE
@@ -251,16 +256,15 @@
         )
 
     def _evaluate_answers(self) -> None:
-        """The others have answered, or not: what is believed is made up now."""
+        """Decide which persisted state to use, once the peers have answered or timed out."""
         assert self._recovery_queries is not None and self.members is not None
         now = self._loop.time()
         age = self._assess_start(Peers.OPEN).age
         self._peer_answers = answers = self._recovery_queries.told(now, age if age < UNKNOWN_AGE_SECONDS else None)
         answered = bool(answers.stayed or answers.back)
         self._recovery_case = case = self._assess_start(Peers.AGREE if answered else Peers.SILENT)
-        if (
-            self.members.duplicate_name
-        ):  # an earlier life had a higher number: the clock was stepped back, or the disk is old
+        # An earlier incarnation had a higher number: the clock was set back, or the disk is outdated.
+        if self.members.duplicate_name:
             self.members.raise_incarnation(self.members.duplicate_incarnation + 1)
             if self.memory is not None:
                 self.memory.put(BOOT, "", self.members.incarnation)
@@ -277,21 +281,21 @@
         )
 
     def _to_loop_time(self, key: tuple[str, str], value: Any) -> Any:
-        """A row with its Unix time on this clock."""
+        """Return a record's value with its Unix time converted to loop time."""
         kind, _ = key
         if kind in ("account", "worker") and isinstance(value, list) and value and isinstance(value[0], int | float):
             return [min(value[0] - self._clock_offset, self._loop.time()), *value[1:]]
         return value
 
     def _restored_marks(self, now: float) -> Marks:
-        """The marks that this life begins with."""
+        """Return the high-water marks of ceilings that this incarnation begins with."""
         life = self._previous_incarnation()
         verdict = judge(Kind.CEILINGS, self._recovery_case)
         born, offset = life.get("born"), life.get("offset")
         if verdict.way is not Way.TAKEN or not isinstance(born, int | float) or not isinstance(offset, int | float):
             return Marks(now)
         if life.get("machine") == self._boot_id and self._boot_id:
-            shift = 0.0  # one clock, that nobody sets
+            shift = 0.0  # same boot: the loop's monotonic clock has continued
         elif (
             (self._peer_answers.stayed or self._peer_answers.back)
             and not self._peer_answers.stepped
@@ -299,7 +303,7 @@
         ):
             shift = offset - self._clock_offset
         else:
-            # Nobody can say how long this gateway was away: as if not at all, up to its start.
+            # The downtime is unknown, so none is credited: the newest mark is moved to the start of this process.
             newest = max(
                 [
                     born,
@@ -314,16 +318,19 @@
         return Marks(now, kept, min(now, born + shift))
 
     def follows(self, links: Links) -> None:
-        """Planners move shares of this gateway: what it promises them is on record, and what they say of themselves."""
+        """Connect the planner links: leases are recorded on disk before they are promised to planners."""
         self.planner_start_times = lambda: links.planners
         links.records, links.over = self.record_leases, self.leases_expired
 
     def remembers(self) -> bool:
-        """Whether there is a memory."""
+        """Return whether a record store is in use."""
         return self.memory is not None
 
     async def opens(self, stop: asyncio.Event, ready: Callable[[], bool]) -> bool:
-        """Wait until clients may come, or a signal; whether they may. `ready`: whether there is a list."""
+        """Wait until clients may be served or `stop` is set; return whether they may be served.
+
+        `ready` returns whether the list of workers is known.
+        """
         self._worker_list_ready = ready
         waiting = {self._loop.create_task(self._open_event.wait()), self._loop.create_task(stop.wait())}
         await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
@@ -332,7 +339,7 @@
         return self._open_event.is_set()
 
     async def _open_for_clients(self) -> None:
-        """Everything is settled: a new life begins, on disk first."""
+        """Record the new incarnation on disk, apply the restored state and open for clients."""
         assert self.members is not None
         now = self._loop.time()
         gateway = self._gateway
@@ -344,9 +351,8 @@
                 if kept is not None:
                     marks.recall = kept.account
             elif self.memory.trusted:
-                self.memory.mark_untrusted(
-                    "this life could not be written in time"
-                )  # or the last one's marks would stand
+                # Otherwise the marks of the previous incarnation would stay valid on disk.
+                self.memory.mark_untrusted("this incarnation could not be written in time")
         elif self.memory is not None:
             await self._record_incarnation(now)
         now = self._loop.time()
@@ -368,17 +374,20 @@
         self._write_due_marks()
 
     def _uses_ceiling_marks(self) -> bool:
-        """Whether ceilings are this gateway's parts alone: a counter knows them itself, planners move them."""
+        """Return whether ceilings are local shares only and need high-water marks.
+
+        A counter keeps its own state, and planners move shares between gateways.
+        """
         return not self._settings.counter_timeout and self.planner_start_times() is None
 
     def _begin_slow_start(self, now: float, kept: Kept) -> None:
-        """Control begins where workers are cold together, by what was served before."""
+        """Start overload control from the earlier request rate if all workers are in slow start together."""
         assert self.members is not None
         pace = kept.pace() or self._peer_answers.pace
         pace *= len(self.fleet.members) / max(1, self.members.alive_count())
         if slow_start.begin(self._gateway, now, pace, kept.load()):
             log.info(
-                "fleet: control from %.1f a second, workers %.0f%% warm",
+                "fleet: overload control starts at %.1f requests/s, workers %.0f%% warmed up",
                 pace,
                 100 * slow_start.warmth(self._gateway, now),
             )
@@ -404,7 +413,7 @@
         except TimeoutError:
             return False
 
-    # Each look.
+    # Periodic work.
 
     def _tick(self) -> None:
         if self._stopped:
@@ -444,7 +453,7 @@
             self._peer_links.send(peer, message)
 
     def _to_unix_time(self, kind: str, value: Any) -> Any:
-        """A row with Unix time in place of this clock's."""
+        """Return a record's value with its loop time converted to Unix time."""
         if isinstance(value, list):
             return [value[0] + self._clock_offset, *value[1:]]
         return {**value, "at": value["at"] + self._clock_offset} if isinstance(value, dict) else value
@@ -464,7 +473,7 @@
             self._publish_state(stage)
 
     def _waits_by_stage(self, now: float) -> dict[str, str]:
-        """What each stage waits for."""
+        """Return for each stage what it still waits for; empty where it is done."""
         members = self.members
         assert members is not None and self._recovery_queries is not None
         for name in self._recovery_queries.waits(now):
@@ -474,7 +483,7 @@
         if not self._worker_list_ready():
             waits[stages.LIST] = "discovery"
         if not self.leases_expired(now):
-            waits[stages.PLANNERS] = "what an earlier life may have lent"
+            waits[stages.PLANNERS] = "leases of an earlier incarnation"
         unacknowledged = [
             peer
             for peer, link in members.links.items()
@@ -500,7 +509,7 @@
         return isinstance(started, int | float) and abs(started - (own_start + self._clock_offset)) < TOGETHER
 
     def leases_expired(self, now: float) -> bool:
-        """Whether all that an earlier life lent is surely back, as far as memory and members can say."""
+        """Return whether every lease granted by an earlier incarnation has expired, by record store and members."""
         planners = self.planner_start_times()
         if planners is None:
             return True
@@ -509,7 +518,7 @@
         until = self._loaded.records.get((LEASES, ""))
         end = until - self._clock_offset if isinstance(until, int | float) else None
         if end is None and self._previous_incarnation():
-            return True  # nothing was ever promised by a life that kept a record of it
+            return True  # an earlier incarnation with a record store records each lease before it promises it
         assert self.members is not None
         receivers = {
             name: started - self._clock_offset
@@ -523,9 +532,12 @@
         return loans_over(now, end, receivers, planners, min(ended, self._started_at))
 
     def record_leases(self, until: float) -> bool:
-        """Loans are to be promised up to a time: whether that is on record. Asked for in advance, so that few wait."""
+        """Return whether leases up to a time are recorded on disk, and request the record if not.
+
+        The record is requested ahead of need, so that few calls have to wait for the disk.
+        """
         if self.memory is None or not self.memory.trusted:
-            return True  # nothing on disk will be believed: the next life waits out its term
+            return True  # the disk is not trusted, so the next incarnation waits until the leases' term has passed
         if until > self._leases_requested_until - LEASE_RECORD_AHEAD_SECONDS / 2:
             self._leases_requested_until = until + LEASE_RECORD_AHEAD_SECONDS
             self.memory.put_and_sync(LEASES, "", self._leases_requested_until + self._clock_offset).add_done_callback(
@@ -544,7 +556,7 @@
         )
 
     def _write_due_marks(self) -> None:
-        """Marks that are due go to the disk."""
+        """Write due high-water marks to the disk."""
         if self._stopped:
             return
         self._call_later(
@@ -581,10 +593,10 @@
         else:
             self._ceiling_marks.failed(marks)
 
-    # The memory.
+    # Record store.
 
     def _memory_lost(self, reason: str) -> None:
-        """Nothing on disk will be believed: ceilings go on as with no memory."""
+        """Continue ceilings without high-water marks, since the record store is no longer trusted."""
         self.memory_unavailable_reason = reason
         if self._ceiling_marks is not None:
             self._ceiling_marks.end(
@@ -598,14 +610,14 @@
                 self.memory.put(INCARNATION, "", {**self._incarnation_row(None), "end": ""})
         if self.members is not None:
             self.members.set_about(memory=False)
-            self._send_heartbeats()  # at once: after a crash only the others may know of it
+            self._send_heartbeats()  # at once: after a crash only the peers may know that the store was voided
 
     def _incarnation_row(self, born: float | None) -> dict[str, Any]:
         assert self.members is not None
         return {"boot": self.members.incarnation, "machine": self._boot_id, "offset": self._clock_offset, "born": born}
 
     def _memory_recovered(self) -> None:
-        """The disk is well again: marks from now on."""
+        """Resume high-water marks after the disk has recovered."""
         self.memory_unavailable_reason = ""
         if self.members is not None:
             self.members.set_about(memory=True)
@@ -624,24 +636,24 @@
                 if account.plan.ceiling_rate:
                     account.ceiling_mark = of_all(account.key, now, *part(account))
 
-    # What members say.
+    # Messages of other members.
 
     def link_opened(self, peer: str) -> None:
-        """A link stands."""
+        """Handle an opened link to a member; query it if this process is still recovering."""
         assert self.members is not None
         self.members.link_opened(self._loop.time(), peer)
         if not self.recovery.open and self._persisted_state is None:
             self._peer_links.send(peer, RecoveryQuery(self._last_incarnation_number(), self.members.incarnation))
 
     def link_closed(self, peer: str, refused: bool) -> None:
-        """A link has ended, or could not be made."""
+        """Handle a link that has closed or could not be made; `refused`: nobody listens at the address."""
         assert self.members is not None
         self.members.link_closed(self._loop.time(), peer, refused)
         if refused and self._recovery_queries is not None:
             self._recovery_queries.gone(self._loop.time(), peer)
 
     def message_received(self, peer: str, message: Message) -> None:
-        """A member says something."""
+        """Handle a message of a member."""
         members, now = self.members, self._loop.time()
         assert members is not None
         if isinstance(message, RecoveryQuery):
@@ -658,7 +670,7 @@
             self._process_updates(now)
 
     def _late_answer(self, now: float, answer: RecoveryAnswer) -> None:
-        """An answer that came after all was settled: it may say that the disk is not this gateway's last word."""
+        """Handle an answer that arrived after the recovery decision; it may show that the disk is outdated."""
         if self._recovery_case.disk is not Disk.OWN or not (
             answer.distrusted or answer.boot > self._last_incarnation_number()
         ):
@@ -669,12 +681,12 @@
             self._ceiling_marks.distrust(now, (a for q in self._gateway.quotas.accounts.queues for a in q.values()))
 
     def incarnation(self) -> int:
-        """The number of this life."""
+        """Return the number of this incarnation."""
         assert self.members is not None
         return self.members.incarnation
 
     def known_incarnation(self, peer: str) -> Heartbeat:
-        """What is known of a member, for one that calls in an earlier life of it."""
+        """Return the known record of a member, for a process that connects as an earlier incarnation of it."""
         assert self.members is not None
         known = self.members.records.get(peer)
         return Heartbeat(1, 0, self.unix_time(), self.members.digest(), (known,) if known is not None else ())
@@ -728,7 +740,8 @@
                     if fact.kind == MAINTENANCE:
                         self._apply_maintenance(fact)
             case "twin":
-                if self._open_event.is_set():  # else it may be an earlier life of a clock ahead: settled with the peers
+                # Before the opening it may be an earlier incarnation with a clock ahead: see _evaluate_answers.
+                if self._open_event.is_set():
                     log.warning(
                         "fleet: another process goes by the name of %s, and began later: clients go there", self.name
                     )
@@ -737,7 +750,7 @@
             case "down":
                 log.info("fleet: %s is down (%s)", update.name, update.cause)
             case "up" | "restarted":
-                log.info("fleet: %s is %s", update.name, "up" if update.what == "up" else "back in another life")
+                log.info("fleet: %s is %s", update.name, "up" if update.what == "up" else "up in a new incarnation")
         if update.what in ("up", "restarted", "told"):
             record = members.records.get(update.name)
             if record is not None and update.name != self.name:
@@ -747,7 +760,7 @@
                 if self.memory is not None:
                     self.memory.put(SEEN, update.name, [record.incarnation, self.unix_time(), void])
 
-    # Bans and drains.
+    # Maintenance and drain.
 
     def _apply_maintenance(self, fact: Fact) -> None:
         value = fact.value
@@ -760,15 +773,15 @@
         )
 
     def said(self, worker: str, out: bool) -> asyncio.Future[bool]:
-        """An operator has taken a worker out here, or put it back: all hear of it; whether it is on disk."""
+        """Publish that an operator took a worker out of service or returned it; the result is whether it is on disk."""
         assert self.members is not None
         fact = self.members.publish_fact(self.unix_time(), MAINTENANCE, worker, {"out": out, "since": self.unix_time()})
         self._process_updates(self._loop.time())
-        self._send_heartbeats()  # the others hear of it before whoever asked hears that it is done
+        self._send_heartbeats()  # peers are notified before the operator's call is answered
         return self._persist_within_timeout(FACT, f"{MAINTENANCE} {worker}", [*fact.stamp, fact.value])
 
     def drained(self, left: bool) -> asyncio.Future[bool]:
-        """Clients are sent away, or taken again; whether that is on disk."""
+        """Record that this gateway drains, or serves again; the result is whether it is on disk."""
         self._publish_state(self.recovery.stage)
         return self._persist_within_timeout(DRAIN, "", left)
 
@@ -787,13 +800,13 @@
         return done
 
     def banned(self, worker: str) -> bool | None:
-        """Whether the fleet's last word on a worker is that it is out; None: there is none."""
+        """Return whether a worker is out for maintenance by the latest fact; None if there is no fact."""
         assert self.members is not None
         fact = self.members.facts.get(MAINTENANCE, worker)
         return bool(fact.value.get("out")) if fact is not None and isinstance(fact.value, dict) else None
 
     def listed(self) -> None:
-        """The list has changed: what is believed of its workers is given back."""
+        """Restore the state of workers that are new in the worker list."""
         if self._open_event.is_set():
             for name in list(self._gateway.fleet.workers):
                 self._restore_worker(self._loop.time(), name)
@@ -809,17 +822,17 @@
                 worker.relative_latency, worker.latency_updated_at = 1 / max(0.1, pace), now
                 worker.consecutive_failures = int(failures)
 
-    # For people.
+    # Status for operators.
 
     def health(self) -> str:
-        """What the start waits for; empty once clients are served."""
+        """Return what the start waits for; empty once clients are served."""
         if self._open_event.is_set():
             return ""
         waits = self.recovery.waits_for
         return f"coming back: {self.recovery.stage}" + (f", waits for {waits}" if waits else "")
 
     def status(self) -> str:
-        """This member's state as JSON."""
+        """Return this member's state as JSON."""
         members, now, wall = self.members, self._loop.time(), self.unix_time()
         if members is None:
             return json.dumps({"name": self.name, "stage": stages.MEMORY})
@@ -886,7 +899,7 @@
         self._loop.call_later(delay, call)
 
     async def stop(self) -> None:
-        """A planned end: the last word on disk is that it was asked for."""
+        """Shut down, and record on disk that the shutdown was requested."""
         self._stopped = True
         self._peer_links.stop()
         if self.memory is None:
@@ -913,11 +926,11 @@
                     },
                 )
             )
-        with contextlib.suppress(TimeoutError):  # a disk that hangs: the next life finds that it was killed
+        with contextlib.suppress(TimeoutError):  # a hung disk: the next incarnation treats the end as a kill
             await asyncio.wait_for(self.memory.close(last), 2.0)
 
     def _marks_created_at(self) -> float | None:
-        """When this life's mark for all was made; None: nothing of it is to be believed."""
+        """Return when the high-water marks of this incarnation were created; None if none are in use."""
         return self._ceiling_marks.born if self._ceiling_marks is not None else None
 
 
--- a/oliveloft/fleet/peers.py
+++ b/oliveloft/fleet/peers.py
@@ -1,4 +1,4 @@
-"""Links between members on sockets: frames, opening and secret as planners and forwarders speak."""
+"""Links between cluster members on sockets, with the frames, handshake and shared secret of the planners' protocol."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 
 log = logging.getLogger("oliveloft")
 
-CONNECT_TIMEOUT_SECONDS = 0.5  # seconds for a connection to come up and open
-HANDSHAKE_TIMEOUT_SECONDS = 2.0  # seconds that a caller may take to prove itself
+CONNECT_TIMEOUT_SECONDS = 0.5  # for a connection to be established and authenticated
+HANDSHAKE_TIMEOUT_SECONDS = 2.0  # for an accepted connection to authenticate
 MAX_UNAUTHENTICATED_CONNECTIONS = 256
 
 
 class LinkObserver(Protocol):
-    """What the links tell."""
+    """Receives the events of the links; implemented by `oliveloft.fleet.member.Member`."""
 
     def link_opened(self, peer: str) -> None:
-        """A link to a member stands."""
+        """Handle an opened link to a member."""
 
     def link_closed(self, peer: str, refused: bool) -> None:
-        """A link to a member has ended, or none could be made; `refused`: nobody listens there."""
+        """Handle a link that has closed or could not be made; `refused`: nobody listens at the address."""
 
     def message_received(self, peer: str, message: Message) -> None:
-        """A member says something."""
+        """Handle a message of a member."""
 
     def status(self) -> str:
-        """This member's state as JSON."""
+        """Return this member's state as JSON."""
 
     def incarnation(self) -> int:
-        """The number of this member's life."""
+        """Return this member's incarnation number."""
 
     def known_incarnation(self, peer: str) -> Heartbeat:
-        """What is known of a member, for one that calls in an earlier life of it."""
+        """Return the known record of a member, for a process that connects as an earlier incarnation of it."""
 
 
 class MemberConnection(FramedConnection):
-    """A connection to another member, whichever side made it."""
+    """A connection to another member, dialed or accepted."""
 
     def __init__(self, peers: PeerLinks, dialed_peer: str = "") -> None:
         super().__init__()
-        self._peers, self._dialed_peer = peers, dialed_peer  # whom it calls; empty: it was accepted
-        self.peer = ""  # once it has proved itself
-        self.incarnation = 0  # of whoever called
+        self._peers, self._dialed_peer = peers, dialed_peer  # empty: the connection was accepted
+        self.peer = ""  # set once the peer has authenticated
+        self.incarnation = 0  # of the peer, on an accepted connection
         self._challenge = b""
         self.handshake_done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Whoever was called challenges."""
+        """Send the challenge on an accepted connection, or close it if there are too many."""
         super().connection_made(transport)
         if self._dialed_peer:
             return
@@ -64,7 +64,7 @@
         self.send(wire.Challenge(wire.VERSION, self.nonce))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended."""
+        """Remove the connection and finish a pending handshake."""
         self.transport = None
         if self._timer is not None:
             self._timer.cancel()
@@ -73,14 +73,14 @@
         self._peers.connection_ended(self)
 
     def protocol_error(self, reason: str) -> None:
-        """Say why, and close."""
+        """Log the reason, send it to the peer and close."""
         self._peers.log_problem(self.peer or self._dialed_peer, reason)
         if self.transport is not None:
             self.send(wire.Refused(reason[:200]))
             self.transport.close()
 
     def handle_message(self, message: wire.Message) -> None:
-        """A message has come."""
+        """Handle a message: the handshake first, then the member's messages."""
         if self.peer:
             if isinstance(message, Heartbeat | StateSummary | RecoveryQuery | RecoveryAnswer):
                 check(message)
@@ -88,7 +88,7 @@
             elif isinstance(message, wire.Refused):
                 raise wire.WireError(f"refused: {message.why[:200]}")
             else:
-                raise wire.WireError(f"a {type(message).__name__} from a member")
+                raise wire.WireError(f"unexpected {type(message).__name__} from a member")
         elif self._dialed_peer:
             self._dialer_handshake(message)
         else:
@@ -128,7 +128,7 @@
     def _listener_handshake(self, message: wire.Message) -> None:
         peers = self._peers
         if not isinstance(message, wire.Hello):
-            raise wire.WireError("the opening is no Hello")
+            raise wire.WireError("the first message is not a Hello")
         if message.version != wire.VERSION:
             raise wire.WireError(f"version {message.version}, here it is {wire.VERSION}")
         if not wire.proved(peers.config.secret, "peer", self.nonce, message.nonce, message.name, message.proof):
@@ -145,14 +145,14 @@
         if message.role != "member":
             raise wire.WireError(f"role {message.role[:20]!r}")
         if message.name not in peers.config.members or message.name == peers.name:
-            raise wire.WireError(f"{message.name[:64]!r} is no other member here")
+            raise wire.WireError(f"{message.name[:64]!r} is not another member of this fleet")
         if message.forwarders != len(peers.config.members):
-            raise wire.WireError(f"a file with {message.forwarders} members, here {len(peers.config.members)}")
+            raise wire.WireError(f"configured for {message.forwarders} members, here {len(peers.config.members)}")
         self.send(welcome)
         self.incarnation = message.epochs[0][1] if message.epochs else 0
         existing = peers.connections.get(message.name)
         if existing is not None and existing.incarnation > self.incarnation:
-            # Two processes go by one name. The later one's link stays; this one hears of it.
+            # Duplicate member name: the link of the later process stays, and this one is notified.
             self.send(peers.observer.known_incarnation(message.name))
             if self.transport is not None:
                 self.transport.close()
@@ -170,7 +170,7 @@
 
 
 class PeerLinks:
-    """All links of one member."""
+    """All links of one member to others, at most one for each peer."""
 
     def __init__(self, name: str, config: FleetConfig, observer: LinkObserver) -> None:
         self.name, self.config, self.observer = name, config, observer
@@ -180,10 +180,10 @@
         self._logged_problems: dict[str, str] = {}
         self._server: asyncio.Server | None = None
         self._stopped = False
-        self.dialing_disabled = False  # another process has this one's name: no links are sought any more
+        self.dialing_disabled = False  # set when a later process has this member's name
 
     async def start(self) -> None:
-        """Listen. OSError where that can't be."""
+        """Listen. OSError where the address cannot be bound."""
         host, port = self.config.listen.get(self.name, self.config.members[self.name])
         context = self.config.tls.server() if self.config.tls else None
         self._server = await asyncio.get_running_loop().create_server(
@@ -191,7 +191,7 @@
         )
 
     def stop(self) -> None:
-        """Close all."""
+        """Close the listener and all connections."""
         self._stopped = True
         if self._server is not None:
             self._server.close()
@@ -201,7 +201,7 @@
             connection.abort()
 
     def dial(self, peer: str) -> None:
-        """Make a link, unless one is being made."""
+        """Connect to a member, unless an attempt is under way."""
         if peer not in self._dial_tasks and not self._stopped and not self.dialing_disabled:
             self._dial_tasks[peer] = asyncio.get_running_loop().create_task(self._dial(peer))
 
@@ -226,14 +226,14 @@
             self.observer.link_closed(peer, refused)
 
     def accept(self, connection: MemberConnection) -> bool:
-        """Whether one more caller is let in, who has not proved itself yet."""
+        """Register an accepted connection; return False where too many have not authenticated yet."""
         if len(self._unauthenticated) >= MAX_UNAUTHENTICATED_CONNECTIONS:
             return False
         self._unauthenticated.add(connection)
         return True
 
     def handshake_complete(self, connection: MemberConnection) -> None:
-        """A link stands; one of the same member before it is over."""
+        """Register an authenticated connection; it replaces an earlier one to the same member."""
         self._unauthenticated.discard(connection)
         previous = self.connections.get(connection.peer)
         self.connections[connection.peer] = connection
@@ -244,29 +244,32 @@
         self.observer.link_opened(connection.peer)
 
     def connection_ended(self, connection: MemberConnection) -> None:
-        """A connection is over."""
+        """Remove a closed connection and reconnect."""
         self._unauthenticated.discard(connection)
         if connection.peer and self.connections.get(connection.peer) is connection:
             del self.connections[connection.peer]
             if not self._stopped:
                 self.observer.link_closed(connection.peer, False)
-                self.dial(connection.peer)  # at once: whether its machine refuses tells why
+                self.dial(connection.peer)  # at once: a refused connection shows that its process ended
 
     def close(self, peer: str) -> None:
-        """End a link that nobody needs."""
+        """Close a link that is no longer needed."""
         connection = self.connections.pop(peer, None)
         if connection is not None:
             connection.abort()
             self.observer.link_closed(peer, False)
 
     def send(self, peer: str, message: Message) -> None:
-        """Say something to a neighbour; one that does not read is told again by what its digest lacks."""
+        """Send a message to a linked member.
+
+        Messages to a blocked peer are dropped; it receives the missing state later, when its digest differs.
+        """
         connection = self.connections.get(peer)
         if connection is not None and not connection.blocked:
             connection.send(message)
 
     def log_problem(self, peer: str, reason: str) -> None:
-        """Log what is wrong, once until it is well again."""
+        """Log a problem, once until the member is back."""
         if self._logged_problems.get(peer) != reason:
             self._logged_problems[peer] = reason
             log.warning("member %s: %s", peer or "?", reason)
--- a/oliveloft/fleet/status.py
+++ b/oliveloft/fleet/status.py
@@ -1,4 +1,4 @@
-"""`python -m oliveloft fleet status`: asks each member; who is there, what a start waits for, who sees whom."""
+"""Implements `python -m oliveloft fleet status`: queries each member and shows its state and its view of the others."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def gather(config: FleetConfig) -> States:
-    """All members' states; one that can't be asked has an `error`."""
+    """Return the state of each member; one that cannot be queried has an `error`."""
 
     async def one(name: str) -> dict[str, Any]:
         try:
@@ -32,7 +32,7 @@
 
 
 def table(states: Mapping[str, dict[str, Any]]) -> str:
-    """The states as a person reads them."""
+    """Format the states as a table for operators."""
     lines = [f"{'member':12} {'stage':9} {'up s':>8} {'sees':>5} {'memory':24}  what"]
     whole = {state["digest"] for state in states.values() if "error" not in state}
     for name, state in states.items():
@@ -69,7 +69,7 @@
 
 
 def main(path: str, as_json: bool) -> int:
-    """Print the state of all members: 0 where each serves, 1 where not, 2 for a file that can't be used."""
+    """Print the state of all members; return 0 if each serves, 1 if not, 2 for an invalid configuration."""
     try:
         config = load(path)
     except ConfigError as error:
--- a/oliveloft/memory/__init__.py
+++ b/oliveloft/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives the process: a log on disk that is never on a request's way."""
+"""Records that outlive the process: an append-only log on disk, written in the background of request handling."""
--- a/oliveloft/memory/files.py
+++ b/oliveloft/memory/files.py
@@ -1,4 +1,4 @@
-"""The few things that a memory asks of a disk, behind an interface that tests put faults into."""
+"""Defines the disk operations that the record log needs, as protocols that tests implement with injected faults."""
 
 from __future__ import annotations
 
@@ -9,57 +9,57 @@
 
 
 class File(Protocol):
-    """A file that is open."""
+    """An open file."""
 
     def read(self) -> bytes:
-        """All of it."""
+        """Return the whole contents."""
 
     def append(self, data: bytes) -> None:
-        """Write behind the end; not on disk before `sync`."""
+        """Write at the end; not durable before `sync`."""
 
     def put(self, data: bytes) -> None:
-        """Write over the beginning, in place."""
+        """Overwrite the beginning in place."""
 
     def sync(self) -> None:
-        """What was written is on disk after this, or an OSError says that it may not be."""
+        """Make all writes durable; an OSError means that they may not be."""
 
     def close(self) -> None:
-        """Let it go."""
+        """Close the file."""
 
 
 class Disk(Protocol):
-    """A folder. All raise OSError."""
+    """A folder. Every method may raise OSError."""
 
     def names(self) -> list[str]:
-        """The files in it."""
+        """Return the names of the files in the folder."""
 
     def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file; `fresh`: make it anew, empty. FileNotFoundError where it is not there."""
+        """Open an existing file, or with `fresh` an empty new one. FileNotFoundError where it does not exist."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
 
     def remove(self, name: str) -> None:
-        """Drop a file."""
+        """Delete a file."""
 
     def sync(self) -> None:
-        """The names of files are on disk after this."""
+        """Make the folder's directory entries durable."""
 
     def lock(self, name: str) -> bool:
-        """Take the folder for this process until it ends; False where another one has it."""
+        """Lock the folder until this process ends; return False where another process holds the lock."""
 
     def machine(self) -> str:
-        """Which boot of which machine this is; empty where that can't be told."""
+        """Return an identifier of the machine's current boot; empty where it is unknown."""
 
 
 class PlainFile:
-    """A file of the operating system's."""
+    """A file of the operating system."""
 
     def __init__(self, path: str, fresh: bool) -> None:
         self._fd = os.open(path, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT | os.O_TRUNC if fresh else 0), 0o600)
 
     def read(self) -> bytes:
-        """All of it."""
+        """Return the whole contents."""
         size, parts, at = os.fstat(self._fd).st_size, [], 0
         while at < size and (part := os.pread(self._fd, size - at, at)):
             parts.append(part)
@@ -67,12 +67,12 @@
         return b"".join(parts)
 
     def append(self, data: bytes) -> None:
-        """Write behind the end."""
+        """Write at the end."""
         os.lseek(self._fd, 0, os.SEEK_END)
         self._write(data)
 
     def put(self, data: bytes) -> None:
-        """Write over the beginning."""
+        """Overwrite the beginning in place."""
         os.lseek(self._fd, 0, os.SEEK_SET)
         self._write(data)
 
@@ -82,18 +82,18 @@
             view = view[os.write(self._fd, view) :]
 
     def sync(self) -> None:
-        """Data and length are on disk after this."""
+        """Make data and length durable."""
         os.fdatasync(self._fd)
 
     def close(self) -> None:
-        """Let it go."""
+        """Close the file."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
 
 
 class PlainDisk:
-    """A folder of the operating system's; it is made where it is not there."""
+    """A folder of the operating system, created if it does not exist."""
 
     def __init__(self, folder: str) -> None:
         self._folder = folder
@@ -104,23 +104,23 @@
         return os.path.join(self._folder, name)
 
     def names(self) -> list[str]:
-        """The files in it."""
+        """Return the names of the files in the folder."""
         return os.listdir(self._folder)
 
     def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file."""
+        """Open a file, or with `fresh` an empty new one."""
         return PlainFile(self._path(name), fresh)
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         os.rename(self._path(old), self._path(new))
 
     def remove(self, name: str) -> None:
-        """Drop a file."""
+        """Delete a file."""
         os.unlink(self._path(name))
 
     def sync(self) -> None:
-        """Names are on disk after this."""
+        """Make the folder's directory entries durable."""
         fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -128,7 +128,7 @@
             os.close(fd)
 
     def lock(self, name: str) -> bool:
-        """Take the folder; the lock ends with the process, however that ends."""
+        """Lock the folder; the kernel releases the lock however the process ends."""
         fd = os.open(self._path(name), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -139,7 +139,7 @@
         return True
 
     def machine(self) -> str:
-        """The kernel's boot id."""
+        """Return the kernel's boot id."""
         with contextlib.suppress(OSError), open("/proc/sys/kernel/random/boot_id") as file:
             return file.read().strip()
         return ""
--- a/oliveloft/memory/log.py
+++ b/oliveloft/memory/log.py
@@ -1,13 +1,13 @@
-"""A log of records on a disk: appended in batches, read back whole, made anew when it has grown. It blocks.
+"""Stores records in an append-only log on disk, which is read as a whole and compacted by copying.
 
-A record is a kind, a key and a value (None: forgotten); the last of a kind and key holds. A batch is a frame: its
-length and number with a checksum of their own (XXH32), a checksum of the rest (XXH64, both seeded by the file's own
-salt, so that what an earlier file left on the same blocks is never taken for a frame), then msgpack. A file begins with
-whose it is. It is whole from the record `_WHOLE` on: a copy of all that holds stands before that, so that older files
-may go.
+All calls block. A record is a kind, a key and a value (None: deleted); the last record of a kind and key is valid. A
+batch is one frame: its length and number with a checksum of their own (XXH32), a checksum of the payload (XXH64), then
+the payload as msgpack. Both checksums are seeded by the file's own salt, so that leftovers of an earlier file on the
+same disk blocks are never taken for a frame. A file begins with the name of its owner. It is complete once it contains
+the record `_COPY_COMPLETE`: a copy of all valid records stands before that, so older files can be removed.
 
-What a break leaves is told apart: a frame that ends too early, or zeros, is a torn tail, of which nothing was promised;
-anything else that does not fit is damage, and what stood there may have been promised.
+A crash is told apart from damage: a frame that ends too early, or zeros, is a torn tail, whose records were never
+reported as synced. Anything else that does not match is damage, and its records may have been reported as synced.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 MAGIC = b"OLM1"
 FILE_HEADER = struct.Struct(">4s8sH")  # magic, salt, length of the owner's name; the name and an XXH64 of all follow
 FRAME_HEADER = struct.Struct(">IIIQ")  # length, number, their checksum, checksum of the payload
-MAX_FRAME_BYTES = 1 << 24  # bytes of a frame
-MAX_OWNER_BYTES = 255  # bytes
-COPY_CHUNK_RECORDS = 256  # records of a copy in one frame
-_COPY_COMPLETE = "_whole"
+MAX_FRAME_BYTES = 1 << 24
+MAX_OWNER_BYTES = 255
+COPY_CHUNK_RECORDS = 256  # records in one frame of a copy
+_COPY_COMPLETE = "_whole"  # kind of the record that ends a copy
 
 Record = tuple[str, str, Any]
 Key = tuple[str, str]
@@ -41,18 +41,18 @@
 
 
 class ForeignFileError(Exception):
-    """A file of another machine; the text names that."""
+    """Raised for a file of another machine; the text names that machine."""
 
 
 @dataclass
 class LogContents:
-    """What a folder held: records by kind and key, whose they are, and what was wrong."""
+    """The contents of a folder: records by kind and key, their owner, and faults that were found."""
 
     records: dict[Key, Any] = field(default_factory=dict)
     owner: str = ""
-    torn: bool = False  # the end was cut, as a break does
-    damage: str = ""  # damage that no break explains, and where
-    voided: bool = False  # the owner itself has said that no promise of it holds
+    torn: bool = False  # the last frame is incomplete, as after a crash
+    damage: str = ""  # what no crash explains, and where; empty: none
+    voided: bool = False  # the owner has marked the log void: synced records may be missing
     file_number: int = 0  # of the newest file
     size_bytes: int = 0
 
@@ -75,7 +75,7 @@
 
 
 def parse_file(data: bytes) -> tuple[str, bytes, list[list[Record]], bool, str]:
-    """A file's bytes: whose it is, its salt, its batches, whether its end is torn, and what is damaged."""
+    """Parse a file: return its owner, salt and batches, whether its end is torn, and a text about damage."""
     if len(data) < FILE_HEADER.size:
         return "", b"", [], True, ""
     magic, salt, size = FILE_HEADER.unpack_from(data)
@@ -86,7 +86,7 @@
         or xxhash.xxh64_digest(data[: position - 8]) != data[position - 8 : position]
     ):
         torn = len(data) < position and size <= MAX_OWNER_BYTES or not any(data)
-        return "", b"", [], torn, "" if torn else "its beginning does not fit"
+        return "", b"", [], torn, "" if torn else "the file header does not match"
     owner, seed = (
         data[FILE_HEADER.size : FILE_HEADER.size + size].decode("utf-8", "replace"),
         int.from_bytes(salt, "big"),
@@ -99,7 +99,7 @@
         if xxhash.xxh32_intdigest(data[position : position + 8], seed & 0xFFFFFFFF) != header_check or number != len(
             batches
         ):
-            # A break can leave zeros where the length of the file was on disk sooner than what it holds.
+            # A crash can leave zeros where the file's length was on disk before its contents.
             torn = not any(data[position:])
             return owner, salt, batches, torn, "" if torn else f"frame {len(batches)} at byte {position}"
         payload = data[position + FRAME_HEADER.size : position + FRAME_HEADER.size + length]
@@ -116,21 +116,24 @@
 
 
 class Log:
-    """One folder's log. `begin` first; all may raise OSError, and then what was given is not on disk."""
+    """The log of one folder. Call `find`, then `begin`, before appending.
+
+    Every call may raise OSError; the given records are then not known to be on disk.
+    """
 
     def __init__(self, disk: Disk, owner: str) -> None:
         self._disk, self._owner = disk, owner
         self._file: File | None = None
-        self._copy_target: tuple[File, str, bytes] | None = None  # the file that a copy goes to: it, its name, its salt
+        self._copy_target: tuple[File, str, bytes] | None = None  # file, name and salt of a copy under way
         self._salt, self._name = b"", ""
         self._frame_count = self._copy_frame_count = 0
         self._file_number = 0
         self._state: File | None = None
         self._is_void = False
-        self.size = 0  # bytes of the file that is written to
+        self.size = 0  # bytes appended to the current file
 
     def find(self) -> LogContents:
-        """What the folder holds. Files of another owner are set aside under a name that says whose, and kept."""
+        """Read the folder. Files of another owner are not deleted but renamed to a name that includes that owner."""
         found, names = (
             LogContents(),
             sorted((n for n in self._disk.names() if LOG_FILE_PATTERN.fullmatch(n)), reverse=True),
@@ -146,7 +149,7 @@
             owner, _, batches, torn, damage = parse_file(data)
             first_damage = first_damage or (f"{name}: {damage}" if damage else "")
             if not any(kind == _COPY_COMPLETE for batch in batches for kind, _, _ in batch):
-                continue  # a copy that never came to its end: the file before it holds all
+                continue  # an unfinished copy: the file before it has all records
             for batch in batches:
                 for kind, key, value in batch:
                     if kind == _COPY_COMPLETE:
@@ -169,7 +172,7 @@
         try:
             self._state = self._disk.open(STATE_FILE)
         except FileNotFoundError:
-            # Made long before it is needed: a full disk can still be written in place.
+            # Created ahead of need: it can be overwritten in place even on a full disk.
             self._state = self._disk.open(STATE_FILE, fresh=True)
             self._state.append(b"good" + bytes(508))
             self._state.sync()
@@ -178,20 +181,20 @@
         return self._is_void
 
     def begin(self, records: Iterable[Record]) -> None:
-        """Write all that holds to a new file, synced; older files go then, and what was void before is so no more."""
-        was_void = self._is_void  # what is voided while this goes on stays so
+        """Write all records to a new file and sync it, then remove older files and clear an earlier void mark."""
+        was_void = self._is_void  # a mark that is set during this call stays
         self.start_copy()
         rows = list(records)
         for first in range(0, len(rows), COPY_CHUNK_RECORDS):
             self.copy_records(rows[first : first + COPY_CHUNK_RECORDS])
         self.finish_copy()
-        if was_void and self._state is not None:  # not sooner: the old file must not be believed again
+        if was_void and self._state is not None:  # only now: the old file must stay untrusted
             self._state.put(b"good")
             self._state.sync()
             self._is_void = False
 
     def start_copy(self) -> None:
-        """A new file for a copy of all that holds; what is appended meanwhile goes to both."""
+        """Start a new file for a copy of all valid records; batches appended meanwhile go to both files."""
         self.abort_copy()
         self._file_number += 1
         name = f"memory.{self._file_number:08d}.log"
@@ -201,14 +204,14 @@
         self._copy_target, self._copy_frame_count = (file, name, salt), 0
 
     def copy_records(self, records: Iterable[Record]) -> None:
-        """A piece of the copy. What changes after it has to be appended after it."""
+        """Write a chunk of the copy. Later changes of its records have to be appended after it."""
         assert self._copy_target is not None
         file, _, salt = self._copy_target
         file.append(_frame(records, self._copy_frame_count, salt))
         self._copy_frame_count += 1
 
     def finish_copy(self) -> None:
-        """The copy is whole: it takes the old file's place."""
+        """Complete and sync the copy, switch to it and remove older files."""
         assert self._copy_target is not None
         self.copy_records([(_COPY_COMPLETE, "", True)])
         file, name, salt = self._copy_target
@@ -224,7 +227,7 @@
                 self._disk.remove(other)
 
     def abort_copy(self) -> None:
-        """Give up a copy that was begun."""
+        """Discard an unfinished copy."""
         if self._copy_target is not None:
             file, name, _ = self._copy_target
             self._copy_target = None
@@ -233,11 +236,11 @@
 
     @property
     def copying(self) -> bool:
-        """Whether a copy is under way."""
+        """Return whether a copy is under way."""
         return self._copy_target is not None
 
     def append(self, records: Iterable[Record]) -> None:
-        """Write a batch; it is on disk after `sync`."""
+        """Write a batch; it is durable after `sync`."""
         if self._file is None:
             raise OSError("the log is not open")
         rows = list(records)
@@ -249,20 +252,20 @@
             self.copy_records(rows)
 
     def sync(self) -> None:
-        """What was appended is on disk."""
+        """Flush all appended batches to disk."""
         if self._file is None:
             raise OSError("the log is not open")
         self._file.sync()
 
     def mark_void(self) -> None:
-        """Say in place that no promise of this log holds: a full disk takes that as well."""
+        """Mark the log void by overwriting the state file in place, which works on a full disk as well."""
         self._is_void = True
         if self._state is not None:
             self._state.put(b"void")
             self._state.sync()
 
     def close(self) -> None:
-        """Let the files go."""
+        """Close the files."""
         for file in (self._file, self._state, self._copy_target[0] if self._copy_target else None):
             if file is not None:
                 file.close()
--- a/oliveloft/memory/memory.py
+++ b/oliveloft/memory/memory.py
@@ -1,10 +1,11 @@
-"""What a gatekeeper remembers, written beside its work: nothing of it is on a request's way, nor a long step.
-
-Records are taken at once and written by a thread, those that came while it was busy together (group commit: DeWitt and
-others, 1984). `keep` tells when a record is on disk; what is only `put` is there within `FLUSH`. A disk that fails is
-tried again with a whole copy, since what a failed write or sync left behind is not known (fsync reports an error
-once: Rebello and others, "Can Applications Recover from fsync Failures?", 2020). Beyond `HOLD` the owner is told that
-nothing here will be believed, and the log is marked so, in place.
+"""Persists a gatekeeper's records in the background, without blocking requests or the event loop.
+
+Records are accepted at once and written by a thread; those that arrive while it is busy are written together (group
+commit: DeWitt and others, 1984). `put_and_sync` reports when a record is on disk; one given to `put` is written within
+`FLUSH_INTERVAL_SECONDS`. After a disk error the whole set of records is written again, since the state left behind by
+a failed write or sync is unknown (fsync reports an error once: Rebello and others, "Can Applications Recover from
+fsync Failures?", 2020). If the disk fails or hangs for longer than `DISK_FAILURE_TIMEOUT_SECONDS`, the owner is
+notified that the records are no longer trusted, and the log is marked void in place.
 """
 
 from __future__ import annotations
@@ -23,24 +24,26 @@
 
 log = logging.getLogger("oliveloft")
 
-FLUSH_INTERVAL_SECONDS = 0.25  # seconds after which a record that nobody waits for is on its way
-DISK_FAILURE_TIMEOUT_SECONDS = 3.0  # seconds that the disk may fail, or hang, before nothing on it is to be believed
-RETRY_INTERVAL_SECONDS = 1.0  # seconds between tries at a disk that fails
-MIN_COMPACTION_BYTES, COMPACTION_GROWTH_FACTOR = (
-    1 << 20,
-    4,
-)  # bytes, and times the last copy, from which on the log is made anew
-MAX_BATCH_RECORDS = 2000  # records written at once: a thread that encodes holds the interpreter
+FLUSH_INTERVAL_SECONDS = 0.25  # longest wait of a record that no caller waits for before its write begins
+DISK_FAILURE_TIMEOUT_SECONDS = 3.0  # how long the disk may fail or hang before the records are no longer trusted
+RETRY_INTERVAL_SECONDS = 1.0  # between retries on a failing disk
+# The log is compacted into a new file once it exceeds both this size and this multiple of the last copy.
+MIN_COMPACTION_BYTES, COMPACTION_GROWTH_FACTOR = 1 << 20, 4
+MAX_BATCH_RECORDS = 2000  # records written at once: encoding holds the interpreter lock
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class MemoryUnavailableError(Exception):
-    """A folder that no memory can be kept in; the text says why."""
+    """Raised where a folder cannot hold records; the text says why."""
 
 
 class RecordStore:
-    """One folder, one owner. `lost` is called when nothing on disk is to be believed any more, `again` when it is."""
+    """The records of one owner in one folder.
+
+    `on_lost` is called with the reason when the records on disk are no longer trusted, `on_recovered` when they are
+    again.
+    """
 
     def __init__(
         self,
@@ -53,26 +56,29 @@
         self._loop, self._disk, self._on_lost, self._on_recovered = loop, disk, on_lost, on_recovered
         self._log = Log(disk, owner)
         self._write_executor = ThreadPoolExecutor(1, "memory")
-        self._void_executor = ThreadPoolExecutor(1, "memory-void")  # for when the writer hangs
-        self._current: dict[Key, msgspec.Raw] = {}  # all that holds, as it is written
+        self._void_executor = ThreadPoolExecutor(1, "memory-void")  # marks the log void while the writer hangs
+        self._current: dict[Key, msgspec.Raw] = {}  # all current records, encoded
         self._pending: dict[Key, msgspec.Raw | None] = {}
         self._sync_waiters: list[asyncio.Future[bool]] = []
         self._writing = False
-        self._write_started_at = 0.0  # when the writer got what it has
-        self._failing_since: float | None = None  # since when
+        self._write_started_at = 0.0  # monotonic time
+        self._failing_since: float | None = None  # None while the disk works
         self._next_retry_at = 0.0
-        self._keys_to_copy: list[Key] | None = None  # left of a copy under way
-        self._last_copy_bytes = 0  # bytes of the last copy
+        self._keys_to_copy: list[Key] | None = None  # not yet copied by a compaction; None: no compaction
+        self._last_copy_bytes = 0
         self._marked_untrusted = False
-        self.trusted = False  # whether what is on disk holds, and what is told to be there will be
+        self.trusted = False  # whether the records on disk are valid and reported writes are durable
         self.unavailable_reason = "not open"
         self.batch_count = self.record_count = 0
-        self.slowest_batch_seconds = 0.0  # seconds of a batch
+        self.slowest_batch_seconds = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
 
     async def open(self) -> LogContents:
-        """Read what is there. Unusable where another process has the folder, or it can't be read."""
+        """Lock the folder and read its log.
+
+        Raises MemoryUnavailableError where another process has the folder or it cannot be read.
+        """
 
         def find() -> LogContents:
             if not self._disk.lock(LOCK_FILE):
@@ -86,7 +92,7 @@
         return found
 
     async def rewrite(self, records: dict[Key, Any]) -> bool:
-        """Hold these, and only these, from now on; whether they are on disk."""
+        """Replace all records by these, in a new log file; return whether they are on disk and trusted."""
         self._current = {key: msgspec.Raw(_encode(value)) for key, value in records.items()}
         rows = [(kind, key, raw) for (kind, key), raw in self._current.items()]
         self._writing, self._write_started_at = True, time.monotonic()
@@ -96,19 +102,20 @@
         except OSError as error:
             self._writing = False
             self._record_failure(error)
-            self.mark_untrusted(error.strerror or str(error))  # what stands there is of an earlier life
+            self.mark_untrusted(
+                error.strerror or str(error)
+            )  # the disk still holds the records of an earlier incarnation
         else:
             self._writing = False
             if self._marked_untrusted:
-                self._failing_since = (
-                    self._write_started_at
-                )  # it came too late: all is written once more before it counts
+                # It finished after the timeout: everything is written once more before it is trusted.
+                self._failing_since = self._write_started_at
             else:
                 self.trusted, self.unavailable_reason = True, ""
         return self.trusted
 
     def put(self, kind: str, key: str, value: Any) -> None:
-        """Remember; a value of None is to be forgotten."""
+        """Store a record, to be written soon; a value of None deletes it."""
         if value is None:
             if self._current.pop((kind, key), None) is None:
                 return
@@ -120,12 +127,12 @@
             self._current[kind, key] = self._pending[kind, key] = raw
 
     def put_and_sync(self, kind: str, key: str, value: Any) -> asyncio.Future[bool]:
-        """Remember; the answer is whether it is on disk."""
+        """Store a record and write it now; the result is whether it is on disk."""
         self.put(kind, key, value)
         return self.sync()
 
     def sync(self) -> asyncio.Future[bool]:
-        """Write what there is now; whether it is on disk."""
+        """Write all pending records now; the result is whether they are on disk."""
         done: asyncio.Future[bool] = self._loop.create_future()
         if self._closed or self._failing_since is not None and not self.trusted:
             done.set_result(False)
@@ -135,13 +142,13 @@
         return done
 
     def keys_of_kind(self, kind: str) -> list[str]:
-        """The keys of a kind."""
+        """Return the keys of all records of a kind."""
         return [key for record_kind, key in self._current if record_kind == kind]
 
     def __len__(self) -> int:
         return len(self._current)
 
-    # The thread's work, one thing at a time.
+    # Work of the writer thread, one task at a time.
 
     def _write_next_batch(self) -> None:
         if self._writing or self._closed or self._failing_since is not None:
@@ -199,7 +206,7 @@
             self.record_count += count
             if self._keys_to_copy is not None and not self._log.copying:
                 self._keys_to_copy = None
-            if full_rewrite:  # else it hung and was given up: what it has written was voided
+            if full_rewrite:  # any other batch that hung past the timeout went to a log that is void
                 self._mark_recovered()
         else:
             self._keys_to_copy = None
@@ -230,12 +237,12 @@
             self._on_recovered()
 
     def mark_untrusted(self, reason: str) -> None:
-        """Nothing on disk is to be believed from here on: said to the owner first, then to the disk."""
+        """Stop trusting the records on disk: notify the owner first, then mark the log void."""
         self.trusted, self._marked_untrusted = False, True
         self.unavailable_reason = reason
         self._failing_since = self._failing_since or time.monotonic()
         self._on_lost(reason)
-        log.warning("memory: %s; nothing of it is believed from here on", reason)
+        log.warning("memory: %s; records on disk are no longer trusted", reason)
         for future in self._sync_waiters:
             if not future.done():
                 future.set_result(False)
@@ -245,7 +252,7 @@
             self._log.mark_void()
 
         done = self._loop.run_in_executor(self._void_executor, void)
-        done.add_done_callback(lambda f: f.exception())  # it may fail as all else does
+        done.add_done_callback(lambda f: f.exception())  # may fail like the other writes; retrieve the error
 
     def _tick(self) -> None:
         if self._closed:
@@ -261,7 +268,7 @@
         if self._failing_since is not None:
             if self.trusted and now - self._failing_since > DISK_FAILURE_TIMEOUT_SECONDS:
                 self.mark_untrusted(self.unavailable_reason)
-            if now >= self._next_retry_at:  # a whole copy: what the failure left is not known
+            if now >= self._next_retry_at:  # rewrite everything: the state after the failure is unknown
                 self._next_retry_at = now + RETRY_INTERVAL_SECONDS
                 rows = [(kind, key, raw) for (kind, key), raw in self._current.items()]
                 self._pending.clear()
@@ -270,7 +277,7 @@
         self._write_next_batch()
 
     async def close(self, last: Sequence[tuple[str, str, Any]] = ()) -> None:
-        """Write what is left, and these last, and let the folder go."""
+        """Write the pending records and the `last` ones, then close the log."""
         if self._timer is not None:
             self._timer.cancel()
         for kind, key, value in last:
--- a/oliveloft/planners/__init__.py
+++ b/oliveloft/planners/__init__.py
@@ -1,2 +1,2 @@
-"""Forwarders and planners on sockets: configuration, wire, a planner's process and a forwarder's links to
-them."""
+"""Forwarders and planners on sockets: configuration, wire protocol, the planner process, and a forwarder's links
+to planners."""
--- a/oliveloft/planners/config.py
+++ b/oliveloft/planners/config.py
@@ -1,5 +1,4 @@
-"""`deploy/planners.toml`, checked key by key: what forwarders and planners are told. Unknown keys are
-errors."""
+"""Loads and checks `deploy/planners.toml`, the configuration of planners and forwarders. Unknown keys are errors."""
 
 from __future__ import annotations
 
@@ -20,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tls:
-    """Files of this side's certificate, its key, and the authority that the other side's must come from."""
+    """Paths of this side's certificate, its key, and the authority that must have signed the peer's certificate."""
 
     certificate: str
     key: str
     authority: str
 
     def server(self) -> ssl.SSLContext:
-        """A context that takes only peers with a certificate of the authority."""
+        """Return a context that accepts only peers with a certificate of the authority."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         return self._load_certificates(context)
 
     def client(self) -> ssl.SSLContext:
-        """The same for the side that connects; names are not checked, the authority is the membership."""
+        """Return a context for the connecting side. Host names are not checked: the authority alone decides access."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         context.check_hostname = False
         return self._load_certificates(context)
@@ -47,7 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannersConfig:
-    """A checked configuration; times are seconds."""
+    """A checked configuration; times are seconds.
+
+    `forwarders` is their number, `planners` maps names to addresses, `session` is the lifetime of a planner's store
+    lease, and `paces` has planners share out the capacity of workers.
+    """
 
     terms: Terms
     forwarders: int
@@ -62,7 +65,7 @@
 
 
 class ConfigTable:
-    """A table of the file, whose keys are taken one by one; what is left over is an error."""
+    """A table of a configuration file, whose keys are taken one by one; remaining keys are an error."""
 
     def __init__(self, name: str, raw: object) -> None:
         if not isinstance(raw, dict):
@@ -70,7 +73,7 @@
         self.name, self._raw, self._known = name, dict(raw), set[str]()
 
     def take(self, key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-        """A key's value; without a default it is needed."""
+        """Return a key's value, or the default; ConfigError where it has the wrong type or is missing."""
         self._known.add(key)
         if key not in self._raw:
             if default is None:
@@ -83,7 +86,7 @@
         return value
 
     def reject_unknown_keys(self) -> None:
-        """Nothing else may stand here."""
+        """Raise ConfigError if a key was not taken, with the closest known key as a hint."""
         for key in self._raw:
             near = difflib.get_close_matches(key, self._known, 1)
             meant = f" (is {near[0]} meant?)" if near else ""
@@ -91,7 +94,7 @@
 
 
 def load(path: str) -> PlannersConfig:
-    """The configuration in a file."""
+    """Load a configuration file. ConfigError where it cannot be read or is invalid."""
     try:
         with open(path, "rb") as file:
             raw = tomllib.load(file)
@@ -101,7 +104,7 @@
 
 
 def parse(raw: Mapping[str, Any], folder: Path) -> PlannersConfig:
-    """A checked configuration; files are named from the folder that the configuration is in."""
+    """Check a parsed configuration; paths in it are relative to `folder`. ConfigError where it is invalid."""
     top = ConfigTable("planners.toml", raw)
     terms = _terms(ConfigTable("terms", top.take("terms", dict, {})))
     forwarders = ConfigTable("forwarders", top.take("forwarders", dict))
@@ -165,7 +168,7 @@
 
 
 def parse_access(table: ConfigTable, folder: Path) -> tuple[bytes, Tls | None]:
-    """The shared secret (empty: none) and the certificates."""
+    """Check the table `access`; return the shared secret (empty: none) and the certificates."""
     file = table.take("secret_file", str, "")
     secret = b""
     if file:
--- a/oliveloft/planners/keeper.py
+++ b/oliveloft/planners/keeper.py
@@ -1,7 +1,8 @@
-"""Keeps a planner's membership and its shards in the store: a session, a watch, claims and releases.
+"""Maintains a planner's registration and its shards in the store: a lease, a watch, claims and releases.
 
-While the store can't be reached, what is owned stays owned: nobody else can claim it either, and forwarders
-follow whoever has the higher epoch. A session that the store has let go of is begun anew, with all it held.
+While the store cannot be reached, a planner keeps the shards it owns: no other planner can claim them either, and
+forwarders follow the planner with the higher epoch. When the store has let the lease expire, the planner takes a new
+one and has to claim its shards again.
 """
 
 from __future__ import annotations
@@ -17,13 +18,17 @@
 
 log = logging.getLogger("oliveloft")
 
-CLAIM_INTERVAL_SECONDS = 0.1  # seconds between looks at what to claim
-RETRY_INTERVAL_SECONDS = 0.3  # seconds until a failed call is tried again
-RENEWALS_PER_SESSION = 4  # in the time of a session
+CLAIM_INTERVAL_SECONDS = 0.1  # interval of checks for shards to claim or release
+RETRY_INTERVAL_SECONDS = 0.3  # wait after a failed store call
+RENEWALS_PER_SESSION = 4  # lease renewals within one lease lifetime
 
 
 class StoreSession:
-    """One planner's place in the store; `changed` is called with the owned shards and their epochs."""
+    """One planner's session in the store.
+
+    `on_ownership_changed` is called with the owned shards and their epochs. `session` is the lease's lifetime in
+    seconds.
+    """
 
     def __init__(
         self,
@@ -39,18 +44,18 @@
         self._prefix, self._ttl, self._on_ownership_changed, self._now = prefix, session, on_ownership_changed, now
         self._lease = 0
         self._owned: dict[int, int] = {}
-        self._state_known = False  # the store's state is known
-        self.last_error = ""  # what the store's last call failed by
+        self._state_known = False  # whether the store has been read
+        self.last_error = ""  # of the latest store call; empty after a success
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Take a place."""
+        """Start the background tasks."""
         self._tasks = [
             asyncio.create_task(work()) for work in (self._maintain_lease, self._watch_store, self._run_transfers)
         ]
 
     async def stop(self) -> None:
-        """Give up the place, so that others need not wait for the session's end."""
+        """Stop and revoke the lease, so that other planners need not wait for its expiry."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -65,11 +70,11 @@
 
     def _record_success(self) -> None:
         if self.last_error:
-            log.info("store: back")
+            log.info("store: reachable again")
         self.last_error = ""
 
     async def _maintain_lease(self) -> None:
-        """Have a lease, and a member's entry under it."""
+        """Hold a lease, with this planner's member entry attached to it."""
         while True:
             try:
                 if not self._lease:
@@ -79,8 +84,8 @@
                     )
                     self._lease = lease
                 elif await self._store.renew(self._lease) <= 0:
-                    log.warning("store: the session has ended; beginning anew")
-                    self._lease = 0  # the watch has told, or will tell, that what was owned under it is gone
+                    log.warning("store: the lease has expired; taking a new one")
+                    self._lease = 0  # the watch reports the loss of all shards that were owned under it
                     continue
                 self._record_success()
                 await asyncio.sleep(self._ttl / RENEWALS_PER_SESSION)
@@ -89,7 +94,7 @@
                 await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
     async def _watch_store(self) -> None:
-        """Know the store's state: read it, then watch, and read again after any break."""
+        """Follow the store's state: read it, then watch for changes, and read it again after an interruption."""
         while True:
             try:
                 snapshot = await self._store.read(self._prefix)
@@ -130,7 +135,7 @@
                     now, shard, None if raw is None else Owner(str(raw["planner"]), int(raw["epoch"]), modified)
                 )
         except (ValueError, KeyError, TypeError) as error:
-            log.warning("store: %s holds nonsense: %r", key, error)
+            log.warning("store: invalid value of %s: %r", key, error)
 
     def _notify_ownership(self) -> None:
         owned = self._ownership.owned()
@@ -139,7 +144,7 @@
             self._on_ownership_changed(dict(owned))
 
     async def _run_transfers(self) -> None:
-        """Try what should be claimed or given up."""
+        """Claim and release shards as `Ownership` asks for."""
         while True:
             await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
             if not self._lease or not self._state_known:
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -1,4 +1,8 @@
-"""A forwarder's links to all planners: what it reports, and how shares reach its decisions."""
+"""Connects a forwarder to all planners: sends its demand reports and applies the shares that planners move.
+
+A forwarder is a gatekeeper in its role toward planners. Its leases are kept by `micagate.planning.holder.Holder`; this
+module only connects that to sockets and to the dispatcher.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +24,21 @@
 
 log = logging.getLogger("oliveloft")
 
-TICK_SECONDS = 0.05  # seconds between looks at what is due
-PULSE_INTERVAL_SECONDS = 1.0  # seconds between signs of life, which tell the epochs heard of
-PLANNER_TIMEOUT_SECONDS = 2.5  # seconds after which a planner that says nothing is taken for gone
-INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 1.0  # seconds between tries to connect
-CONNECT_TIMEOUT_SECONDS = 1.0  # seconds for a connection to come up and open
+TICK_SECONDS = 0.05  # interval of periodic work
+PULSE_INTERVAL_SECONDS = 1.0  # interval of heartbeats, which carry the known epochs
+PLANNER_TIMEOUT_SECONDS = 2.5  # after which an unresponsive planner is disconnected
+INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.1, 1.0  # between connection attempts
+CONNECT_TIMEOUT_SECONDS = 1.0  # for a connection to be established
 
 
 class ShareConsumer(Protocol):
-    """What the links need of the dispatcher."""
+    """What the links need of the dispatcher (`oliveloft.dispatch.dispatcher.RequestDispatcher`)."""
 
     def apply_shares(self, event: interface.ShareUpdate) -> tuple[interface.BucketLevels, ...]:
-        """Take shares; what left the stores with those that were given away."""
+        """Apply a change of shares; return the bucket levels that went with the shares given away."""
 
     def demand_report(self, works: bool) -> interface.DemandReport:
-        """What was asked of each thing since the last survey, and, if told so, what became of attempts at
+        """Return the demand for each resource since the last report; with `works` also the outcomes of attempts at
         workers."""
 
 
@@ -99,7 +103,7 @@
 
 
 class _PlannerLink:
-    """The way to one planner, connected again and again."""
+    """The link to one planner, which reconnects with exponential backoff."""
 
     def __init__(self, links: Links, name: str, address: tuple[str, int]) -> None:
         self.links, self.name, self._address = links, name, address
@@ -129,7 +133,7 @@
         self._logged_problem = ""
 
     def log_problem(self, reason: str) -> None:
-        """Log what is wrong, once until the planner is back."""
+        """Log a problem, once until the planner is back."""
         if reason != self._logged_problem:
             log.warning("planner %s: %s", self.name, reason)
         self._logged_problem = reason
@@ -141,7 +145,7 @@
         if not self._logged_problem:
             self.log_problem(reason)
         self.links.planner_disconnected(self.name)
-        # Spread out: all forwarders lose a planner at the same moment.
+        # Random jitter: all forwarders lose a planner at the same moment.
         delay = self._backoff * random.uniform(0.5, 1.5)
         self._timer = asyncio.get_running_loop().call_later(delay, self.start)
         self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
@@ -156,7 +160,7 @@
 
 
 class Links:
-    """All of a forwarder's links."""
+    """A forwarder's links to all planners; times are seconds on its monotonic clock."""
 
     def __init__(self, name: str, index: int, config: PlannersConfig, decisions: ShareConsumer, born: float) -> None:
         self.name, self.index, self.config, self._share_consumer = name, index, config, decisions
@@ -177,10 +181,10 @@
         self._demands = Demands(born)
         self._links = {planner: _PlannerLink(self, planner, where) for planner, where in config.planners.items()}
         self._owned_shards: dict[str, set[int]] = {}
-        self.planners: dict[str, float] = {}  # when each began its present life, as far as it has told
-        # Asked before loans are promised up to a time: whether that is on record. A report waits where it is not.
+        self.planners: dict[str, float] = {}  # start time of each planner's process, where known
+        # Called before leases are promised up to a time: whether that is recorded on disk. If not, reports wait.
         self.records: Callable[[float], bool] = lambda until: True
-        # Asked whether what an earlier life lent is surely back: with a memory that may be known sooner.
+        # Returns whether all leases of an earlier incarnation have expired; a record store may know that sooner.
         self.over: Callable[[float], bool] = lambda now: False
         self._demand_reported_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
@@ -188,7 +192,7 @@
 
     @staticmethod
     def now() -> float:
-        """This forwarder's clock, read anew at each look, also after a pause."""
+        """Return the monotonic time; read at each use, so that it is right after the process was paused."""
         return time.monotonic()
 
     def start(self) -> None:
@@ -207,16 +211,16 @@
 
     @property
     def open(self) -> int:
-        """How many planners can be spoken to."""
+        """Return how many planners are connected."""
         return sum(link.connection is not None and link.connection.is_open for link in self._links.values())
 
     async def ready(self) -> None:
-        """Wait until what an earlier life of this forwarder may have lent is surely back."""
+        """Wait until all leases of an earlier incarnation of this forwarder have expired."""
         while not (self.holder.ready(self.now()) or self.over(self.now())):
             await asyncio.sleep(0.05)
 
     def handle_message(self, planner: str, message: wire.Message) -> None:
-        """A planner has said something."""
+        """Handle a message of a planner."""
         now = self.now()
         match message:
             case PlannerUpdate():
@@ -235,23 +239,23 @@
             case wire.Refused(why):
                 raise wire.WireError(f"refused: {why[:200]}")
             case _:
-                raise wire.WireError(f"a {type(message).__name__} from a planner")
+                raise wire.WireError(f"unexpected {type(message).__name__} from a planner")
 
     def planner_disconnected(self, planner: str) -> None:
-        """A planner's connection has ended."""
+        """Handle the end of a planner's connection."""
         self._owned_shards.pop(planner, None)
         self.holder.planner_disconnected(self.now(), planner)
 
     def _flush_soon(self) -> None:
-        """Answer what a planner said in this round of the loop, once."""
+        """Schedule one flush for all messages received in this iteration of the event loop."""
         if not self._flush_scheduled:
             self._flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Carry shares to the decisions, and reports to the planners.
+        """Apply changes of shares, then send reports to the planners.
 
-        What is lent must be out of use here before a planner hears of it: so shares go first.
+        Shares go first: a lent share must be out of use here before a planner is notified of it.
         """
         self._flush_scheduled = False
         now = self.now()
@@ -263,7 +267,7 @@
         for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
             self.holder.record_released(event.session, self._share_consumer.apply_shares(event))
         if not self.records(now + self.config.terms.term * (1 + 3 * self.config.terms.drift)):
-            return  # what is reported renews loans: not beyond what a next life would know of
+            return  # a report renews leases, and the next incarnation has to know of them from the disk
         for planner, report in self.holder.reports(now, blocked):
             connection = self._links[planner].connection
             if connection is not None:
@@ -286,6 +290,6 @@
                 link.log_problem("silent")
                 connection.abort()
             elif now - connection.pulse_sent_at > PULSE_INTERVAL_SECONDS and not connection.blocked:
-                # However busy the line is: a planner that claims shards has to know the epochs.
+                # Also sent on a busy connection: a planner that claims shards has to know the epochs.
                 connection.pulse_sent_at = now
                 connection.send(wire.Pulse(tuple(self.holder.epochs().items())))
--- a/oliveloft/planners/peer.py
+++ b/oliveloft/planners/peer.py
@@ -1,4 +1,4 @@
-"""What both ends of a connection between forwarder and planner have in common."""
+"""The base of all connections that use the wire protocol: forwarder to planner and member to member."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from micagate.planning.messages import Malformed
 from oliveloft.planners import wire
 
-WRITE_BUFFER_HIGH_WATER_BYTES = (
-    256 * 1024
-)  # bytes that the other side has not read, beyond which nothing more is made for it
+WRITE_BUFFER_HIGH_WATER_BYTES = 256 * 1024  # unread bytes beyond which the peer counts as blocked
 
 
 class FramedConnection(asyncio.Protocol):
-    """Frames in and out, and whether the other side reads; `take` and `wrong` are each end's own."""
+    """Sends and receives frames, and tracks whether the peer reads.
+
+    Subclasses implement `handle_message` and `protocol_error`. Times are monotonic.
+    """
 
     def __init__(self) -> None:
         self.framer = wire.Framer()
@@ -23,24 +24,24 @@
         self.transport: asyncio.Transport | None = None
         self.blocked = False
         self.last_received_at = time.monotonic()
-        self.last_sent_at = 0.0  # when something was last sent
-        self.bytes_received = self.bytes_sent = 0  # bytes
+        self.last_sent_at = 0.0
+        self.bytes_received = self.bytes_sent = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It stands."""
+        """Keep the transport and set its buffer limit."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_WATER_BYTES)
 
     def pause_writing(self) -> None:
-        """The other side does not read: its news add up in the books instead."""
+        """Mark the peer as blocked: updates for it accumulate in the state of their sender instead."""
         self.blocked = True
 
     def resume_writing(self) -> None:
-        """It reads again."""
+        """Mark the peer as reading again."""
         self.blocked = False
 
     def send(self, message: wire.Message) -> None:
-        """Write a message."""
+        """Send a message; does nothing on a closed connection."""
         if self.transport is not None:
             data = wire.encode(message)
             self.bytes_sent += len(data)
@@ -48,7 +49,7 @@
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the other side."""
+        """Decode received bytes and handle each message."""
         self.bytes_received += len(data)
         try:
             for message in self.framer.feed(data):
@@ -60,14 +61,14 @@
             self.protocol_error(str(error))
 
     def handle_message(self, message: wire.Message) -> None:
-        """A message has come."""
+        """Handle a received message. May raise WireError or Malformed."""
         raise NotImplementedError
 
     def protocol_error(self, reason: str) -> None:
-        """What came makes no sense, or may not come."""
+        """Handle input that is malformed or not allowed in the current state."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -1,4 +1,8 @@
-"""A planner: forwarders' connections, a ledger for each shard it owns, and its place in the store."""
+"""Runs a planner: connections of forwarders, a ledger for each owned shard, and its session in the store.
+
+A planner divides quotas and ceilings among forwarders by their demand reports. Which planner owns which shard of the
+resources is agreed through the store (`oliveloft.store`); the rules are in `micagate.planning`.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +26,16 @@
 
 log = logging.getLogger("oliveloft")
 
-TICK_SECONDS = 0.05  # seconds between looks at what is due
-DECISION_DELAY_SECONDS = (
-    0.004  # seconds after a report in which others are waited for, so that one decision serves them all
-)
-OWNERSHIP_INTERVAL_SECONDS = (
-    0.5  # seconds between two tellings of what is owned, which also show that the planner is there
-)
-PEER_TIMEOUT_SECONDS = 3.0  # seconds after which a peer that says nothing is dropped
-HANDSHAKE_TIMEOUT_SECONDS = 2.0  # seconds that a peer may take to prove itself
+TICK_SECONDS = 0.05  # interval of periodic work
+DECISION_DELAY_SECONDS = 0.004  # wait after a report for further ones, so that one decision serves them all
+OWNERSHIP_INTERVAL_SECONDS = 0.5  # interval of messages about owned shards, which also serve as heartbeats
+PEER_TIMEOUT_SECONDS = 3.0  # after which an unresponsive peer is disconnected
+HANDSHAKE_TIMEOUT_SECONDS = 2.0  # for a peer to authenticate
 MAX_CONNECTIONS = 2048
 
 
 class ClientConnection(FramedConnection):
-    """A peer's connection: a forwarder's, or one that asks for the status."""
+    """A connection accepted by a planner: from a forwarder, or from a client that queries the status."""
 
     def __init__(self, planner: Planner) -> None:
         super().__init__()
@@ -44,7 +44,7 @@
         self.role = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Challenge."""
+        """Send the challenge, or close the connection if there are too many."""
         super().connection_made(transport)
         if self._planner.connection_opened(self):
             self.send(wire.Challenge(wire.VERSION, self.nonce))
@@ -52,12 +52,12 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Gone."""
+        """Remove the connection from the planner."""
         self.transport = None
         self._planner.connection_lost(self)
 
     def handle_message(self, message: wire.Message) -> None:
-        """A message of the peer."""
+        """Handle a message: the handshake first, then the peer's messages."""
         if not self.role:
             self._handshake(message)
         else:
@@ -65,7 +65,7 @@
 
     def _handshake(self, message: wire.Message) -> None:
         if not isinstance(message, wire.Hello):
-            raise wire.WireError("the opening is no Hello")
+            raise wire.WireError("the first message is not a Hello")
         if message.version != wire.VERSION:
             raise wire.WireError(f"version {message.version}, here it is {wire.VERSION}")
         secret = self._planner.config.secret
@@ -88,7 +88,7 @@
             self._planner.send_ownership(self)
 
     def protocol_error(self, reason: str) -> None:
-        """Say why, and close; the log has it once for each peer and reason."""
+        """Send the reason to the peer and close; it is logged once per peer and reason."""
         if self.transport is not None:
             address = self.transport.get_extra_info("peername")
             self._planner.log_problem(self.name or (address[0] if address else "?"), reason)
@@ -97,7 +97,7 @@
 
 
 class Planner:
-    """One planner's process."""
+    """One planner process; times are seconds on its monotonic clock."""
 
     def __init__(self, name: str, config: PlannersConfig, store: Store) -> None:
         self.name, self.config = name, config
@@ -108,7 +108,7 @@
         self._logged_problems: set[tuple[str, str]] = set()
         self._decision_timer: asyncio.TimerHandle | None = None
         self._ownership_sent_at = 0.0
-        self.planning_seconds = 0.0  # seconds spent in deciding
+        self.planning_seconds = 0.0  # total time spent in decisions
         self._started_at = self.now()
         host, port = config.planners[name]
         self._store_session = StoreSession(
@@ -119,15 +119,15 @@
 
     @staticmethod
     def now() -> float:
-        """This planner's clock: monotonic, and read anew at each look, also after a pause."""
+        """Return the monotonic time; read at each use, so that it is right after the process was paused."""
         return time.monotonic()
 
     def uptime(self) -> float:
-        """Seconds that this planner is up."""
+        """Return the seconds since this planner started."""
         return self.now() - self._started_at
 
     async def start(self) -> None:
-        """Listen, and take a place in the store."""
+        """Listen, and register in the store. ConfigError where the address cannot be bound."""
         self._loop = asyncio.get_running_loop()
         host, port = self.config.planners[self.name]
         context = self.config.tls.server() if self.config.tls else None
@@ -139,7 +139,7 @@
         self._tick()
 
     async def stop(self) -> None:
-        """Give up the shards and close."""
+        """Release the shards and close all connections."""
         await self._store_session.stop()
         for handle in (self._tick_timer, self._decision_timer):
             if handle is not None:
@@ -167,14 +167,14 @@
             self.send_ownership(connection)
 
     def send_ownership(self, connection: ClientConnection) -> None:
-        """Tell a forwarder what this planner owns."""
+        """Send the owned shards to a forwarder."""
         if not connection.blocked:
             connection.send(wire.Owned(tuple((shard, ledger.epoch) for shard, ledger in self._ledgers.items())))
 
     # Peers.
 
     def connection_opened(self, connection: ClientConnection) -> bool:
-        """A connection has come up; False where there are too many."""
+        """Register a new connection; return False where there are too many."""
         if len(self._connections) >= MAX_CONNECTIONS:
             self.log_problem("connections", f"more than {MAX_CONNECTIONS}")
             return False
@@ -183,27 +183,27 @@
         return True
 
     def handshake_complete(self, connection: ClientConnection, hello: wire.Hello) -> None:
-        """A peer has proved itself."""
+        """Register an authenticated peer. WireError where its configuration does not match."""
         if hello.role == "forwarder":
             if hello.forwarders != self.config.forwarders:
                 raise wire.WireError(f"{hello.forwarders} forwarders, here {self.config.forwarders}")
             if hello.terms != wire.agreed(self.config.terms):
                 raise wire.WireError(
-                    f"life, term, drift and shards are {hello.terms}, here " f"{wire.agreed(self.config.terms)}"
+                    f"life, term, drift and shards are {hello.terms}, here {wire.agreed(self.config.terms)}"
                 )
             if not 0 <= hello.index < self.config.forwarders or not 0 < len(hello.name) <= 64:
                 raise wire.WireError(f"no forwarder {hello.name[:64]!r} with the number {hello.index}")
             connection.name, connection.index = hello.name, hello.index
             previous = self._forwarders.get(hello.name)
             if previous is not None:
-                previous.abort()  # an earlier life, or a connection that broke unseen
+                previous.abort()  # of an earlier incarnation, or broken without notice
                 self._forwarder_left(hello.name)
             self._forwarders[hello.name] = connection
             self._record_epochs(hello.epochs)
         connection.role = hello.role
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
         if self._forwarders.get(connection.name) is connection:
             del self._forwarders[connection.name]
@@ -219,22 +219,22 @@
                 self._ownership.heard(shard, epoch)
 
     def log_problem(self, source: str, reason: str) -> None:
-        """Log a complaint once."""
+        """Log a problem once per source and reason."""
         if (source, reason) not in self._logged_problems:
             if len(self._logged_problems) < 256:
                 self._logged_problems.add((source, reason))
             log.warning("%s: %s", source, reason)
 
     def handle_message(self, connection: ClientConnection, message: wire.Message) -> None:
-        """A message of a peer that has proved itself."""
+        """Handle a message of an authenticated peer."""
         if connection.role != "forwarder":
-            raise wire.WireError("nothing more is taken on a status connection")
+            raise wire.WireError("a status connection accepts no further messages")
         match message:
             case Report():
                 check(message, self.config.forwarders, self.config.terms.entries)
                 ledger = self._ledgers.get(message.shard)
                 if ledger is None or ledger.epoch != message.epoch:
-                    return  # it will hear of the owner
+                    return  # the forwarder will be notified of the owner
                 restart = ledger.report(self.now(), connection.name, connection.index, message)
                 if restart is not None:
                     connection.send(restart)
@@ -243,9 +243,9 @@
             case wire.Pulse(epochs):
                 self._record_epochs(epochs)
             case _:
-                raise wire.WireError(f"a {type(message).__name__} from a forwarder")
+                raise wire.WireError(f"unexpected {type(message).__name__} from a forwarder")
 
-    # Deciding.
+    # Decisions.
 
     def _decide(self) -> None:
         self._decision_timer = None
@@ -269,10 +269,10 @@
                 if now - connection.last_received_at > PEER_TIMEOUT_SECONDS and connection.role:
                     connection.abort()
 
-    # What can be seen.
+    # Status.
 
     def status(self) -> dict[str, object]:
-        """This planner's state, for `planners status`."""
+        """Return this planner's state, for `planners status`."""
         now = self.now()
         shards = {}
         workers: dict[str, dict[str, float]] = {}
@@ -300,7 +300,7 @@
             for name, (count, total) in ledger.granted(now).items():
                 entry = forwarders.setdefault(
                     name,
-                    {  # gone, but what it has out may be in use
+                    {  # disconnected, but its grants may still be in use
                         "number": None,
                         "heard_s": None,
                         "report_s": None,
@@ -330,7 +330,7 @@
 
 
 async def serve(name: str, config: PlannersConfig) -> int:
-    """Run a planner until a signal; the exit status. The first of the planners hosts an embedded store."""
+    """Run a planner until a signal; return the exit status. The first of the planners hosts an embedded store."""
     embedded_store = None
     if config.embedded and name == next(iter(config.planners)):
         from rig.etcd import EtcdStandIn
--- a/oliveloft/planners/status.py
+++ b/oliveloft/planners/status.py
@@ -1,4 +1,4 @@
-"""`python -m oliveloft planners status`: asks each planner, and shows who owns what."""
+"""Implements `python -m oliveloft planners status`: queries each planner and shows which shards it owns."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 from oliveloft.planners import wire
 from oliveloft.planners.config import PlannersConfig, Tls, load
 
-QUERY_TIMEOUT_SECONDS = 2.0  # seconds for a planner to answer
+QUERY_TIMEOUT_SECONDS = 2.0  # for a planner or member to answer
 
 
 async def query_planner(name: str, config: PlannersConfig) -> dict[str, Any]:
-    """One planner's state; WireError or OSError where it can't be had."""
+    """Return one planner's state. WireError, OSError or TimeoutError where it cannot be queried."""
     return await query_status("planner", config.planners[name], config.secret, config.tls, config.forwarders)
 
 
 async def query_status(side: str, where: tuple[str, int], secret: bytes, tls: Tls | None, count: int) -> dict[str, Any]:
-    """The state of whoever listens there, a `planner` or a `member`; WireError or OSError where it can't be had."""
+    """Return the state of the process at an address; `side` is `planner` or `member`.
+
+    Raises WireError, OSError or TimeoutError where it cannot be queried.
+    """
     host, port = where
     context = tls.client() if tls else None
     async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
@@ -47,14 +50,14 @@
                         case wire.Refused(why):
                             raise wire.WireError(f"refused: {why}")
                         case _:
-                            raise wire.WireError(f"a {type(message).__name__}")
+                            raise wire.WireError(f"unexpected {type(message).__name__}")
         finally:
             writer.close()
     raise wire.WireError("the connection was closed")
 
 
 async def gather(config: PlannersConfig) -> dict[str, dict[str, Any]]:
-    """All planners' states; one that can't be asked has an `error`."""
+    """Return the state of each planner; one that cannot be queried has an `error`."""
 
     async def one(name: str) -> dict[str, Any]:
         try:
@@ -67,7 +70,7 @@
 
 
 def table(states: dict[str, dict[str, Any]], shards: int) -> str:
-    """The states as a person reads them."""
+    """Format the states as a table for operators."""
     lines = [f"{'planner':12} {'shards':>7} {'epochs':>12} {'things':>7} {'up s':>8}  store"]
     covered: set[str] = set()
     forwarders: dict[str, dict[str, Any]] = {}
@@ -110,8 +113,8 @@
 
 
 def main(file: str, as_json: bool) -> int:
-    """Print the state: 0 where all shards are owned by planners that answer, 1 where not, 2 for a bad
-    file."""
+    """Print the state; return 0 if all shards are owned by planners that answer, 1 if not, 2 for an invalid
+    configuration."""
     try:
         config = load(file)
     except ConfigError as error:
--- a/oliveloft/planners/wire.py
+++ b/oliveloft/planners/wire.py
@@ -1,8 +1,11 @@
-"""The wire between forwarders, planners and members: frames of MessagePack, checked by type, with an opening.
+"""The wire protocol between forwarders, planners and members: typed MessagePack frames after a handshake.
 
-A frame is its length in four bytes, the most significant first, and one message. The planner begins with a
-`Challenge`, the other side proves that it knows the secret by an HMAC over both nonces (RFC 2104), and the
-planner proves the same. Nothing but the opening is read or told before that.
+A frame is its length in four bytes, most significant byte first, and one message. The accepting side sends a
+`Challenge`, the connecting side proves in its `Hello` that it knows the shared secret by an HMAC over both nonces
+(RFC 2104), and the accepting side proves the same in its `Welcome`. Before that only handshake messages are accepted
+and nothing else is sent.
+
+Messages are arrays with numbered tags: tags, field order and field types are part of the protocol.
 """
 
 from __future__ import annotations
@@ -19,25 +22,25 @@
 
 VERSION = 3
 MOST_FRAME = 256 * 1024
-OPENING_FRAME = 4096  # the same until a peer has proved itself
+OPENING_FRAME = 4096  # limit until a peer has authenticated
 
 
 class WireError(Exception):
-    """What came is no message of this wire; the text says what is wrong."""
+    """Raised for input that violates the protocol; the text says how."""
 
 
 class Challenge(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """The planner's first message."""
+    """The first message of the accepting side."""
 
     version: int
     nonce: bytes
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """The other side's first message; `role` is forwarder, member or status.
+    """The first message of the connecting side.
 
-    `forwarders` is how many there are of its kind, `name` what it goes by. A member's `epochs` is the number of its
-    life.
+    `role` is `forwarder`, `member` or `status`, `name` is the sender's, and `forwarders` is the configured number of
+    forwarders or members. `epochs` are the known epochs of shards; for a member they hold its incarnation number.
     """
 
     version: int
@@ -48,37 +51,37 @@
     nonce: bytes
     proof: bytes
     epochs: tuple[tuple[int, int], ...] = ()
-    terms: tuple[float, ...] = ()  # life, term, drift and shards: the rules rest on their being the same
+    terms: tuple[float, ...] = ()  # life, term, drift and shards: must be equal on both sides
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """The planner knows the other side; what follows is trusted."""
+    """Accepts the connecting side and proves that the sender knows the secret; later messages are trusted."""
 
     planner: str
     proof: bytes
-    age: float = 0.0  # seconds that it is up: what was lent to one before that is known to it no more
+    age: float = 0.0  # seconds since the sender's start: it does not know of leases from before
 
 
 class Owned(msgspec.Struct, frozen=True, array_like=True, tag=19):
-    """All shards that the planner owns, with their epochs; told at each change, and now and then."""
+    """All shards that a planner owns, with their epochs; sent at each change and periodically."""
 
     shards: tuple[tuple[int, int], ...]
 
 
 class Pulse(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """A forwarder is still there."""
+    """A forwarder's heartbeat, with the epochs of shards that it knows."""
 
     epochs: tuple[tuple[int, int], ...] = ()
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """Why the planner closes the connection; nothing secret."""
+    """Why the sender closes the connection; never contains a secret."""
 
     why: str
 
 
 class Status(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """The planner's state as JSON, for `planners status`."""
+    """The state of a planner or member as JSON, for `planners status` and `fleet status`."""
 
     state: str
 
@@ -105,20 +108,20 @@
 
 
 def encode(message: Message) -> bytes:
-    """A frame."""
+    """Return a message as a frame."""
     raw = _encoder.encode(message)
     return len(raw).to_bytes(4, "big") + raw
 
 
 class Framer:
-    """Takes bytes as they come and gives messages; bounded by the longest frame that is allowed just now."""
+    """Decodes a stream of bytes into messages; `most` is the largest payload in bytes that is allowed at present."""
 
     def __init__(self) -> None:
         self._held = bytearray()
         self.most = OPENING_FRAME
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole; WireError where one is too long or nonsense."""
+        """Add received bytes and return all complete messages. WireError where one is too long or malformed."""
         self._held += data
         made: list[Message] = []
         start = 0
@@ -132,28 +135,28 @@
             try:
                 made.append(_decoder.decode(raw))
             except (msgspec.DecodeError, RecursionError) as error:
-                raise WireError(f"no message: {error}") from error
+                raise WireError(f"malformed message: {error}") from error
             start += 4 + size
         del self._held[:start]
         return made
 
 
 def agreed(terms: Terms) -> tuple[float, ...]:
-    """The terms that both sides must have alike."""
+    """Return the terms that must be equal on both sides."""
     return terms.life, terms.term, terms.drift, float(terms.shards)
 
 
 def nonce() -> bytes:
-    """A fresh one."""
+    """Return a random nonce."""
     return secrets.token_bytes(16)
 
 
 def proof(secret: bytes, side: str, challenge: bytes, answer: bytes, name: str) -> bytes:
-    """Proves that a side knows the secret; each side's is another, so that none can be sent back."""
+    """Return a proof that a side knows the secret; it depends on the side, so that it cannot be reflected."""
     message = b"\0".join((str(VERSION).encode(), side.encode(), challenge, answer, name.encode()))
     return hmac.new(secret, message, hashlib.sha256).digest()
 
 
 def proved(secret: bytes, side: str, challenge: bytes, answer: bytes, name: str, given: bytes) -> bool:
-    """Whether a proof is right, in the same time whatever is wrong with it."""
+    """Return whether a proof is right, in constant time."""
     return hmac.compare_digest(proof(secret, side, challenge, answer, name), given)
--- a/oliveloft/store/__init__.py
+++ b/oliveloft/store/__init__.py
@@ -1,1 +1,1 @@
-"""Where planners agree on who plans what: a store with compare-and-set, leases and watch, such as etcd."""
+"""The store in which planners agree on ownership of shards: compare-and-set, leases and watches, such as etcd."""
--- a/oliveloft/store/etcd.py
+++ b/oliveloft/store/etcd.py
@@ -1,4 +1,4 @@
-"""etcd v3 by its JSON gateway (etcd's documentation, "gRPC gateway"): over HTTP, each request one POST."""
+"""A client of etcd v3 through its JSON gateway (etcd's documentation, "gRPC gateway"): each request is one POST."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from oliveloft.store.interface import Change, Compacted, Entry, Put, Snapshot, StoreError
 
-MAX_RESPONSE_BYTES = 4 * 1024 * 1024  # bytes of an answer or of a line of a watch
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024  # also the limit of one line of a watch
 
 
 def _decode(raw: str) -> str:
@@ -24,7 +24,7 @@
 
 
 def _prefix_end(prefix: str) -> str:
-    """The first key that comes after all that begin so."""
+    """Return the first key after all keys with the prefix, encoded."""
     raw = prefix.encode()
     return base64.b64encode(raw[:-1] + bytes([raw[-1] + 1])).decode()
 
@@ -45,7 +45,10 @@
         return self._session
 
     async def _post(self, path: str, body: dict[str, Any], repeat: bool = False) -> dict[str, Any]:
-        """A call; only one that may be repeated goes to another endpoint after it may have been done."""
+        """Send a request and return the decoded answer.
+
+        A request that may have taken effect is sent to another endpoint only with `repeat`.
+        """
         why = "no endpoint"
         for endpoint in list(self._endpoints):
             try:
@@ -57,7 +60,7 @@
                     if answer.status != 200:
                         raise StoreError(f"{path}: {answer.status} {str(made)[:200]}")
                     if not isinstance(made, dict):
-                        raise StoreError(f"{path}: no object")
+                        raise StoreError(f"{path}: the answer is not a JSON object")
                     if endpoint != self._endpoints[0]:
                         self._endpoints.remove(endpoint)
                         self._endpoints.insert(0, endpoint)
@@ -71,7 +74,7 @@
         raise StoreError(f"{path}: {why}")
 
     async def lease(self, seconds: float) -> int:
-        """A new lease (etcd lengthens very short ones)."""
+        """Create a lease (etcd lengthens very short ones)."""
         made = await self._post("/v3/lease/grant", {"TTL": str(max(1, round(seconds)))})
         try:
             return int(made["ID"])
@@ -91,7 +94,7 @@
         await self._post("/v3/lease/revoke", {"ID": str(lease)}, repeat=True)
 
     async def read(self, prefix: str) -> Snapshot:
-        """All keys that begin so."""
+        """Return all keys that begin with the prefix."""
         body = {"key": _encode(prefix), "range_end": _prefix_end(prefix)}
         made = await self._post("/v3/kv/range", body, repeat=True)
         try:
@@ -123,7 +126,7 @@
             raise StoreError(f"txn: {error!r}") from error
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[list[Change]]:
-        """The changes under a prefix after a revision."""
+        """Yield the changes under a prefix after a revision."""
         body = {
             "create_request": {
                 "key": _encode(prefix),
@@ -172,7 +175,7 @@
         return changes
 
     async def close(self) -> None:
-        """Give up all connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
             self._session = None
--- a/oliveloft/store/interface.py
+++ b/oliveloft/store/interface.py
@@ -1,4 +1,4 @@
-"""What planners ask of a store; one contract suite holds every engine to it (`tests/store/`)."""
+"""Defines the store that planners need. The contract tests in `tests/store/` apply to every implementation."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class StoreError(Exception):
-    """The store can't be reached, took too long or answered nonsense; what was asked may have been done."""
+    """Raised where the store is unreachable, too slow or sends a malformed answer; the call may have taken effect."""
 
 
 class Compacted(StoreError):
-    """A watch begins at a revision that the store no longer keeps: read anew, and watch from there."""
+    """Raised where a watch begins at a revision that is already compacted: read again and watch from there."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A value to be written; with a lease it goes when that does (0: it stays)."""
+    """A value to write; with a lease the key is deleted when that ends (0: no lease)."""
 
     key: str
     value: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A key was changed, or is gone (`value` is None)."""
+    """A changed key; `value` is None if it was deleted."""
 
     key: str
     value: str | None
@@ -51,30 +51,30 @@
 
 
 class Store(Protocol):
-    """Keys and values are text. Every call raises `StoreError` where its outcome is not known."""
+    """A key-value store. Keys and values are text. Every call raises `StoreError` where its outcome is unknown."""
 
     async def lease(self, seconds: float) -> int:
-        """A new lease that ends so many whole seconds after its last renewal; the engine may lengthen it."""
+        """Create a lease that expires this time after its last renewal, in whole seconds; the store may lengthen it."""
 
     async def renew(self, lease: int) -> float:
-        """Renew a lease: the seconds it now has, 0 where it has ended."""
+        """Renew a lease; return its remaining seconds, 0 if it has expired."""
 
     async def revoke(self, lease: int) -> None:
-        """End a lease, and all keys under it, now."""
+        """End a lease now and delete all keys under it."""
 
     async def read(self, prefix: str) -> Snapshot:
-        """All keys that begin so."""
+        """Return all keys that begin with the prefix."""
 
     async def commit(
         self, expect: Mapping[str, int], puts: Sequence[Put] = (), deletes: Sequence[str] = ()
     ) -> int | None:
-        """Write all or nothing, if each key in `expect` was last changed at that revision (0: is not there).
+        """Write all or nothing, if each key in `expect` was last changed at the given revision (0: does not exist).
 
-        The new revision, or None where a key was otherwise.
+        Returns the new revision, or None if the condition did not hold.
         """
 
     def watch(self, prefix: str, after: int) -> AsyncIterator[list[Change]]:
-        """The changes under a prefix after a revision, in order, until the caller stops."""
+        """Yield the changes under a prefix after a revision, in order, until the caller stops."""
 
     async def close(self) -> None:
-        """Give up all connections."""
+        """Close all connections."""
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -343,7 +343,7 @@
             fleet.knobs(0, sync_takes=6.0)
             answer = await fleet.forwarders[0].call("OFFLINE worker-1")
             assert answer.startswith("fail") and "not on disk" in answer
-            await until(lambda: logged(fleet.forwarders[0], "nothing of it is believed"))
+            await until(lambda: logged(fleet.forwarders[0], "records on disk are no longer trusted"))
             fleet.kill(0)
             await fleet.dead(0)
             fleet.knobs(0)
