--- a/oliveloft/fleet/config.py
+++ b/oliveloft/fleet/config.py
@@ -53,11 +53,13 @@
         raise ConfigError("members: must name at least one member")
     if len(members) > MAX_MEMBERS:
         raise ConfigError(f"members: {len(members)}, at most {MAX_MEMBERS}")
-    taken: dict[tuple[str, int], str] = {}
-    for name, where in members.items():
-        if where in taken:
-            raise ConfigError(f"members.{name}: {where[0]}:{where[1]} is already the address of {taken[where]}")
-        taken[where] = name
+    owners: dict[tuple[str, int], str] = {}
+    for name, endpoint in members.items():
+        if endpoint in owners:
+            raise ConfigError(
+                f"members.{name}: {endpoint[0]}:{endpoint[1]} is already the address of {owners[endpoint]}"
+            )
+        owners[endpoint] = name
     listen = _addresses("listen", top.take("listen", dict, {}))
     for name in listen:
         if name not in members:
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -130,13 +130,13 @@
             for (kind, key), value in self._loaded.records.items()
             if kind == FACT and (fact := _parse_fact(key, value)) is not None
         ]
-        last = self._last_incarnation_number()
+        last_incarnation = self._last_incarnation_number()
         # A number that was never used before: above the last one on disk, and by clock and chance without a disk.
-        boot = max(last + 1, int(self.unix_time() * 1000) * 1024 + self._random.randrange(1024))
+        incarnation = max(last_incarnation + 1, int(self.unix_time() * 1000) * 1024 + self._random.randrange(1024))
         self.members = members = Members(
             self.name,
             list(self.fleet.members),
-            boot,
+            incarnation,
             now,
             self._random,
             self.fleet.times,
@@ -154,18 +154,18 @@
             if isinstance(seen, list) and len(seen) == 3 and isinstance(seen[0], int):
                 members.earlier_incarnations[name] = seen[0]
         if self.memory is not None:
-            carried = {
+            initial_records = {
                 key: value
                 for key, value in self._loaded.records.items()
                 if self._loaded.owner == self.name or key[0] == FACT
             }
-            carried[BOOT, ""] = boot
-            beginning = self._loop.create_task(self.memory.rewrite(carried))
-            await asyncio.wait((beginning,), timeout=self.fleet.limits.memory or None)
-            if not beginning.done():
+            initial_records[BOOT, ""] = incarnation
+            rewrite_task = self._loop.create_task(self.memory.rewrite(initial_records))
+            await asyncio.wait((rewrite_task,), timeout=self.fleet.limits.memory or None)
+            if not rewrite_task.done():
                 self.memory.mark_untrusted(f"no answer of the disk for {self.fleet.limits.memory:g} s")
             self.memory_unavailable_reason = self.memory.unavailable_reason
-            self._rewrite_task = beginning
+            self._rewrite_task = rewrite_task
         for fact in facts:
             if fact.kind == MAINTENANCE:
                 self._apply_maintenance(fact)
@@ -180,7 +180,7 @@
         log.info(
             "fleet: %s, incarnation %d, %s, previous end: %s",
             self.name,
-            boot,
+            incarnation,
             f"{len(self._loaded.records)} records in memory"
             if not self.memory_unavailable_reason
             else f"no memory: {self.memory_unavailable_reason}",
@@ -206,26 +206,26 @@
             log.warning("memory: it had failed before the end; ceilings begin empty")
 
     def _previous_incarnation(self) -> dict[str, Any]:
-        row = self._loaded.records.get((INCARNATION, ""))
-        return row if isinstance(row, dict) and self._loaded.owner == self.name else {}
+        record = self._loaded.records.get((INCARNATION, ""))
+        return record if isinstance(record, dict) and self._loaded.owner == self.name else {}
 
     def _last_incarnation_number(self) -> int:
         """Return the highest incarnation number recorded on disk, 0 if there is none."""
-        own = self._loaded.owner == self.name
+        is_own_log = self._loaded.owner == self.name
         return max(
-            _int_or_zero(self._loaded.records.get((BOOT, ""))) if own else 0,
+            _int_or_zero(self._loaded.records.get((BOOT, ""))) if is_own_log else 0,
             _int_or_zero(self._previous_incarnation().get("boot")),
         )
 
     def _previous_end(self) -> End:
-        life = self._previous_incarnation()
-        if not life:
+        previous = self._previous_incarnation()
+        if not previous:
             return End.UNKNOWN
-        if life.get("end") == End.ASKED.value:
+        if previous.get("end") == End.ASKED.value:
             return End.ASKED
-        if not self._boot_id or not life.get("machine"):
+        if not self._boot_id or not previous.get("machine"):
             return End.UNKNOWN
-        return End.KILLED if life["machine"] == self._boot_id else End.POWER
+        return End.KILLED if previous["machine"] == self._boot_id else End.POWER
 
     def _assess_start(self, peers: Peers) -> Case:
         """Return the circumstances of this start: state of the disk, previous end, answers of peers."""
@@ -242,9 +242,9 @@
             disk = Disk.OLD
         else:
             disk = Disk.OWN
-        core = loaded.records.get(("core", ""))
-        at = core.get("at") if isinstance(core, dict) else None
-        age = max(0.0, self.unix_time() - at) if isinstance(at, int | float) else UNKNOWN_AGE_SECONDS
+        core_state = loaded.records.get(("core", ""))
+        saved_at = core_state.get("at") if isinstance(core_state, dict) else None
+        age = max(0.0, self.unix_time() - saved_at) if isinstance(saved_at, int | float) else UNKNOWN_AGE_SECONDS
         return Case(
             disk,
             self._previous_end(),
@@ -289,33 +289,37 @@
 
     def _restored_marks(self, now: float) -> Marks:
         """Return the high-water marks of ceilings that this incarnation begins with."""
-        life = self._previous_incarnation()
+        previous = self._previous_incarnation()
         verdict = judge(Kind.CEILINGS, self._recovery_case)
-        born, offset = life.get("born"), life.get("offset")
-        if verdict.way is not Way.TAKEN or not isinstance(born, int | float) or not isinstance(offset, int | float):
+        created_at, offset = previous.get("born"), previous.get("offset")
+        if (
+            verdict.way is not Way.TAKEN
+            or not isinstance(created_at, int | float)
+            or not isinstance(offset, int | float)
+        ):
             return Marks(now)
-        if life.get("machine") == self._boot_id and self._boot_id:
+        if previous.get("machine") == self._boot_id and self._boot_id:
             shift = 0.0  # same boot: the loop's monotonic clock has continued
         elif (
             (self._peer_answers.stayed or self._peer_answers.back)
             and not self._peer_answers.stepped
-            and not life.get("stepped")
+            and not previous.get("stepped")
         ):
             shift = offset - self._clock_offset
         else:
             # The downtime is unknown, so none is credited: the newest mark is moved to the start of this process.
             newest = max(
                 [
-                    born,
+                    created_at,
                     *(row[1] for (kind, _), row in self._loaded.records.items() if kind == MARK and _is_mark_row(row)),
                 ]
             )
             shift = self._started_at - newest
-        kept = {}
+        marks = {}
         for (kind, key), row in self._loaded.records.items():
-            if kind == MARK and _is_mark_row(row) and row[4] == life.get("boot"):
-                kept[key] = Mark(key, row[0], min(now, row[1] + shift), row[2], row[3])
-        return Marks(now, kept, min(now, born + shift))
+            if kind == MARK and _is_mark_row(row) and row[4] == previous.get("boot"):
+                marks[key] = Mark(key, row[0], min(now, row[1] + shift), row[2], row[3])
+        return Marks(now, marks, min(now, created_at + shift))
 
     def follows(self, links: Links) -> None:
         """Connect the planner links: leases are recorded on disk before they are promised to planners."""
@@ -347,29 +351,29 @@
         if self.memory is not None and self._uses_ceiling_marks():
             if await self._record_incarnation(now):
                 self._ceiling_marks = gateway.quotas.ceiling_marks = marks
-                kept = self._persisted_state
-                if kept is not None:
-                    marks.recall = kept.account
+                state = self._persisted_state
+                if state is not None:
+                    marks.recall = state.account
             elif self.memory.trusted:
                 # Otherwise the marks of the previous incarnation would stay valid on disk.
-                self.memory.mark_untrusted("this incarnation could not be written in time")
+                self.memory.mark_untrusted("this life could not be written in time")
         elif self.memory is not None:
             await self._record_incarnation(now)
         now = self._loop.time()
-        kept = self._persisted_state
-        if kept is not None:
-            kept.learned(gateway, now)
+        state = self._persisted_state
+        if state is not None:
+            state.learned(gateway, now)
             for name in list(gateway.fleet.workers):
                 self._restore_worker(now, name)
-            self._begin_slow_start(now, kept)
+            self._begin_slow_start(now, state)
         self._state_walk = Walk(gateway, now)
         self._publish_state(stages.OPEN)
         self.members.urgent = False
-        took = ", ".join(
+        stage_durations = ", ".join(
             f"{over.stage} {over.took:.2f}" + (f" (without {over.missing})" if over.missing else "")
             for over in self.recovery.over
         )
-        log.info("fleet: open after %s", took)
+        log.info("fleet: open after %s", stage_durations)
         self._open_event.set()
         self._write_due_marks()
 
@@ -380,15 +384,15 @@
         """
         return not self._settings.counter_timeout and self.planner_start_times() is None
 
-    def _begin_slow_start(self, now: float, kept: Kept) -> None:
+    def _begin_slow_start(self, now: float, state: Kept) -> None:
         """Start overload control from the earlier request rate if all workers are in slow start together."""
         assert self.members is not None
-        pace = kept.pace() or self._peer_answers.pace
-        pace *= len(self.fleet.members) / max(1, self.members.alive_count())
-        if slow_start.begin(self._gateway, now, pace, kept.load()):
+        request_rate = state.pace() or self._peer_answers.pace
+        request_rate *= len(self.fleet.members) / max(1, self.members.alive_count())
+        if slow_start.begin(self._gateway, now, request_rate, state.load()):
             log.info(
                 "fleet: overload control starts at %.1f requests/s, workers %.0f%% warmed up",
-                pace,
+                request_rate,
                 100 * slow_start.warmth(self._gateway, now),
             )
 
@@ -396,7 +400,7 @@
         assert self.memory is not None and self.members is not None
         for key in self.memory.keys_of_kind(MARK):
             self.memory.put(MARK, key, None)
-        done = self.memory.put_and_sync(
+        written = self.memory.put_and_sync(
             INCARNATION,
             "",
             {
@@ -409,7 +413,7 @@
             },
         )
         try:
-            return await asyncio.wait_for(asyncio.shield(done), 1.0)
+            return await asyncio.wait_for(asyncio.shield(written), 1.0)
         except TimeoutError:
             return False
 
@@ -419,7 +423,7 @@
         if self._stopped:
             return
         self._call_later(SERVING_TICK_SECONDS if self._open_event.is_set() else STARTUP_TICK_SECONDS, self._tick)
-        began = time.perf_counter()
+        tick_started_at = time.perf_counter()
         members, now = self.members, self._loop.time()
         assert members is not None
         self._send_heartbeats()
@@ -445,7 +449,7 @@
                     self.memory.put(MARK, key, None)
         share = members.alive_count() / len(self.fleet.members)
         self._gateway.fleet.gateway_count = max(1, round(self._settings.gateways * share))
-        self.longest_step_seconds = max(self.longest_step_seconds, time.perf_counter() - began)
+        self.longest_step_seconds = max(self.longest_step_seconds, time.perf_counter() - tick_started_at)
 
     def _send_heartbeats(self) -> None:
         assert self.members is not None
@@ -460,16 +464,20 @@
 
     def _advance_stage(self, now: float) -> None:
         assert self.members is not None
-        before = self.recovery.stage
+        previous_stage = self.recovery.stage
         stage = self.recovery.look(now, self._waits_by_stage(now))
-        early = (stages.MEMORY, stages.PEERS)
-        if before in early and stage not in early and self._persisted_state is None:
+        stages_before_recovery = (stages.MEMORY, stages.PEERS)
+        if (
+            previous_stage in stages_before_recovery
+            and stage not in stages_before_recovery
+            and self._persisted_state is None
+        ):
             self._evaluate_answers()
         if stage == stages.OPEN:
             if not self._opening:
                 self._opening = True
                 self._task = self._loop.create_task(self._open_for_clients())
-        elif stage != before:
+        elif stage != previous_stage:
             self._publish_state(stage)
 
     def _waits_by_stage(self, now: float) -> dict[str, str]:
@@ -483,7 +491,7 @@
         if not self._worker_list_ready():
             waits[stages.LIST] = "discovery"
         if not self.leases_expired(now):
-            waits[stages.PLANNERS] = "leases of an earlier incarnation"
+            waits[stages.PLANNERS] = "what an earlier life may have lent"
         unacknowledged = [
             peer
             for peer, link in members.links.items()
@@ -515,9 +523,9 @@
             return True
         if judge(Kind.CEILINGS, self._recovery_case).way is not Way.TAKEN:
             return False
-        until = self._loaded.records.get((LEASES, ""))
-        end = until - self._clock_offset if isinstance(until, int | float) else None
-        if end is None and self._previous_incarnation():
+        recorded_until = self._loaded.records.get((LEASES, ""))
+        lease_end = recorded_until - self._clock_offset if isinstance(recorded_until, int | float) else None
+        if lease_end is None and self._previous_incarnation():
             return True  # an earlier incarnation with a record store records each lease before it promises it
         assert self.members is not None
         receivers = {
@@ -526,10 +534,14 @@
             if name != self.name and isinstance(started := record.about.get("started"), int | float)
         }
         if len(receivers) < len(self.fleet.members) - 1:
-            return loans_over(now, end, {}, {}, now)
-        core = self._loaded.records.get(("core", ""))
-        ended = (core["at"] - self._clock_offset + 1.0) if isinstance(core, dict) and "at" in core else now
-        return loans_over(now, end, receivers, planners, min(ended, self._started_at))
+            return loans_over(now, lease_end, {}, {}, now)
+        core_state = self._loaded.records.get(("core", ""))
+        process_ended_at = (
+            (core_state["at"] - self._clock_offset + 1.0)
+            if isinstance(core_state, dict) and "at" in core_state
+            else now
+        )
+        return loans_over(now, lease_end, receivers, planners, min(process_ended_at, self._started_at))
 
     def record_leases(self, until: float) -> bool:
         """Return whether leases up to a time are recorded on disk, and request the record if not.
@@ -612,9 +624,14 @@
             self.members.set_about(memory=False)
             self._send_heartbeats()  # at once: after a crash only the peers may know that the store was voided
 
-    def _incarnation_row(self, born: float | None) -> dict[str, Any]:
+    def _incarnation_row(self, marks_created_at: float | None) -> dict[str, Any]:
         assert self.members is not None
-        return {"boot": self.members.incarnation, "machine": self._boot_id, "offset": self._clock_offset, "born": born}
+        return {
+            "boot": self.members.incarnation,
+            "machine": self._boot_id,
+            "offset": self._clock_offset,
+            "born": marks_created_at,
+        }
 
     def _memory_recovered(self) -> None:
         """Resume high-water marks after the disk has recovered."""
@@ -695,23 +712,23 @@
         members, gateway = self.members, self._gateway
         assert members is not None
         known = members.records.get(peer)
-        boot = (
+        incarnation = (
             known.incarnation
             if known is not None and known.incarnation < query.life
             else members.earlier_incarnations.get(peer, 0)
         )
-        distrusted, seconds_ago = self._void_incarnations.get(peer) == boot, -1.0
+        distrusted, seconds_ago = self._void_incarnations.get(peer) == incarnation, -1.0
         seen = self._loaded.records.get((SEEN, peer)) if self._loaded.owner == self.name else None
-        if isinstance(seen, list) and len(seen) == 3 and seen[0] == boot:
+        if isinstance(seen, list) and len(seen) == 3 and seen[0] == incarnation:
             seconds_ago, distrusted = self.unix_time() - float(seen[1]), distrusted or bool(seen[2])
-        elif known is not None and known.incarnation == boot and peer in members.heard_of:
+        elif known is not None and known.incarnation == incarnation and peer in members.heard_of:
             seconds_ago = now - members.heard_of[peer]
         workers = tuple(
             (name[:LONGEST], round(min(1.0, 1 / max(1.0, worker.slowness(now))), 3), worker.is_suspect())
             for name, worker in list(gateway.fleet.workers.items())[:MAX_REPORTED_WORKERS]
         )
         return RecoveryAnswer(
-            boot,
+            incarnation,
             seconds_ago,
             self.unix_time(),
             now - self._started_at,
@@ -754,11 +771,11 @@
         if update.what in ("up", "restarted", "told"):
             record = members.records.get(update.name)
             if record is not None and update.name != self.name:
-                void = record.about.get("memory") is False
-                if void:
+                is_void = record.about.get("memory") is False
+                if is_void:
                     self._void_incarnations[update.name] = record.incarnation
                 if self.memory is not None:
-                    self.memory.put(SEEN, update.name, [record.incarnation, self.unix_time(), void])
+                    self.memory.put(SEEN, update.name, [record.incarnation, self.unix_time(), is_void])
 
     # Maintenance and drain.
 
@@ -780,10 +797,10 @@
         self._send_heartbeats()  # peers are notified before the operator's call is answered
         return self._persist_within_timeout(FACT, f"{MAINTENANCE} {worker}", [*fact.stamp, fact.value])
 
-    def drained(self, left: bool) -> asyncio.Future[bool]:
+    def drained(self, draining: bool) -> asyncio.Future[bool]:
         """Record that this gateway drains, or serves again; the result is whether it is on disk."""
         self._publish_state(self.recovery.stage)
-        return self._persist_within_timeout(DRAIN, "", left)
+        return self._persist_within_timeout(DRAIN, "", draining)
 
     def _persist_within_timeout(self, kind: str, key: str, value: Any) -> asyncio.Future[bool]:
         done: asyncio.Future[bool] = self._loop.create_future()
@@ -791,12 +808,12 @@
             done.set_result(False)
             return done
 
-        def told(kept: bool) -> None:
+        def finish(written: bool) -> None:
             if not done.done():
-                done.set_result(kept)
+                done.set_result(written)
 
-        self.memory.put_and_sync(kind, key, value).add_done_callback(lambda kept: told(kept.result()))
-        self._loop.call_later(OPERATOR_CALL_TIMEOUT_SECONDS, told, False)
+        self.memory.put_and_sync(kind, key, value).add_done_callback(lambda synced: finish(synced.result()))
+        self._loop.call_later(OPERATOR_CALL_TIMEOUT_SECONDS, finish, False)
         return done
 
     def banned(self, worker: str) -> bool | None:
@@ -816,10 +833,10 @@
             return
         self._restored_workers[name] = None
         if not self._persisted_state.worker(self._gateway, now, name) and name in self._peer_answers.workers:
-            pace, failures = self._peer_answers.workers[name]
+            relative_speed, failures = self._peer_answers.workers[name]
             worker = self._gateway.fleet.workers[name]
             if worker.entry.started is None or now - worker.entry.started > self._settings.slow_start_duration:
-                worker.relative_latency, worker.latency_updated_at = 1 / max(0.1, pace), now
+                worker.relative_latency, worker.latency_updated_at = 1 / max(0.1, relative_speed), now
                 worker.consecutive_failures = int(failures)
 
     # Status for operators.
@@ -833,7 +850,7 @@
 
     def status(self) -> str:
         """Return this member's state as JSON."""
-        members, now, wall = self.members, self._loop.time(), self.unix_time()
+        members, now, unix_time = self.members, self._loop.time(), self.unix_time()
         if members is None:
             return json.dumps({"name": self.name, "stage": stages.MEMORY})
         links = {
@@ -873,7 +890,7 @@
                 "ended": self._previous_end().value,
                 "disk": self._recovery_case.disk.value,
                 "twin": members.duplicate_name,
-                "wall": wall,
+                "wall": unix_time,
                 "digest": f"{members.digest():016x}",
                 "stages": [
                     {"stage": o.stage, "took": round(o.took, 3), "missing": o.missing} for o in self.recovery.over
@@ -905,17 +922,21 @@
         if self.memory is None:
             return
         now = self._loop.time()
-        last: list[tuple[str, str, Any]] = []
+        last_records: list[tuple[str, str, Any]] = []
         if self._open_event.is_set():
             if self._state_walk is not None:
-                last += [(kind, key, self._to_unix_time(kind, value)) for kind, key, value in self._state_walk.all(now)]
+                last_records += [
+                    (kind, key, self._to_unix_time(kind, value)) for kind, key, value in self._state_walk.all(now)
+                ]
             if self._ceiling_marks is not None:
                 assert self.members is not None
                 for mark in self._ceiling_marks.last(
                     now, (a for q in self._gateway.quotas.accounts.queues for a in q.values())
                 ):
-                    last.append((MARK, mark.key, [mark.level, mark.at, mark.top, mark.rate, self.members.incarnation]))
-            last.append(
+                    last_records.append(
+                        (MARK, mark.key, [mark.level, mark.at, mark.top, mark.rate, self.members.incarnation])
+                    )
+            last_records.append(
                 (
                     INCARNATION,
                     "",
@@ -927,7 +948,7 @@
                 )
             )
         with contextlib.suppress(TimeoutError):  # a hung disk: the next incarnation treats the end as a kill
-            await asyncio.wait_for(self.memory.close(last), 2.0)
+            await asyncio.wait_for(self.memory.close(last_records), 2.0)
 
     def _marks_created_at(self) -> float | None:
         """Return when the high-water marks of this incarnation were created; None if none are in use."""
@@ -950,7 +971,7 @@
     kind, _, name = key.partition(" ")
     if not name or not isinstance(value, list) or len(value) != 4:
         return None
-    ms, count, origin, content = value
-    if not isinstance(ms, int) or not isinstance(count, int) or not isinstance(origin, str):
+    milliseconds, count, origin, content = value
+    if not isinstance(milliseconds, int) or not isinstance(count, int) or not isinstance(origin, str):
         return None
-    return Fact(kind, name, (ms, count, origin), content)
+    return Fact(kind, name, (milliseconds, count, origin), content)
--- a/oliveloft/fleet/status.py
+++ b/oliveloft/fleet/status.py
@@ -34,37 +34,41 @@
 def table(states: Mapping[str, dict[str, Any]]) -> str:
     """Format the states as a table for operators."""
     lines = [f"{'member':12} {'stage':9} {'up s':>8} {'sees':>5} {'memory':24}  what"]
-    whole = {state["digest"] for state in states.values() if "error" not in state}
+    digests = {state["digest"] for state in states.values() if "error" not in state}
     for name, state in states.items():
         if "error" in state:
-            said = sorted(
+            reported = sorted(
                 {
-                    f"{seen['status']} ({seen['cause']})" if seen.get("cause") else str(seen["status"])
+                    f"{record['status']} ({record['cause']})" if record.get("cause") else str(record["status"])
                     for other in states.values()
-                    if (seen := other.get("members", {}).get(name))
+                    if (record := other.get("members", {}).get(name))
                 }
             )
             lines.append(
                 f"{name:12} {'-':9} {'-':>8} {'-':>5} {'-':24}  {state['error']}; others: "
-                + (", ".join(said) or "nothing")
+                + (", ".join(reported) or "nothing")
             )
             continue
         memory = state["memory"]
-        kept = f"{memory['records']} records" if memory["believed"] else f"none: {memory['why']}"
-        what = [f"waits for {state['waits_for']}"] if state["waits_for"] else []
-        what += [f"{how} link to {peer}" for peer, how in state["cut"].items()]
-        what += [f"slow link to {peer}" for peer in state["slow"]]
-        what += [f"ended {state['ended']}, disk {state['disk']}"] if state["up_s"] < 60 else []
-        what += ["another process has this name and began later"] if state["twin"] else []
-        seen = sum(other["status"] in ("alive", "suspect") for other in state["members"].values())
-        lines.append(f"{name:12} {state['stage']:9} {state['up_s']:8.1f} {seen:5d} {kept[:24]:24}  {'; '.join(what)}")
+        memory_state = f"{memory['records']} records" if memory["believed"] else f"none: {memory['why']}"
+        remarks = [f"waits for {state['waits_for']}"] if state["waits_for"] else []
+        remarks += [f"{direction} link to {peer}" for peer, direction in state["cut"].items()]
+        remarks += [f"slow link to {peer}" for peer in state["slow"]]
+        remarks += [f"ended {state['ended']}, disk {state['disk']}"] if state["up_s"] < 60 else []
+        remarks += ["another process has this name and began later"] if state["twin"] else []
+        alive = sum(other["status"] in ("alive", "suspect") for other in state["members"].values())
+        lines.append(
+            f"{name:12} {state['stage']:9} {state['up_s']:8.1f} {alive:5d} {memory_state[:24]:24}  {'; '.join(remarks)}"
+        )
     lines.append(
-        "all see the same" if len(whole) == 1 else f"{len(whole)} different views: news is on its way, or a cut"
+        "all see the same" if len(digests) == 1 else f"{len(digests)} different views: news is on its way, or a cut"
     )
-    bans = {worker: ban for state in states.values() for worker, ban in state.get("bans", {}).items()}
-    for worker, ban in sorted(bans.items()):
-        if ban["out"]:
-            lines.append(f"worker {worker}: out for maintenance, said at {ban['by']}")
+    maintenance_by_worker = {
+        worker: maintenance for state in states.values() for worker, maintenance in state.get("bans", {}).items()
+    }
+    for worker, maintenance in sorted(maintenance_by_worker.items()):
+        if maintenance["out"]:
+            lines.append(f"worker {worker}: out for maintenance, said at {maintenance['by']}")
     return "\n".join(lines)
 
 
--- a/oliveloft/memory/files.py
+++ b/oliveloft/memory/files.py
@@ -60,11 +60,11 @@
 
     def read(self) -> bytes:
         """Return the whole contents."""
-        size, parts, at = os.fstat(self._fd).st_size, [], 0
-        while at < size and (part := os.pread(self._fd, size - at, at)):
-            parts.append(part)
-            at += len(part)
-        return b"".join(parts)
+        size, chunks, position = os.fstat(self._fd).st_size, [], 0
+        while position < size and (chunk := os.pread(self._fd, size - position, position)):
+            chunks.append(chunk)
+            position += len(chunk)
+        return b"".join(chunks)
 
     def append(self, data: bytes) -> None:
         """Write at the end."""
--- a/oliveloft/memory/log.py
+++ b/oliveloft/memory/log.py
@@ -134,7 +134,7 @@
 
     def find(self) -> LogContents:
         """Read the folder. Files of another owner are not deleted but renamed to a name that includes that owner."""
-        found, names = (
+        contents, names = (
             LogContents(),
             sorted((n for n in self._disk.names() if LOG_FILE_PATTERN.fullmatch(n)), reverse=True),
         )
@@ -155,18 +155,18 @@
                     if kind == _COPY_COMPLETE:
                         continue
                     if value is None:
-                        found.records.pop((kind, key), None)
+                        contents.records.pop((kind, key), None)
                     else:
-                        found.records[kind, key] = value
-            found.owner, found.torn, found.size_bytes = owner, torn, len(data)
+                        contents.records[kind, key] = value
+            contents.owner, contents.torn, contents.size_bytes = owner, torn, len(data)
             break
-        found.damage = first_damage
-        found.file_number = self._file_number
-        found.voided = self._read_void_state()
-        if found.owner and found.owner != self._owner:
+        contents.damage = first_damage
+        contents.file_number = self._file_number
+        contents.voided = self._read_void_state()
+        if contents.owner and contents.owner != self._owner:
             for name in names:
-                self._disk.rename(name, f"{name}.of-{re.sub('[^A-Za-z0-9._-]', '_', found.owner)[:60]}")
-        return found
+                self._disk.rename(name, f"{name}.of-{re.sub('[^A-Za-z0-9._-]', '_', contents.owner)[:60]}")
+        return contents
 
     def _read_void_state(self) -> bool:
         try:
@@ -222,9 +222,9 @@
         self._file, self._name, self._salt, self._frame_count = file, name, salt, self._copy_frame_count
         self._copy_target = None
         self.size = 0
-        for other in self._disk.names():
-            if LOG_FILE_PATTERN.fullmatch(other) and other != name:
-                self._disk.remove(other)
+        for old_name in self._disk.names():
+            if LOG_FILE_PATTERN.fullmatch(old_name) and old_name != name:
+                self._disk.remove(old_name)
 
     def abort_copy(self) -> None:
         """Discard an unfinished copy."""
--- a/oliveloft/memory/memory.py
+++ b/oliveloft/memory/memory.py
@@ -50,7 +50,7 @@
         loop: asyncio.AbstractEventLoop,
         disk: Disk,
         owner: str,
-        on_lost: Callable[[str], None] = lambda why: None,
+        on_lost: Callable[[str], None] = lambda reason: None,
         on_recovered: Callable[[], None] = lambda: None,
     ) -> None:
         self._loop, self._disk, self._on_lost, self._on_recovered = loop, disk, on_lost, on_recovered
@@ -86,10 +86,10 @@
             return self._log.find()
 
         try:
-            found = await self._loop.run_in_executor(self._write_executor, find)
+            contents = await self._loop.run_in_executor(self._write_executor, find)
         except OSError as error:
             raise MemoryUnavailableError(error.strerror or str(error)) from error
-        return found
+        return contents
 
     async def rewrite(self, records: dict[Key, Any]) -> bool:
         """Replace all records by these, in a new log file; return whether they are on disk and trusted."""
@@ -102,9 +102,8 @@
         except OSError as error:
             self._writing = False
             self._record_failure(error)
-            self.mark_untrusted(
-                error.strerror or str(error)
-            )  # the disk still holds the records of an earlier incarnation
+            # The disk still holds the records of an earlier incarnation.
+            self.mark_untrusted(error.strerror or str(error))
         else:
             self._writing = False
             if self._marked_untrusted:
--- a/oliveloft/planners/config.py
+++ b/oliveloft/planners/config.py
@@ -88,9 +88,9 @@
     def reject_unknown_keys(self) -> None:
         """Raise ConfigError if a key was not taken, with the closest known key as a hint."""
         for key in self._raw:
-            near = difflib.get_close_matches(key, self._known, 1)
-            meant = f" (is {near[0]} meant?)" if near else ""
-            raise ConfigError(f"{self.name}.{key}: unknown{meant}")
+            similar = difflib.get_close_matches(key, self._known, 1)
+            hint = f" (is {similar[0]} meant?)" if similar else ""
+            raise ConfigError(f"{self.name}.{key}: unknown{hint}")
 
 
 def load(path: str) -> PlannersConfig:
@@ -113,11 +113,11 @@
         raise ConfigError(f"forwarders.count: must be from 1 to {MAX_FORWARDERS}, not {count}")
     forwarders.reject_unknown_keys()
     planners: dict[str, tuple[str, int]] = {}
-    for name, where in top.take("planners", dict).items():
+    for name, raw_address in top.take("planners", dict).items():
         if not name or len(name) > 64 or "/" in name:
             raise ConfigError(f"planners.{name}: a name has 1 to 64 characters and no slash")
         try:
-            planners[name] = address(where)
+            planners[name] = address(raw_address)
         except ValueError as error:
             raise ConfigError(f"planners.{name}: {error}") from error
     if not planners:
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -296,7 +296,7 @@
                 "mismatched": ledger.mismatched,
                 "left_out": ledger.rejected_needs,
             }
-            workers |= {key.partition("/")[2]: shown for key, shown in ledger.workers(now).items()}
+            workers |= {key.partition("/")[2]: worker_status for key, worker_status in ledger.workers(now).items()}
             for name, (count, total) in ledger.granted(now).items():
                 entry = forwarders.setdefault(
                     name,
--- a/oliveloft/planners/status.py
+++ b/oliveloft/planners/status.py
@@ -19,12 +19,14 @@
     return await query_status("planner", config.planners[name], config.secret, config.tls, config.forwarders)
 
 
-async def query_status(side: str, where: tuple[str, int], secret: bytes, tls: Tls | None, count: int) -> dict[str, Any]:
+async def query_status(
+    role: str, address: tuple[str, int], secret: bytes, tls: Tls | None, process_count: int
+) -> dict[str, Any]:
     """Return the state of the process at an address; `side` is `planner` or `member`.
 
     Raises WireError, OSError or TimeoutError where it cannot be queried.
     """
-    host, port = where
+    host, port = address
     context = tls.client() if tls else None
     async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection(host, port, ssl=context)
@@ -35,18 +37,20 @@
             while data := await reader.read(65536):
                 for message in framer.feed(data):
                     match message:
-                        case wire.Challenge(_, theirs):
-                            challenge = theirs
-                            proof = wire.proof(secret, "peer", theirs, nonce, "status")
+                        case wire.Challenge(_, peer_nonce):
+                            challenge = peer_nonce
+                            proof = wire.proof(secret, "peer", peer_nonce, nonce, "status")
                             writer.write(
-                                wire.encode(wire.Hello(wire.VERSION, "status", "status", 0, count, nonce, proof))
+                                wire.encode(
+                                    wire.Hello(wire.VERSION, "status", "status", 0, process_count, nonce, proof)
+                                )
                             )
                         case wire.Welcome(planner, proof):
-                            if not wire.proved(secret, side, nonce, challenge, planner, proof):
+                            if not wire.proved(secret, role, nonce, challenge, planner, proof):
                                 raise wire.WireError("the secret is wrong")
                         case wire.Status(state):
-                            made: dict[str, Any] = json.loads(state)
-                            return made
+                            decoded: dict[str, Any] = json.loads(state)
+                            return decoded
                         case wire.Refused(why):
                             raise wire.WireError(f"refused: {why}")
                         case _:
@@ -81,33 +85,37 @@
         owned = state["shards"]
         covered |= owned.keys()
         epochs = [shard["epoch"] for shard in owned.values()]
-        span = f"{min(epochs)} to {max(epochs)}" if epochs else "-"
-        things = sum(shard["things"] for shard in owned.values())
-        lines.append(f"{name:12} {len(owned):7} {span:>12} {things:7} {state['up_s']:8.0f}  {state['store']}")
+        epoch_range = f"{min(epochs)} to {max(epochs)}" if epochs else "-"
+        resource_count = sum(shard["things"] for shard in owned.values())
+        lines.append(
+            f"{name:12} {len(owned):7} {epoch_range:>12} {resource_count:7} {state['up_s']:8.0f}  {state['store']}"
+        )
         for forwarder, entry in state["forwarders"].items():
-            seen = forwarders.setdefault(forwarder, {"planners": 0, "report_s": None, "grants": 0, "granted": 0.0})
-            seen["planners"] += entry["number"] is not None
-            seen["grants"] += entry["grants"]
-            seen["granted"] += entry["granted"]
-            ages = [age for age in (seen["report_s"], entry["report_s"]) if age is not None]
-            seen["report_s"] = min(ages, default=None)
+            totals = forwarders.setdefault(forwarder, {"planners": 0, "report_s": None, "grants": 0, "granted": 0.0})
+            totals["planners"] += entry["number"] is not None
+            totals["grants"] += entry["grants"]
+            totals["granted"] += entry["granted"]
+            ages = [age for age in (totals["report_s"], entry["report_s"]) if age is not None]
+            totals["report_s"] = min(ages, default=None)
     lines.append(f"shards with an owner that answers: {len(covered)} of {shards}")
     if forwarders:
         lines.append(f"{'forwarder':12} {'planners':>9} {'last report':>12} {'grants':>7} {'wholes':>8}")
-    for forwarder, seen in sorted(forwarders.items()):
-        age = "-" if seen["report_s"] is None else f"{seen['report_s']:.2f} s"
-        lines.append(f"{forwarder:12} {seen['planners']:9} {age:>12} {seen['grants']:7} " f"{seen['granted']:8.2f}")
-    workers = {name: shown for state in states.values() for name, shown in state.get("workers", {}).items()}
+    for forwarder, totals in sorted(forwarders.items()):
+        age = "-" if totals["report_s"] is None else f"{totals['report_s']:.2f} s"
+        lines.append(f"{forwarder:12} {totals['planners']:9} {age:>12} {totals['grants']:7} {totals['granted']:8.2f}")
+    workers = {
+        name: worker_status for state in states.values() for name, worker_status in state.get("workers", {}).items()
+    }
     if workers:
         lines.append(
             f"{'worker':16} {'can do /s':>9} {'answers /s':>10} {'out':>7} {'slow':>6} {'refused':>8} "
             f"{'missed':>7} {'failed':>7}"
         )
-    for name, seen in sorted(workers.items()):
-        pace = f"{seen['pace']:.1f}" if seen["pace"] else "-"
+    for name, row in sorted(workers.items()):
+        capacity = f"{row['pace']:.1f}" if row["pace"] else "-"
         lines.append(
-            f"{name:16} {pace:>9} {seen['answers']:10.1f} {seen['out']:7.1f} {seen['slow']:6.1f} "
-            f"{seen['refused']:8.3f} {seen['missed']:7.3f} {seen['failed']:7.3f}"
+            f"{name:16} {capacity:>9} {row['answers']:10.1f} {row['out']:7.1f} {row['slow']:6.1f} "
+            f"{row['refused']:8.3f} {row['missed']:7.3f} {row['failed']:7.3f}"
         )
     return "\n".join(lines)
 
--- a/oliveloft/planners/wire.py
+++ b/oliveloft/planners/wire.py
@@ -109,21 +109,21 @@
 
 def encode(message: Message) -> bytes:
     """Return a message as a frame."""
-    raw = _encoder.encode(message)
-    return len(raw).to_bytes(4, "big") + raw
+    payload = _encoder.encode(message)
+    return len(payload).to_bytes(4, "big") + payload
 
 
 class Framer:
     """Decodes a stream of bytes into messages; `most` is the largest payload in bytes that is allowed at present."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._held = bytearray()  # received bytes of an incomplete frame
         self.most = OPENING_FRAME
 
     def feed(self, data: bytes) -> list[Message]:
         """Add received bytes and return all complete messages. WireError where one is too long or malformed."""
         self._held += data
-        made: list[Message] = []
+        messages: list[Message] = []
         start = 0
         while len(self._held) - start >= 4:
             size = int.from_bytes(self._held[start : start + 4], "big")
@@ -131,14 +131,14 @@
                 raise WireError(f"a frame of {size} bytes, at most {self.most} are allowed")
             if len(self._held) - start - 4 < size:
                 break
-            raw = bytes(self._held[start + 4 : start + 4 + size])
+            payload = bytes(self._held[start + 4 : start + 4 + size])
             try:
-                made.append(_decoder.decode(raw))
+                messages.append(_decoder.decode(payload))
             except (msgspec.DecodeError, RecursionError) as error:
                 raise WireError(f"malformed message: {error}") from error
             start += 4 + size
         del self._held[:start]
-        return made
+        return messages
 
 
 def agreed(terms: Terms) -> tuple[float, ...]:
--- a/oliveloft/store/etcd.py
+++ b/oliveloft/store/etcd.py
@@ -49,44 +49,44 @@
 
         A request that may have taken effect is sent to another endpoint only with `repeat`.
         """
-        why = "no endpoint"
+        reason = "no endpoint"
         for endpoint in list(self._endpoints):
             try:
                 async with self._http_session().post(
                     endpoint + path, json=body, timeout=aiohttp.ClientTimeout(total=self._timeout)
                 ) as answer:
                     raw = await answer.content.read(MAX_RESPONSE_BYTES)
-                    made = json.loads(raw)
+                    decoded = json.loads(raw)
                     if answer.status != 200:
-                        raise StoreError(f"{path}: {answer.status} {str(made)[:200]}")
-                    if not isinstance(made, dict):
+                        raise StoreError(f"{path}: {answer.status} {str(decoded)[:200]}")
+                    if not isinstance(decoded, dict):
                         raise StoreError(f"{path}: the answer is not a JSON object")
                     if endpoint != self._endpoints[0]:
                         self._endpoints.remove(endpoint)
                         self._endpoints.insert(0, endpoint)
-                    return made
+                    return decoded
             except aiohttp.ClientConnectorError as error:
-                why = str(error)  # nothing was sent
+                reason = str(error)  # nothing was sent
             except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-                why = f"{type(error).__name__} {error}".strip()
+                reason = f"{type(error).__name__} {error}".strip()
                 if not repeat:
                     break
-        raise StoreError(f"{path}: {why}")
+        raise StoreError(f"{path}: {reason}")
 
     async def lease(self, seconds: float) -> int:
         """Create a lease (etcd lengthens very short ones)."""
-        made = await self._post("/v3/lease/grant", {"TTL": str(max(1, round(seconds)))})
+        answer = await self._post("/v3/lease/grant", {"TTL": str(max(1, round(seconds)))})
         try:
-            return int(made["ID"])
+            return int(answer["ID"])
         except (KeyError, ValueError) as error:
-            raise StoreError(f"lease: {made}") from error
+            raise StoreError(f"lease: {answer}") from error
 
     async def renew(self, lease: int) -> float:
         """Renew a lease."""
-        made = await self._post("/v3/lease/keepalive", {"ID": str(lease)}, repeat=True)
-        result = made.get("result")
+        answer = await self._post("/v3/lease/keepalive", {"ID": str(lease)}, repeat=True)
+        result = answer.get("result")
         if not isinstance(result, dict):
-            raise StoreError(f"keepalive: {made}")
+            raise StoreError(f"keepalive: {answer}")
         return float(result.get("TTL", 0))
 
     async def revoke(self, lease: int) -> None:
@@ -96,13 +96,13 @@
     async def read(self, prefix: str) -> Snapshot:
         """Return all keys that begin with the prefix."""
         body = {"key": _encode(prefix), "range_end": _prefix_end(prefix)}
-        made = await self._post("/v3/kv/range", body, repeat=True)
+        answer = await self._post("/v3/kv/range", body, repeat=True)
         try:
             entries = tuple(
                 Entry(_decode(kv["key"]), _decode(kv.get("value", "")), int(kv["mod_revision"]))
-                for kv in made.get("kvs", ())
+                for kv in answer.get("kvs", ())
             )
-            return Snapshot(int(made["header"]["revision"]), entries)
+            return Snapshot(int(answer["header"]["revision"]), entries)
         except (KeyError, ValueError, TypeError) as error:
             raise StoreError(f"range: {error!r}") from error
 
@@ -119,9 +119,9 @@
             for put in puts
         ]
         success += [{"request_delete_range": {"key": _encode(key)}} for key in deletes]
-        made = await self._post("/v3/kv/txn", {"compare": compare, "success": success})
+        answer = await self._post("/v3/kv/txn", {"compare": compare, "success": success})
         try:
-            return int(made["header"]["revision"]) if made.get("succeeded") else None
+            return int(answer["header"]["revision"]) if answer.get("succeeded") else None
         except (KeyError, ValueError, TypeError) as error:
             raise StoreError(f"txn: {error!r}") from error
 
@@ -135,7 +135,7 @@
                 "progress_notify": True,
             }
         }
-        why = "no endpoint"
+        reason = "no endpoint"
         for endpoint in list(self._endpoints):
             try:
                 async with self._http_session().post(
@@ -152,10 +152,10 @@
                             yield changes
                 raise StoreError("watch: ended")
             except aiohttp.ClientConnectorError as error:
-                why = str(error)
+                reason = str(error)
             except (aiohttp.ClientError, TimeoutError, ValueError, asyncio.IncompleteReadError) as error:
                 raise StoreError(f"watch: {error!r}") from error
-        raise StoreError(f"watch: {why}")
+        raise StoreError(f"watch: {reason}")
 
     @staticmethod
     def _changes(line: bytes) -> list[Change]:
