--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -323,8 +323,8 @@
 
     def follows(self, links: Links) -> None:
         """Connect the planner links: leases are recorded on disk before they are promised to planners."""
-        self.planner_start_times = lambda: links.planners
-        links.records, links.over = self.record_leases, self.leases_expired
+        self.planner_start_times = lambda: links.planner_start_times
+        links.leases_recorded, links.leases_expired = self.record_leases, self.leases_expired
 
     def remembers(self) -> bool:
         """Return whether a record store is in use."""
@@ -702,7 +702,7 @@
         assert self.members is not None
         return self.members.incarnation
 
-    def known_incarnation(self, peer: str) -> Heartbeat:
+    def known_record(self, peer: str) -> Heartbeat:
         """Return the known record of a member, for a process that connects as an earlier incarnation of it."""
         assert self.members is not None
         known = self.members.records.get(peer)
@@ -816,7 +816,7 @@
         self._loop.call_later(OPERATOR_CALL_TIMEOUT_SECONDS, finish, False)
         return done
 
-    def banned(self, worker: str) -> bool | None:
+    def is_out_for_maintenance(self, worker: str) -> bool | None:
         """Return whether a worker is out for maintenance by the latest fact; None if there is no fact."""
         assert self.members is not None
         fact = self.members.facts.get(MAINTENANCE, worker)
--- a/oliveloft/fleet/peers.py
+++ b/oliveloft/fleet/peers.py
@@ -36,7 +36,7 @@
     def incarnation(self) -> int:
         """Return this member's incarnation number."""
 
-    def known_incarnation(self, peer: str) -> Heartbeat:
+    def known_record(self, peer: str) -> Heartbeat:
         """Return the known record of a member, for a process that connects as an earlier incarnation of it."""
 
 
@@ -117,7 +117,7 @@
             case wire.Welcome(name, proof):
                 if name != self._dialed_peer:
                     raise wire.WireError(f"it is {name[:64]!r}")
-                if not wire.proved(secret, "member", self.nonce, self._challenge, name, proof):
+                if not wire.verify_proof(secret, "member", self.nonce, self._challenge, name, proof):
                     raise wire.WireError("the secret is wrong")
                 self._handshake_complete(name)
             case wire.Refused(why):
@@ -131,7 +131,7 @@
             raise wire.WireError("the first message is not a Hello")
         if message.version != wire.VERSION:
             raise wire.WireError(f"version {message.version}, here it is {wire.VERSION}")
-        if not wire.proved(peers.config.secret, "peer", self.nonce, message.nonce, message.name, message.proof):
+        if not wire.verify_proof(peers.config.secret, "peer", self.nonce, message.nonce, message.name, message.proof):
             raise wire.WireError("the secret is wrong")
         welcome = wire.Welcome(
             peers.name, wire.proof(peers.config.secret, "member", message.nonce, self.nonce, peers.name)
@@ -153,7 +153,7 @@
         existing = peers.connections.get(message.name)
         if existing is not None and existing.incarnation > self.incarnation:
             # Duplicate member name: the link of the later process stays, and this one is notified.
-            self.send(peers.observer.known_incarnation(message.name))
+            self.send(peers.observer.known_record(message.name))
             if self.transport is not None:
                 self.transport.close()
             return
@@ -161,7 +161,7 @@
 
     def _handshake_complete(self, peer: str) -> None:
         self.peer = peer
-        self.framer.most = wire.MOST_FRAME
+        self.framer.max_frame_bytes = wire.MAX_FRAME_BYTES
         if self._timer is not None:
             self._timer.cancel()
         if not self.handshake_done.done():
--- a/oliveloft/planners/keeper.py
+++ b/oliveloft/planners/keeper.py
@@ -41,9 +41,14 @@
         now: Callable[[], float],
     ) -> None:
         self._store, self._ownership, self._address = store, ownership, address
-        self._prefix, self._ttl, self._on_ownership_changed, self._now = prefix, session, on_ownership_changed, now
+        self._prefix, self._lease_seconds, self._on_ownership_changed, self._now = (
+            prefix,
+            session,
+            on_ownership_changed,
+            now,
+        )
         self._lease = 0
-        self._owned: dict[int, int] = {}
+        self._owned_epochs: dict[int, int] = {}
         self._state_known = False  # whether the store has been read
         self.last_error = ""  # of the latest store call; empty after a success
         self._tasks: list[asyncio.Task[None]] = []
@@ -78,7 +83,7 @@
         while True:
             try:
                 if not self._lease:
-                    lease = await self._store.lease(self._ttl)
+                    lease = await self._store.lease(self._lease_seconds)
                     await self._store.commit(
                         {}, [Put(f"{self._prefix}members/{self._ownership.name}", self._address, lease)]
                     )
@@ -88,7 +93,7 @@
                     self._lease = 0  # the watch reports the loss of all shards that were owned under it
                     continue
                 self._record_success()
-                await asyncio.sleep(self._ttl / RENEWALS_PER_SESSION)
+                await asyncio.sleep(self._lease_seconds / RENEWALS_PER_SESSION)
             except StoreError as error:
                 self._record_failure(error)
                 await asyncio.sleep(RETRY_INTERVAL_SECONDS)
@@ -139,8 +144,8 @@
 
     def _notify_ownership(self) -> None:
         owned = self._ownership.owned()
-        if owned != self._owned:
-            self._owned = owned
+        if owned != self._owned_epochs:
+            self._owned_epochs = owned
             self._on_ownership_changed(dict(owned))
 
     async def _run_transfers(self) -> None:
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -83,18 +83,18 @@
                         self.nonce,
                         wire.proof(links.config.secret, "peer", nonce, self.nonce, links.name),
                         tuple(links.holder.epochs().items()),
-                        wire.agreed(links.config.terms),
+                        wire.agreed_terms(links.config.terms),
                     )
                 )
             case wire.Welcome(planner, proof, age):
                 if planner != self._link.name:
                     raise wire.WireError(f"it is {planner[:64]!r}")
                 secret = links.config.secret
-                if not wire.proved(secret, "planner", self.nonce, self._challenge, planner, proof):
+                if not wire.verify_proof(secret, "planner", self.nonce, self._challenge, planner, proof):
                     raise wire.WireError("the secret is wrong")
                 self.is_open = True
-                links.planners[planner] = links.now() - age
-                self.framer.most = wire.MOST_FRAME
+                links.planner_start_times[planner] = links.now() - age
+                self.framer.max_frame_bytes = wire.MAX_FRAME_BYTES
                 self._link.handshake_complete()
             case wire.Refused(why):
                 raise wire.WireError(f"refused: {why[:200]}")
@@ -162,8 +162,10 @@
 class Links:
     """A forwarder's links to all planners; times are seconds on its monotonic clock."""
 
-    def __init__(self, name: str, index: int, config: PlannersConfig, decisions: ShareConsumer, born: float) -> None:
-        self.name, self.index, self.config, self._share_consumer = name, index, config, decisions
+    def __init__(
+        self, name: str, index: int, config: PlannersConfig, share_consumer: ShareConsumer, started_at: float
+    ) -> None:
+        self.name, self.index, self.config, self._share_consumer = name, index, config, share_consumer
         shards = config.terms.shards
         cache: dict[str, int] = {}
 
@@ -176,16 +178,16 @@
             return found
 
         self.holder = Holder(
-            config.terms, index, config.forwarders, born, first_session=random.getrandbits(52), shard_of=shard
+            config.terms, index, config.forwarders, started_at, first_session=random.getrandbits(52), shard_of=shard
         )
-        self._demands = Demands(born)
+        self._demands = Demands(started_at)
         self._links = {planner: _PlannerLink(self, planner, where) for planner, where in config.planners.items()}
         self._owned_shards: dict[str, set[int]] = {}
-        self.planners: dict[str, float] = {}  # start time of each planner's process, where known
+        self.planner_start_times: dict[str, float] = {}  # start time of each planner's process, where known
         # Called before leases are promised up to a time: whether that is recorded on disk. If not, reports wait.
-        self.records: Callable[[float], bool] = lambda until: True
+        self.leases_recorded: Callable[[float], bool] = lambda until: True
         # Returns whether all leases of an earlier incarnation have expired; a record store may know that sooner.
-        self.over: Callable[[float], bool] = lambda now: False
+        self.leases_expired: Callable[[float], bool] = lambda now: False
         self._demand_reported_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._flush_scheduled = False
@@ -216,7 +218,7 @@
 
     async def ready(self) -> None:
         """Wait until all leases of an earlier incarnation of this forwarder have expired."""
-        while not (self.holder.ready(self.now()) or self.over(self.now())):
+        while not (self.holder.ready(self.now()) or self.leases_expired(self.now())):
             await asyncio.sleep(0.05)
 
     def handle_message(self, planner: str, message: wire.Message) -> None:
@@ -266,7 +268,7 @@
         }
         for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
             self.holder.record_released(event.session, self._share_consumer.apply_shares(event))
-        if not self.records(now + self.config.terms.term * (1 + 3 * self.config.terms.drift)):
+        if not self.leases_recorded(now + self.config.terms.term * (1 + 3 * self.config.terms.drift)):
             return  # a report renews leases, and the next incarnation has to know of them from the disk
         for planner, report in self.holder.reports(now, blocked):
             connection = self._links[planner].connection
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -69,12 +69,12 @@
         if message.version != wire.VERSION:
             raise wire.WireError(f"version {message.version}, here it is {wire.VERSION}")
         secret = self._planner.config.secret
-        if not wire.proved(secret, "peer", self.nonce, message.nonce, message.name, message.proof):
+        if not wire.verify_proof(secret, "peer", self.nonce, message.nonce, message.name, message.proof):
             raise wire.WireError("the secret is wrong")
         if message.role not in ("forwarder", "status"):
             raise wire.WireError(f"role {message.role[:20]!r}")
         self._planner.handshake_complete(self, message)
-        self.framer.most = wire.MOST_FRAME
+        self.framer.max_frame_bytes = wire.MAX_FRAME_BYTES
         self.send(
             wire.Welcome(
                 self._planner.name,
@@ -187,9 +187,9 @@
         if hello.role == "forwarder":
             if hello.forwarders != self.config.forwarders:
                 raise wire.WireError(f"{hello.forwarders} forwarders, here {self.config.forwarders}")
-            if hello.terms != wire.agreed(self.config.terms):
+            if hello.terms != wire.agreed_terms(self.config.terms):
                 raise wire.WireError(
-                    f"life, term, drift and shards are {hello.terms}, here {wire.agreed(self.config.terms)}"
+                    f"life, term, drift and shards are {hello.terms}, here {wire.agreed_terms(self.config.terms)}"
                 )
             if not 0 <= hello.index < self.config.forwarders or not 0 < len(hello.name) <= 64:
                 raise wire.WireError(f"no forwarder {hello.name[:64]!r} with the number {hello.index}")
@@ -250,13 +250,13 @@
     def _decide(self) -> None:
         self._decision_timer = None
         blocked = {name for name, connection in self._forwarders.items() if connection.blocked}
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for ledger in self._ledgers.values():
             for name, update in ledger.pending_updates(self.now(), blocked):
                 connection = self._forwarders.get(name)
                 if connection is not None:
                     connection.send(update)
-        self.planning_seconds += time.perf_counter() - began
+        self.planning_seconds += time.perf_counter() - started_at
 
     def _tick(self) -> None:
         self._tick_timer = self._loop.call_later(TICK_SECONDS, self._tick)
--- a/oliveloft/planners/status.py
+++ b/oliveloft/planners/status.py
@@ -31,7 +31,7 @@
     async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
         reader, writer = await asyncio.open_connection(host, port, ssl=context)
         framer = wire.Framer()
-        framer.most = 16 * 1024 * 1024
+        framer.max_frame_bytes = 16 * 1024 * 1024
         nonce, challenge = wire.nonce(), b""
         try:
             while data := await reader.read(65536):
@@ -46,7 +46,7 @@
                                 )
                             )
                         case wire.Welcome(planner, proof):
-                            if not wire.proved(secret, role, nonce, challenge, planner, proof):
+                            if not wire.verify_proof(secret, role, nonce, challenge, planner, proof):
                                 raise wire.WireError("the secret is wrong")
                         case wire.Status(state):
                             decoded: dict[str, Any] = json.loads(state)
--- a/oliveloft/planners/wire.py
+++ b/oliveloft/planners/wire.py
@@ -21,8 +21,8 @@
 from micagate.planning.terms import Terms
 
 VERSION = 3
-MOST_FRAME = 256 * 1024
-OPENING_FRAME = 4096  # limit until a peer has authenticated
+MAX_FRAME_BYTES = 256 * 1024  # limit of a frame from an authenticated peer
+OPENING_FRAME = 4096  # limit in bytes until a peer has authenticated
 
 
 class WireError(Exception):
@@ -114,11 +114,11 @@
 
 
 class Framer:
-    """Decodes a stream of bytes into messages; `most` is the largest payload in bytes that is allowed at present."""
+    """Decodes a stream of bytes into messages with payloads of up to `max_frame_bytes`."""
 
     def __init__(self) -> None:
         self._held = bytearray()  # received bytes of an incomplete frame
-        self.most = OPENING_FRAME
+        self.max_frame_bytes = OPENING_FRAME
 
     def feed(self, data: bytes) -> list[Message]:
         """Add received bytes and return all complete messages. WireError where one is too long or malformed."""
@@ -127,8 +127,8 @@
         start = 0
         while len(self._held) - start >= 4:
             size = int.from_bytes(self._held[start : start + 4], "big")
-            if size > self.most:
-                raise WireError(f"a frame of {size} bytes, at most {self.most} are allowed")
+            if size > self.max_frame_bytes:
+                raise WireError(f"a frame of {size} bytes, at most {self.max_frame_bytes} are allowed")
             if len(self._held) - start - 4 < size:
                 break
             payload = bytes(self._held[start + 4 : start + 4 + size])
@@ -141,7 +141,7 @@
         return messages
 
 
-def agreed(terms: Terms) -> tuple[float, ...]:
+def agreed_terms(terms: Terms) -> tuple[float, ...]:
     """Return the terms that must be equal on both sides."""
     return terms.life, terms.term, terms.drift, float(terms.shards)
 
@@ -157,6 +157,6 @@
     return hmac.new(secret, message, hashlib.sha256).digest()
 
 
-def proved(secret: bytes, side: str, challenge: bytes, answer: bytes, name: str, given: bytes) -> bool:
+def verify_proof(secret: bytes, side: str, challenge: bytes, answer: bytes, name: str, received_proof: bytes) -> bool:
     """Return whether a proof is right, in constant time."""
-    return hmac.compare_digest(proof(secret, side, challenge, answer, name), given)
+    return hmac.compare_digest(proof(secret, side, challenge, answer, name), received_proof)
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -85,7 +85,7 @@
     """Open a connection and send a Hello; return the writer and a function that reads the planner's messages."""
     reader, writer = await asyncio.open_connection(*config.planners["p1"])
     framer = wire.Framer()
-    framer.most = wire.MOST_FRAME
+    framer.max_frame_bytes = wire.MAX_FRAME_BYTES
 
     async def read():
         while True:
@@ -98,7 +98,7 @@
     (challenge,) = await read()
     nonce = wire.nonce()
     proof = wire.proof(secret.encode(), "peer", challenge.nonce, nonce, name)
-    terms = wire.agreed(config.terms) if terms is None else terms
+    terms = wire.agreed_terms(config.terms) if terms is None else terms
     writer.write(wire.encode(wire.Hello(version, role, name, index, count, nonce, proof, (), terms)))
     return writer, read
 
