--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -188,6 +188,7 @@
         )
 
     async def _load_memory(self) -> None:
+        """Read the record store; without a usable one the member continues without."""
         try:
             disk = open_disk(self.fleet.folder)
             self.memory = RecordStore(self._loop, disk, self.name, self._memory_lost, self._memory_recovered)
@@ -206,6 +207,7 @@
             log.warning("memory: it had failed before the end; ceilings begin empty")
 
     def _previous_incarnation(self) -> dict[str, Any]:
+        """Return the record of this member's previous incarnation, empty if there is none."""
         record = self._loaded.records.get((INCARNATION, ""))
         return record if isinstance(record, dict) and self._loaded.owner == self.name else {}
 
@@ -218,6 +220,7 @@
         )
 
     def _previous_end(self) -> End:
+        """Return how the previous incarnation ended; a changed boot id means that the machine lost power."""
         previous = self._previous_incarnation()
         if not previous:
             return End.UNKNOWN
@@ -397,6 +400,7 @@
             )
 
     async def _record_incarnation(self, now: float) -> bool:
+        """Replace the marks on disk by a record of this incarnation; return whether it is on disk within 1 s."""
         assert self.memory is not None and self.members is not None
         for key in self.memory.keys_of_kind(MARK):
             self.memory.put(MARK, key, None)
@@ -463,6 +467,7 @@
         return {**value, "at": value["at"] + self._clock_offset} if isinstance(value, dict) else value
 
     def _advance_stage(self, now: float) -> None:
+        """Update the recovery stage and run what is due when it changes."""
         assert self.members is not None
         previous_stage = self.recovery.stage
         stage = self.recovery.look(now, self._waits_by_stage(now))
@@ -642,6 +647,7 @@
             self._task = self._loop.create_task(self._restart_marks())
 
     async def _restart_marks(self) -> None:
+        """Begin high-water marks anew, after a record of that is on disk."""
         now = self._loop.time()
         if self.memory is None or not await self.memory.put_and_sync(
             INCARNATION, "", {**self._incarnation_row(now), "end": ""}
@@ -709,6 +715,7 @@
         return Heartbeat(1, 0, self.unix_time(), self.members.digest(), (known,) if known is not None else ())
 
     def _recovery_answer(self, now: float, peer: str, query: RecoveryQuery) -> RecoveryAnswer:
+        """Return what this member knows of the peer's previous incarnation, and its view of the workers."""
         members, gateway = self.members, self._gateway
         assert members is not None
         known = members.records.get(peer)
@@ -746,6 +753,7 @@
             self._process_update(now, update)
 
     def _process_update(self, now: float, update: News) -> None:
+        """Apply, log and persist one change of the membership or of a shared fact."""
         members = self.members
         assert members is not None
         match update.what:
@@ -780,6 +788,7 @@
     # Maintenance and drain.
 
     def _apply_maintenance(self, fact: Fact) -> None:
+        """Take a worker out of service or return it, as a fact says; malformed facts are ignored."""
         value = fact.value
         if not isinstance(value, dict) or not isinstance(value.get("out"), bool):
             return
@@ -803,6 +812,7 @@
         return self._persist_within_timeout(DRAIN, "", draining)
 
     def _persist_within_timeout(self, kind: str, key: str, value: Any) -> asyncio.Future[bool]:
+        """Write a record; the result is whether it is on disk within `OPERATOR_CALL_TIMEOUT_SECONDS`."""
         done: asyncio.Future[bool] = self._loop.create_future()
         if self.memory is None:
             done.set_result(False)
@@ -829,6 +839,7 @@
                 self._restore_worker(self._loop.time(), name)
 
     def _restore_worker(self, now: float, name: str) -> None:
+        """Restore a worker's state once, from disk or else from the answers of peers."""
         if self._persisted_state is None or name in self._restored_workers:
             return
         self._restored_workers[name] = None
--- a/oliveloft/memory/log.py
+++ b/oliveloft/memory/log.py
@@ -169,6 +169,7 @@
         return contents
 
     def _read_void_state(self) -> bool:
+        """Open the state file, creating it if needed; return whether it marks the log void."""
         try:
             self._state = self._disk.open(STATE_FILE)
         except FileNotFoundError:
--- a/oliveloft/memory/memory.py
+++ b/oliveloft/memory/memory.py
@@ -150,6 +150,7 @@
     # Work of the writer thread, one task at a time.
 
     def _write_next_batch(self) -> None:
+        """Give the writer thread the next batch, with a chunk of a compaction if one is under way."""
         if self._writing or self._closed or self._failing_since is not None:
             return
         if self._keys_to_copy is None and self._log.size > max(
@@ -254,6 +255,7 @@
         done.add_done_callback(lambda f: f.exception())  # may fail like the other writes; retrieve the error
 
     def _tick(self) -> None:
+        """Write pending records, detect a hung disk and retry a failing one."""
         if self._closed:
             return
         self._timer = self._loop.call_later(FLUSH_INTERVAL_SECONDS, self._tick)
--- a/oliveloft/planners/keeper.py
+++ b/oliveloft/planners/keeper.py
@@ -90,7 +90,7 @@
                     self._lease = lease
                 elif await self._store.renew(self._lease) <= 0:
                     log.warning("store: the lease has expired; taking a new one")
-                    self._lease = 0  # the watch reports the loss of all shards that were owned under it
+                    self._lease = 0  # the watch has reported or will report the loss of the shards owned under it
                     continue
                 self._record_success()
                 await asyncio.sleep(self._lease_seconds / RENEWALS_PER_SESSION)
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -152,6 +152,7 @@
     # Ownership.
 
     def _ownership_changed(self, owned: dict[int, int]) -> None:
+        """Create and delete ledgers to match the owned shards, and notify all forwarders."""
         now = self.now()
         for shard in [s for s, ledger in self._ledgers.items() if owned.get(s) != ledger.epoch]:
             del self._ledgers[shard]
@@ -248,6 +249,7 @@
     # Decisions.
 
     def _decide(self) -> None:
+        """Send pending updates of all ledgers to the forwarders that read."""
         self._decision_timer = None
         blocked = {name for name, connection in self._forwarders.items() if connection.blocked}
         started_at = time.perf_counter()
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -426,7 +426,7 @@
                 "[members]\n" + f'f0 = "127.0.0.1:{fleet.peer_ports[0]}"', "[members]\n" + f'f0 = "127.0.0.1:{port}"'
             )
             Path(file).write_text(text)
-            twin = await spawn(
+            duplicate = await spawn(
                 gatekeeper_config(fleet, 0),
                 str(fleet.folder(0)) + "-knobs",
                 "member",
@@ -434,15 +434,15 @@
                 file,
                 module="rig.member",
             )
-            fleet.forwarders.append(twin)
-            await twin.listening()
+            fleet.forwarders.append(duplicate)
+            await duplicate.listening()
             await until(lambda: log_lines(first, "another process goes by the name of f0"))
             assert await first.call("HEALTH") == "fail sending clients away"
-            assert (await twin.call("HEALTH")).startswith("ok")
+            assert (await duplicate.call("HEALTH")).startswith("ok")
             fleet.peer_ports[0] = port
             fleet.forwarders.pop()
-            twin.process.kill()
-            await twin.process.wait()
+            duplicate.process.kill()
+            await duplicate.process.wait()
 
     run(scenario())
 
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -123,10 +123,10 @@
 
 def test_an_unreachable_or_unresponsive_store_raises_an_error_in_time():
     async def scenario():
-        nobody = Etcd([f"http://127.0.0.1:{free_port()}"])
+        unreachable = Etcd([f"http://127.0.0.1:{free_port()}"])
         with pytest.raises(StoreError, match="range"):
-            await nobody.read("/")
-        await nobody.close()
+            await unreachable.read("/")
+        await unreachable.close()
         server = await EtcdStandIn().start()
         store = Etcd([f"http://127.0.0.1:{free_port()}", server.endpoint], timeout=0.2)
         assert (await store.read("/")).entries == ()  # the second endpoint answers
