--- a/oliveloft/fleet/config.py
+++ b/oliveloft/fleet/config.py
@@ -1,4 +1,4 @@
-"""`deploy/fleet.toml`, checked key by key: the gatekeepers that know each other, and what each remembers."""
+"""Loads and checks `deploy/fleet.toml`: the members of the cluster and where each stores its records."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 from micagate.membership.messages import LONGEST
 from micagate.recovery.stages import Limits
 from oliveloft.config.loading import ConfigError, address
-from oliveloft.planners.config import Table, Tls, access
+from oliveloft.planners.config import ConfigTable, Tls, parse_access
 
-MOST_MEMBERS = 1000
+MAX_MEMBERS = 1000
 T = TypeVar("T", Terms, Limits)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """A checked configuration; times are seconds. `listen` has members that listen elsewhere than where others call."""
+    """A checked configuration; times are seconds.
+
+    `listen` has the members that listen at another address than the one that peers connect to. `folder` is where
+    records are stored; empty: nowhere.
+    """
 
     members: dict[str, tuple[str, int]]
     listen: dict[str, tuple[str, int]]
@@ -32,7 +36,7 @@
 
 
 def load(path: str) -> FleetConfig:
-    """The configuration in a file."""
+    """Load a configuration file. ConfigError where it cannot be read or is invalid."""
     try:
         with open(path, "rb") as file:
             raw = tomllib.load(file)
@@ -42,50 +46,54 @@
 
 
 def parse(raw: Mapping[str, Any], folder: Path) -> FleetConfig:
-    """A checked configuration; files are named from the folder that the configuration is in."""
-    top = Table("fleet.toml", raw)
+    """Check a parsed configuration; paths in it are relative to `folder`. ConfigError where it is invalid."""
+    top = ConfigTable("fleet.toml", raw)
     members = _addresses("members", top.take("members", dict))
     if not members:
-        raise ConfigError("members: none named")
-    if len(members) > MOST_MEMBERS:
-        raise ConfigError(f"members: {len(members)}, at most {MOST_MEMBERS}")
-    taken: dict[tuple[str, int], str] = {}
-    for name, where in members.items():
-        if where in taken:
-            raise ConfigError(f"members.{name}: {where[0]}:{where[1]} is {taken[where]}'s already")
-        taken[where] = name
+        raise ConfigError("members: must name at least one member")
+    if len(members) > MAX_MEMBERS:
+        raise ConfigError(f"members: {len(members)}, at most {MAX_MEMBERS}")
+    owners: dict[tuple[str, int], str] = {}
+    for name, endpoint in members.items():
+        if endpoint in owners:
+            raise ConfigError(
+                f"members.{name}: {endpoint[0]}:{endpoint[1]} is already the address of {owners[endpoint]}"
+            )
+        owners[endpoint] = name
     listen = _addresses("listen", top.take("listen", dict, {}))
     for name in listen:
         if name not in members:
-            raise ConfigError(f"listen.{name}: is none of the members")
-    memory = Table("memory", top.take("memory", dict, {}))
-    kept = memory.take("folder", str, "")
-    memory.done()
-    times = _numbers(Table("times", top.take("times", dict, {})), Terms)
-    limits = _numbers(Table("recovery", top.take("recovery", dict, {})), Limits)
-    secret, tls = access(Table("access", top.take("access", dict, {})), folder)
-    top.done()
-    return FleetConfig(members, listen, str(folder / kept) if kept else "", times, limits, secret, tls)
+            raise ConfigError(f"listen.{name}: is not one of the members")
+    memory = ConfigTable("memory", top.take("memory", dict, {}))
+    memory_folder = memory.take("folder", str, "")
+    memory.reject_unknown_keys()
+    times = _numbers(ConfigTable("times", top.take("times", dict, {})), Terms)
+    limits = _numbers(ConfigTable("recovery", top.take("recovery", dict, {})), Limits)
+    secret, tls = parse_access(ConfigTable("access", top.take("access", dict, {})), folder)
+    top.reject_unknown_keys()
+    return FleetConfig(
+        members, listen, str(folder / memory_folder) if memory_folder else "", times, limits, secret, tls
+    )
 
 
 def _addresses(table: str, raw: Mapping[str, Any]) -> dict[str, tuple[str, int]]:
-    made = {}
-    for name, where in raw.items():
+    addresses = {}
+    for name, raw_address in raw.items():
         if not 0 < len(name) <= LONGEST:
             raise ConfigError(f"{table}.{name[:64]}: a name has 1 to {LONGEST} characters")
         try:
-            made[name] = address(where)
+            addresses[name] = address(raw_address)
         except ValueError as error:
             raise ConfigError(f"{table}.{name}: {error}") from error
-    return made
+    return addresses
 
 
-def _numbers(table: Table, kind: type[T]) -> T:
-    given: dict[str, Any] = {}
-    for each in fields(kind):
-        given[each.name] = table.take(each.name, int if each.name == "full" else (int, float), each.default)
-    table.done()
+def _numbers(table: ConfigTable, kind: type[T]) -> T:
+    values: dict[str, Any] = {}
+    for field in fields(kind):
+        values[field.name] = table.take(field.name, int if field.name == "full" else (int, float), field.default)
+    table.reject_unknown_keys()
     try:
-        return kind(**given)
+        return kind(**values)
     except ValueError as error:
         raise ConfigError(f"{table.name}.{error}") from error
--- a/oliveloft/planners/keeper.py
+++ b/oliveloft/planners/keeper.py
@@ -1,7 +1,8 @@
-"""Keeps a planner's membership and its shards in the store: a session, a watch, claims and releases.
+"""Maintains a planner's registration and its shards in the store: a lease, a watch, claims and releases.
 
-While the store can't be reached, what is owned stays owned: nobody else can claim it either, and forwarders
-follow whoever has the higher epoch. A session that the store has let go of is begun anew, with all it held.
+While the store cannot be reached, a planner keeps the shards it owns: no other planner can claim them either, and
+forwarders follow the planner with the higher epoch. When the store has let the lease expire, the planner takes a new
+one and has to claim its shards again.
 """
 
 from __future__ import annotations
@@ -17,13 +18,17 @@
 
 log = logging.getLogger("oliveloft")
 
-LOOK = 0.1  # seconds between looks at what to claim
-AGAIN = 0.3  # seconds until a failed call is tried again
-RENEWALS = 4  # in the time of a session
+CLAIM_INTERVAL_SECONDS = 0.1  # interval of checks for shards to claim or release
+RETRY_INTERVAL_SECONDS = 0.3  # wait after a failed store call
+RENEWALS_PER_SESSION = 4  # lease renewals within one lease lifetime
 
 
-class Keeper:
-    """One planner's place in the store; `changed` is called with the owned shards and their epochs."""
+class StoreSession:
+    """One planner's session in the store.
+
+    `on_ownership_changed` is called with the owned shards and their epochs. `session` is the lease's lifetime in
+    seconds.
+    """
 
     def __init__(
         self,
@@ -32,23 +37,30 @@
         address: str,
         prefix: str,
         session: float,
-        changed: Callable[[dict[int, int]], None],
+        on_ownership_changed: Callable[[dict[int, int]], None],
         now: Callable[[], float],
     ) -> None:
         self._store, self._ownership, self._address = store, ownership, address
-        self._prefix, self._ttl, self._changed, self._now = prefix, session, changed, now
+        self._prefix, self._lease_seconds, self._on_ownership_changed, self._now = (
+            prefix,
+            session,
+            on_ownership_changed,
+            now,
+        )
         self._lease = 0
-        self._owned: dict[int, int] = {}
-        self._reading = False  # the store's state is known
-        self.trouble = ""  # what the store's last call failed by
+        self._owned_epochs: dict[int, int] = {}
+        self._state_known = False  # whether the store has been read
+        self.last_error = ""  # of the latest store call; empty after a success
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Take a place."""
-        self._tasks = [asyncio.create_task(work()) for work in (self._session, self._follow, self._claim)]
+        """Start the background tasks."""
+        self._tasks = [
+            asyncio.create_task(work()) for work in (self._maintain_lease, self._watch_store, self._run_transfers)
+        ]
 
     async def stop(self) -> None:
-        """Give up the place, so that others need not wait for the session's end."""
+        """Stop and revoke the lease, so that other planners need not wait for its expiry."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -56,38 +68,38 @@
             with contextlib.suppress(StoreError):
                 await self._store.revoke(self._lease)
 
-    def _failed(self, error: StoreError) -> None:
-        if not self.trouble:
+    def _record_failure(self, error: StoreError) -> None:
+        if not self.last_error:
             log.warning("store: %s; what is owned stays owned, trying again", error)
-        self.trouble = str(error) or type(error).__name__
+        self.last_error = str(error) or type(error).__name__
 
-    def _well(self) -> None:
-        if self.trouble:
-            log.info("store: back")
-        self.trouble = ""
+    def _record_success(self) -> None:
+        if self.last_error:
+            log.info("store: reachable again")
+        self.last_error = ""
 
-    async def _session(self) -> None:
-        """Have a lease, and a member's entry under it."""
+    async def _maintain_lease(self) -> None:
+        """Hold a lease, with this planner's member entry attached to it."""
         while True:
             try:
                 if not self._lease:
-                    lease = await self._store.lease(self._ttl)
+                    lease = await self._store.lease(self._lease_seconds)
                     await self._store.commit(
                         {}, [Put(f"{self._prefix}members/{self._ownership.name}", self._address, lease)]
                     )
                     self._lease = lease
                 elif await self._store.renew(self._lease) <= 0:
-                    log.warning("store: the session has ended; beginning anew")
-                    self._lease = 0  # the watch has told, or will tell, that what was owned under it is gone
+                    log.warning("store: the lease has expired; taking a new one")
+                    self._lease = 0  # the watch has reported or will report the loss of the shards owned under it
                     continue
-                self._well()
-                await asyncio.sleep(self._ttl / RENEWALS)
+                self._record_success()
+                await asyncio.sleep(self._lease_seconds / RENEWALS_PER_SESSION)
             except StoreError as error:
-                self._failed(error)
-                await asyncio.sleep(AGAIN)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
-    async def _follow(self) -> None:
-        """Know the store's state: read it, then watch, and read again after any break."""
+    async def _watch_store(self) -> None:
+        """Follow the store's state: read it, then watch for changes, and read it again after an interruption."""
         while True:
             try:
                 snapshot = await self._store.read(self._prefix)
@@ -102,18 +114,18 @@
                     ],
                 )
                 for entry in snapshot.entries:
-                    self._seen(now, entry.key, entry.value, entry.modified)
-                self._reading = True
-                self._tell()
+                    self._apply_entry(now, entry.key, entry.value, entry.modified)
+                self._state_known = True
+                self._notify_ownership()
                 async for changes in self._store.watch(self._prefix, snapshot.revision):
                     for change in changes:
-                        self._seen(self._now(), change.key, change.value, change.modified)
-                    self._tell()
+                        self._apply_entry(self._now(), change.key, change.value, change.modified)
+                    self._notify_ownership()
             except StoreError as error:
-                self._failed(error)
-                await asyncio.sleep(AGAIN)
+                self._record_failure(error)
+                await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
-    def _seen(self, now: float, key: str, value: str | None, modified: int) -> None:
+    def _apply_entry(self, now: float, key: str, value: str | None, modified: int) -> None:
         kind, _, name = key.removeprefix(self._prefix).partition("/")
         if kind == "members":
             self._ownership.member(now, name, value is not None)
@@ -128,41 +140,41 @@
                     now, shard, None if raw is None else Owner(str(raw["planner"]), int(raw["epoch"]), modified)
                 )
         except (ValueError, KeyError, TypeError) as error:
-            log.warning("store: %s holds nonsense: %r", key, error)
+            log.warning("store: invalid value of %s: %r", key, error)
 
-    def _tell(self) -> None:
+    def _notify_ownership(self) -> None:
         owned = self._ownership.owned()
-        if owned != self._owned:
-            self._owned = owned
-            self._changed(dict(owned))
+        if owned != self._owned_epochs:
+            self._owned_epochs = owned
+            self._on_ownership_changed(dict(owned))
 
-    async def _claim(self) -> None:
-        """Try what should be claimed or given up."""
+    async def _run_transfers(self) -> None:
+        """Claim and release shards as `Ownership` asks for."""
         while True:
-            await asyncio.sleep(LOOK)
-            if not self._lease or not self._reading:
+            await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
+            if not self._lease or not self._state_known:
                 continue
-            for wish in self._ownership.wishes(self._now()):
+            for transfer in self._ownership.wishes(self._now()):
                 try:
-                    await self._try(wish)
+                    await self._commit_transfer(transfer)
                 except StoreError as error:
-                    self._failed(error)
-                    await asyncio.sleep(AGAIN)
+                    self._record_failure(error)
+                    await asyncio.sleep(RETRY_INTERVAL_SECONDS)
                     break
 
-    async def _try(self, wish: Claim | Release) -> None:
-        key, now = f"{self._prefix}owners/{wish.shard}", self._now()
-        if isinstance(wish, Release):
-            if await self._store.commit({key: wish.modified}, [], [key]) is not None:
-                self._ownership.owner(now, wish.shard, None)
-                self._tell()
+    async def _commit_transfer(self, transfer: Claim | Release) -> None:
+        key, now = f"{self._prefix}owners/{transfer.shard}", self._now()
+        if isinstance(transfer, Release):
+            if await self._store.commit({key: transfer.modified}, [], [key]) is not None:
+                self._ownership.owner(now, transfer.shard, None)
+                self._notify_ownership()
             return
-        value = json.dumps({"planner": self._ownership.name, "epoch": wish.epoch})
-        epochs = f"{self._prefix}epochs/{wish.shard}"
+        value = json.dumps({"planner": self._ownership.name, "epoch": transfer.epoch})
+        epoch_key = f"{self._prefix}epochs/{transfer.shard}"
         revision = await self._store.commit(
-            {key: 0, epochs: wish.modified}, [Put(key, value, self._lease), Put(epochs, str(wish.epoch))]
+            {key: 0, epoch_key: transfer.modified}, [Put(key, value, self._lease), Put(epoch_key, str(transfer.epoch))]
         )
         if revision is not None:
-            self._ownership.owner(now, wish.shard, Owner(self._ownership.name, wish.epoch, revision))
-            self._ownership.epoch(wish.shard, wish.epoch, revision)
-            self._tell()
+            self._ownership.owner(now, transfer.shard, Owner(self._ownership.name, transfer.epoch, revision))
+            self._ownership.epoch(transfer.shard, transfer.epoch, revision)
+            self._notify_ownership()
