--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: `python -m benchmarks.NAME [--short]`, whose last line is one JSON object."""
+"""Benchmarks: `python -m benchmarks.NAME [--short]`, whose last line of output is one JSON object."""
--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -1,6 +1,9 @@
-"""Counting on a shared counter: what a fleet asks of one that bears little, and ceilings while it fails.
+"""Benchmarks the shared counter: call load from a fleet on a slow counter, and ceilings while the counter fails.
 
-`python -m benchmarks.counting [--short]`; the last line is one JSON object. Simulated, seeded, no sockets.
+Run as `python -m benchmarks.counting [--short]`; the last line of output is one JSON object. The first part gives the
+counter less capacity than the fleet has requests and measures the share of calls answered in time. The second part
+replays seeded schedules in which the counter loses calls or its state, and checks that no ceiling is exceeded by more
+than its slack. Everything is simulated and seeded; no sockets are used.
 """
 
 from __future__ import annotations
@@ -12,46 +15,55 @@
 
 from rig.schedules import HELD, ceiling, crowd
 
-TRIES = 400.0  # a second, over forty gateways
-SHARES = (0.1, 0.2, 0.5, 1.0, 2.0)  # calls that the counter bears for each try
-ANSWERED = 0.9
+REQUESTS_PER_SECOND = 400.0  # per second, over all 40 gateways
+CAPACITY_RATIOS = (0.1, 0.2, 0.5, 1.0, 2.0)  # capacity of the counter, in calls for each request
+MIN_ANSWERED_SHARE = 0.9  # lowest share of calls that must be answered in time
 
 
 def main() -> int:
-    """Run; 0 where the bounds hold that are judged here."""
+    """Run the benchmark; return 0 if every checked bound holds, else 1."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--short", action="store_true", help="fewer schedules, within 45 s")
+    parser.add_argument("--short", action="store_true", help="run fewer schedules; ends within 45 s")
     short = parser.parse_args().short
-    shares, settles = {}, 0.0
-    for share in SHARES:
-        runs = [crowd(share * TRIES, TRIES, seed=seed) for seed in range(2 if short else 5)]
-        least = min(run.answered / max(1, run.asked) for run in runs)
-        shares[share], settles = least, max([settles, *(run.settles for run in runs)])
+    answered_shares, settling_seconds = {}, 0.0
+    for capacity_ratio in CAPACITY_RATIOS:
+        runs = [
+            crowd(capacity_ratio * REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, seed=seed)
+            for seed in range(2 if short else 5)
+        ]
+        lowest_share = min(run.answered / max(1, run.asked) for run in runs)
+        answered_shares[capacity_ratio], settling_seconds = (
+            lowest_share,
+            max([settling_seconds, *(run.settles for run in runs)]),
+        )
         print(
-            f"a call for {share:g} of the tries: {least:.3f} answered in time at the least, "
-            f"{sum(run.asked for run in runs) / len(runs) / 10 / TRIES:.3f} calls a try"
+            f"counter capacity {capacity_ratio:g} calls per request: at least {lowest_share:.3f} answered in time, "
+            f"{sum(run.asked for run in runs) / len(runs) / 10 / REQUESTS_PER_SECOND:.3f} calls per request"
         )
-    began, schedules, worst, broken = time.monotonic(), 0, 0.0, 0
-    unguarded = 0
+    started, schedules, worst_excess, bounds_broken = time.monotonic(), 0, 0.0, 0
+    unguarded_broken = 0
     for seed in range(40 if short else 400):
         for gateways in (4, 7, 30):
             schedules += 1
-            below = ceiling(seed, gateways)
-            worst, broken = max(worst, below), broken + (below > HELD.ceiling_slack)
+            excess = ceiling(seed, gateways)
+            worst_excess, bounds_broken = max(worst_excess, excess), bounds_broken + (excess > HELD.ceiling_slack)
             if seed < 10:
-                unguarded += ceiling(seed, gateways, before=False) > HELD.ceiling_slack
-    print(f"{schedules} schedules in {time.monotonic() - began:.1f} s; counting after spending broke {unguarded} of 30")
-    minute = HELD.ceiling_capacity + 60 * HELD.ceiling_rate
+                unguarded_broken += ceiling(seed, gateways, before=False) > HELD.ceiling_slack
+    print(
+        f"{schedules} schedules in {time.monotonic() - started:.1f} s; "
+        f"counting after sending broke {unguarded_broken} of 30"
+    )
+    units_per_minute = HELD.ceiling_capacity + 60 * HELD.ceiling_rate
     figures = {
-        "answered_share": round(min(shares.values()), 3),
-        "settles_s": settles,
+        "answered_share": round(min(answered_shares.values()), 3),
+        "settles_s": settling_seconds,
         "schedules": schedules,
-        "bound_broken": broken,
-        "worst_excess": round(worst / minute, 4),
-        "bound": round(HELD.ceiling_slack / minute, 4),
-        "unguarded_broken": unguarded,
+        "bound_broken": bounds_broken,
+        "worst_excess": round(worst_excess / units_per_minute, 4),
+        "bound": round(HELD.ceiling_slack / units_per_minute, 4),
+        "unguarded_broken": unguarded_broken,
     }
-    ok = min(shares.values()) >= ANSWERED and not broken and unguarded > 0
+    ok = min(answered_shares.values()) >= MIN_ANSWERED_SHARE and not bounds_broken and unguarded_broken > 0
     print(json.dumps({**figures, "ok": ok}))
     return 0 if ok else 1
 
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,12 +1,15 @@
-"""What the decisions serve at deployments of two kinds, against what is possible: quotas, and a pressed fleet.
+"""Compares what gatekeepers serve in two kinds of deployment to what is possible: quotas, and a fleet under overload.
 
-`python -m benchmarks.deployments [--short]`. The last line is one JSON object. Each day is drawn from a seed and played
-twice on the same arrivals: by gatekeepers that reckon the whole store from the meter, and by their parts alone, with no
-meter, both against one store for each customer that sees all tries. The kinds are the project's own: the first with a
-quick meter, small customers and marked repeats; the second with a slow meter, tries of up to four units, unmarked
-repeats and few places at once. Then each kind's fleet is pressed, released and slowed down (`rig/overload.py`), by
-decisions that know what classes are worth and by the same ones not told, on the same arrivals. Load reports are not in
-it: no decision follows them.
+Run as `python -m benchmarks.deployments [--short]`; the last line of output is one JSON object. Each simulated day is
+drawn from a seed and played twice on the same arrivals: by gatekeepers that estimate the level of a customer's whole
+token bucket from the usage meter, and by gatekeepers that use their local shares alone, with no meter. Both are
+compared to one token bucket per customer that sees every request. The first kind of deployment has a fast meter, small
+customers and marked client retries; the second has a slow meter, requests of up to four units, unmarked client retries
+and low concurrency limits.
+
+Then the fleet of each kind is overloaded, redeployed and slowed down (`rig/overload.py`), on the same arrivals once
+with the importance of classes configured and once with all classes alike. Load reports of workers are left out, because
+no decision depends on them.
 """
 
 from __future__ import annotations
@@ -18,14 +21,14 @@
 import time
 from dataclasses import replace
 
-from benchmarks.planners import spread
+from benchmarks.planners import min_median_max
 from micagate import interface
 from rig.capacity import Capacity
 from rig.customers import Day, play, total, wide
 from rig.overload import Kind
-from rig.overload import play as press
+from rig.overload import play as play_overload
 
-SLOW_METER = Day(
+SLOW_METER_DAY = Day(
     gateways=2,
     customers=90,
     seconds=40.0,
@@ -44,7 +47,7 @@
         interface.Plan("large", rate=21.0, burst=42.0, excess_cost=0.6),
     ),
 )
-KINDS = {"first": replace(wide(3), seconds=40.0), "second": SLOW_METER}
+QUOTA_DAYS = {"first": replace(wide(3), seconds=40.0), "second": SLOW_METER_DAY}
 PRESSED = {
     "first": Kind(
         (
@@ -84,70 +87,76 @@
         fall_time=1.5,
     ),
 }
-SURE = {"first": 0.93, "second": 0.93}  # what each must serve, and never less than parts alone by more than noise
-NOISE = 0.02
-PRESSED_SURE = {"first": 0.85, "second": 0.85}  # of the bound's worth, and no less than with all classes alike
-WASTED = 0.03  # share of the attempts begun, at the most
+# Lowest median share served. The median gain over local shares alone may be negative by `GAIN_NOISE` at most.
+MIN_SERVED_SHARE = {"first": 0.93, "second": 0.93}
+GAIN_NOISE = 0.02
+# Lowest median share of the bound's value. It must also exceed the value with all classes alike.
+MIN_OVERLOAD_VALUE_SHARE = {"first": 0.85, "second": 0.85}
+MAX_WASTED_SHARE = 0.03  # highest median share of the started attempts
 
 
-def worth(day: Day, seed: int, meter: bool) -> tuple[float, float]:
-    """Served and over, as shares of what one store lets in."""
-    told = total([play(replace(day, meter=meter), seed)])
-    return told["served"], told["over"]
+def served_and_over(day: Day, seed: int, meter: bool) -> tuple[float, float]:
+    """Return the units served and those beyond the quota, as shares of what one token bucket admits."""
+    shares = total([play(replace(day, meter=meter), seed)])
+    return shares["served"], shares["over"]
 
 
 def main() -> int:
-    """Play both kinds; the exit status is 0 where all that is asked of them holds."""
+    """Simulate both kinds of deployment; the exit status is 0 if every bound holds."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.deployments", description=main.__doc__)
-    parser.add_argument("--short", action="store_true", help="four days of each kind, within 45 s")
+    parser.add_argument("--short", action="store_true", help="simulate four days of each kind; ends within 45 s")
     options = parser.parse_args()
-    began, seeds = time.monotonic(), range(4 if options.short else 16)
+    started, seeds = time.monotonic(), range(4 if options.short else 16)
     figures: dict[str, object] = {}
     ok = True
-    for kind, day in KINDS.items():
-        whole = [worth(day, seed, True) for seed in seeds]
-        parts = [worth(day, seed, False) for seed in seeds]
-        gains = [ours[0] - theirs[0] for ours, theirs in zip(whole, parts, strict=True)]
-        print(f"{kind:7} whole store: served {spread([w for w, _ in whole])}, over {spread([o for _, o in whole])}")
+    for kind, day in QUOTA_DAYS.items():
+        metered = [served_and_over(day, seed, True) for seed in seeds]
+        unmetered = [served_and_over(day, seed, False) for seed in seeds]
+        gains = [result[0] - baseline[0] for result, baseline in zip(metered, unmetered, strict=True)]
+        print(
+            f"{kind:7} with meter: served {min_median_max([share for share, _ in metered])}, "
+            f"over {min_median_max([excess for _, excess in metered])}"
+        )
         print(
-            f"{kind:7} parts alone: served {spread([w for w, _ in parts])}, over {spread([o for _, o in parts])}; "
-            f"gain {spread(gains)}, {time.monotonic() - began:.0f} s",
+            f"{kind:7} local shares alone: served {min_median_max([share for share, _ in unmetered])}, "
+            f"over {min_median_max([excess for _, excess in unmetered])}; "
+            f"gain {min_median_max(gains)}, {time.monotonic() - started:.0f} s",
             flush=True,
         )
-        served = statistics.median(w for w, _ in whole)
+        served = statistics.median(share for share, _ in metered)
         figures[f"served_{kind}"] = round(served, 4)
-        figures[f"served_{kind}_spread"] = spread([w for w, _ in whole])
-        figures[f"over_{kind}"] = round(statistics.median(o for _, o in whole), 4)
-        figures[f"parts_{kind}"] = round(statistics.median(w for w, _ in parts), 4)
-        figures[f"parts_over_{kind}"] = round(statistics.median(o for _, o in parts), 4)
+        figures[f"served_{kind}_spread"] = min_median_max([share for share, _ in metered])
+        figures[f"over_{kind}"] = round(statistics.median(excess for _, excess in metered), 4)
+        figures[f"parts_{kind}"] = round(statistics.median(share for share, _ in unmetered), 4)
+        figures[f"parts_over_{kind}"] = round(statistics.median(excess for _, excess in unmetered), 4)
         figures[f"gain_{kind}"] = round(statistics.median(gains), 4)
-        ok = ok and served >= SURE[kind] and statistics.median(gains) >= -NOISE
-    wasted, falls, breaks = [], 0, 0
-    for name, fleet in PRESSED.items():
-        told = [press(fleet, seed) for seed in seeds]
-        alike = [press(fleet, seed, alike=True) for seed in seeds]
-        gains = [ours.worth - theirs.worth for ours, theirs in zip(told, alike, strict=True)]
-        wasted += [day.wasted for day in told]
-        falls += sum(day.cold_falls for day in told)
-        breaks += sum(day.drain_breaks for day in told)
+        ok = ok and served >= MIN_SERVED_SHARE[kind] and statistics.median(gains) >= -GAIN_NOISE
+    wasted, cold_falls, drain_breaks = [], 0, 0
+    for name, deployment in PRESSED.items():
+        ranked = [play_overload(deployment, seed) for seed in seeds]
+        alike = [play_overload(deployment, seed, alike=True) for seed in seeds]
+        gains = [result.worth - baseline.worth for result, baseline in zip(ranked, alike, strict=True)]
+        wasted += [day.wasted for day in ranked]
+        cold_falls += sum(day.cold_falls for day in ranked)
+        drain_breaks += sum(day.drain_breaks for day in ranked)
         classes = ", ".join(
-            f"{klass} {statistics.median(day.by_class[klass] for day in told):.2f}" for klass in told[0].by_class
+            f"{klass} {statistics.median(day.by_class[klass] for day in ranked):.2f}" for klass in ranked[0].by_class
         )
         print(
-            f"{name:7} pressed: worth {spread([day.worth for day in told])} of the bound, all classes alike "
-            f"{spread([day.worth for day in alike])}; gain {spread(gains)}; served {classes}, "
-            f"{time.monotonic() - began:.0f} s",
+            f"{name:7} overload: value {min_median_max([day.worth for day in ranked])} of the bound, all classes alike "
+            f"{min_median_max([day.worth for day in alike])}; gain {min_median_max(gains)}; served {classes}, "
+            f"{time.monotonic() - started:.0f} s",
             flush=True,
         )
-        got = statistics.median(day.worth for day in told)
-        figures[f"pressed_{name}"] = round(got, 4)
-        figures[f"pressed_{name}_spread"] = spread([day.worth for day in told])
+        median_value = statistics.median(day.worth for day in ranked)
+        figures[f"pressed_{name}"] = round(median_value, 4)
+        figures[f"pressed_{name}_spread"] = min_median_max([day.worth for day in ranked])
         figures[f"pressed_{name}_gain"] = round(statistics.median(gains), 4)
-        ok = ok and got >= PRESSED_SURE[name] and statistics.median(gains) > 0
-    figures["wasted_share"], figures["cold_falls"] = round(statistics.median(wasted), 4), falls
-    figures["drain_breaks"] = breaks
-    ok = ok and statistics.median(wasted) <= WASTED and not falls and not breaks
-    print(json.dumps({**figures, "seconds": round(time.monotonic() - began, 1), "ok": ok}))
+        ok = ok and median_value >= MIN_OVERLOAD_VALUE_SHARE[name] and statistics.median(gains) > 0
+    figures["wasted_share"], figures["cold_falls"] = round(statistics.median(wasted), 4), cold_falls
+    figures["drain_breaks"] = drain_breaks
+    ok = ok and statistics.median(wasted) <= MAX_WASTED_SHARE and not cold_falls and not drain_breaks
+    print(json.dumps({**figures, "seconds": round(time.monotonic() - started, 1), "ok": ok}))
     return 0 if ok else 1
 
 
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -1,14 +1,17 @@
-"""The same load through 4, 12 and 40 gateways before 60 workers: what is lost because there are so many.
+"""Measures what is lost by spreading the same load over more gateways: 4, 12 and 40 before 60 workers.
 
-`python -m benchmarks.fleet_at_size [--short]`. The last line is one JSON object. The real decisions in simulated
-gateways (`rig/fleet.py`, `rig/simulation.py`) on a quiet stretch, a mass kill of gateways, a lost zone that comes back
-cold, and a replacement of six workers in ten within 7 s, of which each gateway hears up to 3 s late. Customers have
-quotas, a few ask several times as much; a meter tells late. Served is the worth inside quotas that was answered in
-time, less what went beyond at its price, over that of a policy that sees every store and queue as it is. Beside each
-stands the same with what is for many gateways taken away: no arcs, parts of quotas alone, however thin.
+Run as `python -m benchmarks.fleet_at_size [--short]`; the last line of output is one JSON object. The real
+decision code runs in simulated gateways (`rig/fleet.py`, `rig/simulation.py`) through four kinds of day: without
+disturbance, with 70% of the gateways killed at once, with a zone of workers that hangs and restarts in slow start, and
+with six in ten workers replaced within 7 s, of which each gateway learns up to 3 s late. Customers have quotas, and a
+few request several times as much; the usage meter reports late.
 
-Clients do not repeat here, connections are counted as the most that were out at once by gateway and worker, and calls
-for lists are those of real watches on a loopback service that takes one call at a time.
+The figure is the value inside quotas answered in time, less the cost of what went beyond quotas, divided by that of a
+policy that sees the true state of every token bucket and queue. Each day is also played without the features meant for
+many gateways: without worker subsets, and with local shares of quotas used however small they are.
+
+Clients do not retry. Connections are counted as the highest number of attempts in flight for each gateway and worker.
+Discovery calls are those of real watches on a loopback service that takes one call at a time.
 """
 
 from __future__ import annotations
@@ -24,11 +27,11 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from benchmarks.planners import spread
+from benchmarks.planners import min_median_max
 from micagate import Gateway, interface
 from micagate.estimates import metering
 from micagate.estimates.start_times import StartTimes
-from oliveloft.discovery import policy as times
+from oliveloft.discovery import policy as discovery_policy
 from oliveloft.discovery.watch import DiscoveryWatch
 from oliveloft.shared_types import DiscoveryUpdate
 from rig.capacity import Capacity, Load
@@ -37,10 +40,11 @@
 from rig.simulation import Clock
 from rig.traffic import PlanShape, Store
 
-SIZES, DAYS = (4, 12, 40), ("quiet", "kill", "zone", "join")
-WORKERS, RATE, GRACE = 60, 280.0, 0.5  # requests a second; seconds in which a drained worker may still be sent to
-RAMP, FALL, FACTOR, FROM = 8.0, 3.0, 2.0, 0.25
-WARM = Capacity(cores=2, speed=1 / 7, queue=20, cold_from=FROM, ramp=RAMP)
+GATEWAY_COUNTS, DAY_KINDS = (4, 12, 40), ("quiet", "kill", "zone", "join")
+# The grace period is that in which a draining worker may still receive requests.
+WORKER_COUNT, REQUESTS_PER_SECOND, DRAIN_GRACE_SECONDS = 60, 280.0, 0.5
+SLOW_START_SECONDS, OVERLOAD_SPAN_SECONDS, OVERLOAD_FACTOR, SLOW_START_MIN_FACTOR = 8.0, 3.0, 2.0, 0.25
+WORKER_CAPACITY = Capacity(cores=2, speed=1 / 7, queue=20, cold_from=SLOW_START_MIN_FACTOR, ramp=SLOW_START_SECONDS)
 PLAN = interface.Plan("p", rate=1.2, burst=5.0, excess_cost=0.8)
 SETTINGS = interface.Settings(
     (
@@ -53,210 +57,238 @@
     max_attempts=4,
     can_cancel=True,
     meter_period=0.5,
-    slow_start_min_factor=FROM,
-    slow_start_duration=RAMP,
-    overload_factor=FACTOR,
-    fall_time=FALL,
+    slow_start_min_factor=SLOW_START_MIN_FACTOR,
+    slow_start_duration=SLOW_START_SECONDS,
+    overload_factor=OVERLOAD_FACTOR,
+    fall_time=OVERLOAD_SPAN_SECONDS,
 )
 
 
 @dataclass
-class Seer:
-    """A policy with the true state: one store for each customer, and the worker that would be done first."""
+class ReferencePolicy:
+    """Reference policy that sees the true state: one token bucket per customer, and every worker's queue."""
 
     fleet: Fleet
-    stores: dict[str, Store] = field(default_factory=dict)
+    buckets: dict[str, Store] = field(default_factory=dict)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """Let in what is inside its quota, and send it where it is done first."""
+        """Admit a request inside its quota and send it to the worker that would finish it first."""
         if isinstance(event, interface.Outcome) and not event.terminal:
             return [interface.Fail(event.request)]
         if not isinstance(event, interface.Request):
             return []
-        store = self.stores.setdefault(event.customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
-        if not store.take(now, 1):
+        bucket = self.buckets.setdefault(event.customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
+        if not bucket.take(now, 1):
             return [interface.Refuse(event.request)]
-        up = [
-            (p.load.free(now) + 0.14 / p.load.warmth(now), n)
-            for n, p in self.fleet.places.items()
-            if p.up and not p.hung
+        finish_times = [
+            (place.load.free(now) + 0.14 / place.load.warmth(now), name)
+            for name, place in self.fleet.places.items()
+            if place.up and not place.hung
         ]
-        return [interface.Send(event.request, min(up)[1])]
+        return [interface.Send(event.request, min(finish_times)[1])]
 
 
 class Day:
-    """One day of one size."""
+    """Simulates one kind of day with one number of gateways under one policy.
+
+    `policy` is "with" or "without" the features meant for many gateways, or "sees_all" for the reference policy.
+    """
 
     def __init__(self, kind: str, gateways: int, seed: int, seconds: float, policy: str) -> None:
         self.kind, self.seconds, self.random, self.clock = kind, seconds, Random(seed), Clock()
-        self.fleet = Fleet(self.clock, self.random, {f"w{n:02}": WARM for n in range(WORKERS)}, work_cv=0.8)
-        self.policy, self.count, self.seed = policy, gateways, seed
+        self.fleet = Fleet(
+            self.clock, self.random, {f"w{n:02}": WORKER_CAPACITY for n in range(WORKER_COUNT)}, work_cv=0.8
+        )
+        self.policy, self.gateway_count, self.seed = policy, gateways, seed
         self.settings = replace(SETTINGS, gateways=gateways)
-        self.gates: list[Gateway | Seer] = []
+        self.gateways: list[Gateway | ReferencePolicy] = []
         self.entrances: list[Entrance] = []
-        seer = Seer(self.fleet)
-        self.down: set[int] = set()
-        self.told: dict[tuple[int, str], float] = {}  # when a gateway was told that a worker drains
-        self.drain_breaks = self.controls = 0
-        self.peak: Counter[tuple[int, str]] = Counter()
+        reference = ReferencePolicy(self.fleet)
+        self.killed_gateways: set[int] = set()
+        self.drain_notified_at: dict[tuple[int, str], float] = {}  # when a gateway was notified that a worker drains
+        self.drain_breaks = self.throttle_activations = 0
+        self.peak_in_flight: Counter[tuple[int, str]] = Counter()
         self.arrivals: dict[str, list[tuple[float, float]]] = defaultdict(list)
         self.loads: list[tuple[str, Load]] = []
         for n in range(gateways):
-            gate = seer if policy == "sees_all" else self._gate(n, 0.0)
-            self.gates.append(gate)
+            gateway = reference if policy == "sees_all" else self._make_gateway(n, 0.0)
+            self.gateways.append(gateway)
             entrance = Entrance(self.fleet, self._handle(n), self.settings, f"g{n}-")
-            entrance.used = self._used
+            entrance.used = self._metered_usage
             self.entrances.append(entrance)
-        self.fleet.arrived = lambda now, name, work, done: self.arrivals[name].append((now, work / WARM.speed))
+        self.fleet.arrived = lambda now, name, work, done: self.arrivals[name].append(
+            (now, work / WORKER_CAPACITY.speed)
+        )
         self.fleet.tell(whole=True)
-        self.use: dict[str, Counter[int]] = defaultdict(Counter)
-        self.stores: dict[str, Store] = {}
-        self.inside: dict[str, float] = {}  # requests sent on inside their quotas: when they came
-        self.over = self.got = 0.0
+        self.usage: dict[str, Counter[int]] = defaultdict(Counter)
+        self.buckets: dict[str, Store] = {}
+        self.sent_inside_quota: dict[str, float] = {}  # arrival times of requests sent inside their quotas
+        self.excess_cost_total = self.answered_in_time = 0.0
         self.customers = [
             (f"c{n}", self.random.choices((0.25, 0.9, 3.0), (0.7, 0.2, 0.1))[0])
-            for n in range(int(RATE / (0.655 * PLAN.rate)))
+            for n in range(int(REQUESTS_PER_SECOND / (0.655 * PLAN.rate)))
         ]
-        self.homes = {
+        self.gateways_by_customer = {
             name: self.random.sample(range(gateways), max(1, math.ceil(0.75 * gateways))) for name, _ in self.customers
         }
 
-    def _gate(self, n: int, now: float) -> Gateway:
+    def _make_gateway(self, n: int, now: float) -> Gateway:
         number = n if self.policy == "with" else None
         return Gateway(replace(self.settings, number=number), self.seed * 100 + n + int(now), now)
 
-    def _used(self, customer: str) -> float | None:
+    def _metered_usage(self, customer: str) -> float | None:
         period = int((self.clock.now - 0.8) / 0.5) - 1
-        return self.use[customer][period] / 0.5 / PLAN.rate if period >= 0 else None
+        return self.usage[customer][period] / 0.5 / PLAN.rate if period >= 0 else None
 
     def _handle(self, n: int) -> Callable[[float, interface.Event], list[interface.Action]]:
         def handle(now: float, event: interface.Event) -> list[interface.Action]:
-            gate = self.gates[n]
-            was = isinstance(gate, Gateway) and gate.throttle.active
-            actions = gate.handle(now, event)
+            gateway = self.gateways[n]
+            was_active = isinstance(gateway, Gateway) and gateway.throttle.active
+            actions = gateway.handle(now, event)
             if isinstance(event, interface.Outcome) and event.status == interface.SUCCESS:
-                self.got += now - self.inside.pop(event.request, -math.inf) <= SETTINGS.classes[0].aim
-            self.controls += isinstance(gate, Gateway) and gate.throttle.active and not was
+                self.answered_in_time += (
+                    now - self.sent_inside_quota.pop(event.request, -math.inf) <= SETTINGS.classes[0].aim
+                )
+            self.throttle_activations += isinstance(gateway, Gateway) and gateway.throttle.active and not was_active
             for action in actions:
                 if isinstance(action, interface.Send):
-                    self._sent(n, now, action, event)
+                    self._record_send(n, now, action, event)
             return actions
 
         return handle
 
-    def _sent(self, n: int, now: float, action: interface.Send, event: interface.Event) -> None:
+    def _record_send(self, n: int, now: float, action: interface.Send, event: interface.Event) -> None:
         key = n, action.worker
-        self.peak[key] = max(
-            self.peak[key], 1 + sum(action.worker in attempts for attempts in self.entrances[n]._attempts.values())
+        self.peak_in_flight[key] = max(
+            self.peak_in_flight[key],
+            1 + sum(action.worker in attempts for attempts in self.entrances[n]._attempts.values()),
         )
-        self.drain_breaks += now > self.told.get(key, math.inf) + GRACE
+        self.drain_breaks += now > self.drain_notified_at.get(key, math.inf) + DRAIN_GRACE_SECONDS
         if isinstance(event, interface.Request):
             customer = event.customer
-            store = self.stores.setdefault(customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
-            self.use[customer][int(now / 0.5)] += 1
-            if store.take(now, 1):
-                self.inside[event.request] = now
+            bucket = self.buckets.setdefault(customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
+            self.usage[customer][int(now / 0.5)] += 1
+            if bucket.take(now, 1):
+                self.sent_inside_quota[event.request] = now
             else:
-                self.over += PLAN.excess_cost
+                self.excess_cost_total += PLAN.excess_cost
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         name, _ = self.random.choices(self.customers, [rate for _, rate in self.customers])[0]
-        homes = self.homes[name]
-        ranks = [(rank + 1) ** -0.9 for rank in range(len(homes))]
-        n = self.random.choices(homes, ranks)[0]
-        if n in self.down:
+        gateways = self.gateways_by_customer[name]
+        weights = [(rank + 1) ** -0.9 for rank in range(len(gateways))]
+        n = self.random.choices(gateways, weights)[0]
+        if n in self.killed_gateways:
             n = self.random.choice(
-                [m for m in homes if m not in self.down] or [m for m in range(self.count) if m not in self.down]
+                [other for other in gateways if other not in self.killed_gateways]
+                or [other for other in range(self.gateway_count) if other not in self.killed_gateways]
             )
         klass = "fetch" if self.random.random() < 0.55 else "file"
-        self.entrances[n].ask(klass, PLAN.name, name, spread=len(homes))
-        self.clock.after(self.random.expovariate(RATE), self._ask)
+        self.entrances[n].ask(klass, PLAN.name, name, spread=len(gateways))
+        self.clock.after(self.random.expovariate(REQUESTS_PER_SECOND), self._send_request)
 
-    def _hear(self, name: str, late: float) -> None:
-        """Each gateway hears of a worker up to so many seconds late."""
+    def _notify_gateways(self, name: str, max_delay: float) -> None:
+        """Notify each gateway of a worker's state, with a random delay of up to `max_delay` seconds beyond 0.1 s."""
         for n, entrance in enumerate(self.entrances):
-            self.clock.after(self.random.uniform(0.1, 0.1 + late), self._tell, n, entrance, name)
+            self.clock.after(self.random.uniform(0.1, 0.1 + max_delay), self._notify_gateway, n, entrance, name)
 
-    def _tell(self, n: int, entrance: Entrance, name: str) -> None:
+    def _notify_gateway(self, n: int, entrance: Entrance, name: str) -> None:
         entry = self.fleet.entry(name)
         if entry.state == interface.HEALTHY:
-            self.told.pop((n, name), None)
+            self.drain_notified_at.pop((n, name), None)
         else:
-            self.told[n, name] = self.clock.now
+            self.drain_notified_at[n, name] = self.clock.now
         entrance.hand(interface.WorkerList((entry,)), "")
 
-    def _replace(self, name: str) -> None:
+    def _replace_worker(self, name: str) -> None:
         self.fleet.places[name].up = False
-        self._hear(name, 3.0)
-        self.clock.after(4.0, self._start, name)
+        self._notify_gateways(name, 3.0)
+        self.clock.after(4.0, self._start_worker, name)
 
-    def _start(self, name: str) -> None:
+    def _start_worker(self, name: str) -> None:
         place = self.fleet.places[name]
-        place.load = Load(WARM, started=self.clock.now)
+        place.load = Load(WORKER_CAPACITY, started=self.clock.now)
         place.up, place.hung = True, False
         self.arrivals[name] = []
         self.loads.append((name, place.load))
-        self._hear(name, 3.0)
+        self._notify_gateways(name, 3.0)
 
-    def _kill(self) -> None:
-        self.down = set(self.random.sample(range(self.count), int(0.7 * self.count)))
-        for n in self.down:
-            self.clock.after(2.0, self._return, n)
+    def _kill_gateways(self) -> None:
+        self.killed_gateways = set(self.random.sample(range(self.gateway_count), int(0.7 * self.gateway_count)))
+        for n in self.killed_gateways:
+            self.clock.after(2.0, self._restart_gateway, n)
 
-    def _return(self, n: int) -> None:
+    def _restart_gateway(self, n: int) -> None:
         if self.policy != "sees_all":
-            self.gates[n] = self._gate(n, self.clock.now)
+            self.gateways[n] = self._make_gateway(n, self.clock.now)
             self.entrances[n].hand(
                 interface.WorkerList(tuple(map(self.fleet.entry, self.fleet.places)), whole=True), ""
             )
-        self.down.discard(n)
+        self.killed_gateways.discard(n)
 
     def play(self) -> Day:
-        """Play it; returns itself."""
+        """Run the simulation and return this day."""
         names = sorted(self.fleet.places)
         if self.kind == "kill":
-            self.clock.at(4.0, self._kill)
-        for m, name in enumerate(names):
-            if self.kind == "join" and m % 5 < 3:
-                self.clock.at(4.0 + self.random.uniform(0.0, 7.0), self._replace, name)
+            self.clock.at(4.0, self._kill_gateways)
+        for index, name in enumerate(names):
+            if self.kind == "join" and index % 5 < 3:
+                self.clock.at(4.0 + self.random.uniform(0.0, 7.0), self._replace_worker, name)
             if self.kind == "zone" and self.fleet.places[name].zone == "b":
                 self.clock.at(4.0, setattr, self.fleet.places[name], "hung", True)
-                self.clock.at(9.0, self._start, name)
-        self.clock.after(0.0, self._ask)
+                self.clock.at(9.0, self._start_worker, name)
+        self.clock.after(0.0, self._send_request)
         self.clock.run(self.seconds)
         return self
 
     def served(self) -> float:
-        """Answered in time, less what went beyond quotas at its price."""
-        return self.got - self.over
+        """Return the requests inside quotas answered in time, less the cost of those sent beyond quotas."""
+        return self.answered_in_time - self.excess_cost_total
 
-    def falls(self) -> int:
-        """Cold workers that were sent more than they bear: capacity at that moment, over any span."""
-        fell = 0
+    def overloaded_cold_workers(self) -> int:
+        """Return how many workers in slow start were overloaded.
+
+        A worker counts if, over any span of `OVERLOAD_SPAN_SECONDS`, it was sent more work than `OVERLOAD_FACTOR` times
+        its capacity at the start of the span.
+        """
+        overloaded = 0
         for name, load in self.loads:
-            times = self.arrivals[name]
-            for k, (begin, _) in enumerate(times):
-                work = sum(w for t, w in times[k:] if t < begin + FALL)
-                room = FACTOR * load.warmth(begin) * WARM.cores * FALL
-                if work > room + 4 * 0.14:  # a little for chance
-                    fell += 1
+            arrivals = self.arrivals[name]
+            for index, (span_start, _) in enumerate(arrivals):
+                work = sum(
+                    seconds for arrived, seconds in arrivals[index:] if arrived < span_start + OVERLOAD_SPAN_SECONDS
+                )
+                limit = OVERLOAD_FACTOR * load.warmth(span_start) * WORKER_CAPACITY.cores * OVERLOAD_SPAN_SECONDS
+                if work > limit + 4 * 0.14:  # allows for four requests more, by chance
+                    overloaded += 1
                     break
-        return fell
+        return overloaded
+
 
+def count_discovery_calls(gatekeepers: int, turns: bool) -> int:
+    """Return how many discovery calls are made until every gatekeeper has received an update.
 
-def list_calls(gatekeepers: int, turns: bool) -> int:
-    """Calls until all of them, started in the same instant, have heard from a service that takes one at a time."""
-    service, heard = BusyDiscovery(0.004, 0.04), set[int]()
-    usual, times.EACH_SECONDS = times.EACH_SECONDS, 0.006
+    The discovery service takes one call at a time. All gatekeepers start at the same instant. With `turns`, each
+    knows the number of gatekeepers and its own number, so that calls are spread out.
+    """
+    service, updated = BusyDiscovery(0.004, 0.04), set[int]()
+    usual_interval, discovery_policy.EACH_SECONDS = discovery_policy.EACH_SECONDS, 0.006
 
-    def told(number: int) -> Callable[[DiscoveryUpdate], None]:
-        return lambda news: heard.add(number)
+    def on_update(number: int) -> Callable[[DiscoveryUpdate], None]:
+        return lambda update: updated.add(number)
 
     async def scenario() -> None:
-        loop, where = asyncio.get_running_loop(), await service.start()
+        loop, address = asyncio.get_running_loop(), await service.start()
         watches = [
             DiscoveryWatch(
-                loop, where, StartTimes(0.0), told(n), 3 if turns else None, gatekeepers if turns else 1, n, seed=n
+                loop,
+                address,
+                StartTimes(0.0),
+                on_update(n),
+                3 if turns else None,
+                gatekeepers if turns else 1,
+                n,
+                seed=n,
             )
             for n in range(gatekeepers)
         ]
@@ -264,59 +296,70 @@
             each_watch.start()
         for _ in range(1000):
             await asyncio.sleep(0.01)
-            if len(heard) == gatekeepers:
+            if len(updated) == gatekeepers:
                 break
         for each_watch in watches:
             each_watch.stop()
         service.stop()
 
     asyncio.run(scenario())
-    times.EACH_SECONDS = usual
+    discovery_policy.EACH_SECONDS = usual_interval
     return service.calls
 
 
 def main() -> int:
-    """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--short", action="store_true", help="within 45 s")
-    short = words.parse_args().short
-    seeds, seconds, sizes = (1, 9.0, SIZES) if short else (5, 24.0, SIZES)
-    shares: dict[str, dict[int, list[float]]] = {p: {size: [] for size in sizes} for p in ("with", "without")}
-    chance: dict[str, list[float]] = {p: [] for p in shares}
-    connects: dict[str, list[float]] = {p: [] for p in shares}
-    falls = breaks = 0
-    slivers = metering.SLIVER
+    """Run the benchmark and print the figures; return 0 if every bound holds, else 1."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--short", action="store_true", help="use one seed and shorter days; ends within 45 s")
+    short = parser.parse_args().short
+    seeds, seconds, gateway_counts = (1, 9.0, GATEWAY_COUNTS) if short else (5, 24.0, GATEWAY_COUNTS)
+    shares: dict[str, dict[int, list[float]]] = {
+        policy: {gateway_count: [] for gateway_count in gateway_counts} for policy in ("with", "without")
+    }
+    activations: dict[str, list[float]] = {policy: [] for policy in shares}
+    connects: dict[str, list[float]] = {policy: [] for policy in shares}
+    cold_falls = drain_breaks = 0
+    usual_minimum = metering.SLIVER
     for seed in range(seeds):
-        for kind in DAYS:
-            for size in sizes:
-                ideal = Day(kind, size, seed, seconds, "sees_all").play().served()
+        for day_kind in DAY_KINDS:
+            for gateway_count in gateway_counts:
+                ideal = Day(day_kind, gateway_count, seed, seconds, "sees_all").play().served()
                 for policy in shares:
-                    metering.SLIVER = slivers if policy == "with" else 0.0
-                    day = Day(kind, size, seed, seconds, policy).play()
-                    metering.SLIVER = slivers
-                    shares[policy][size].append(day.served() / ideal)
-                    if size == SIZES[-1]:
-                        connects[policy].append(sum(day.peak.values()))
-                        if kind == "quiet":
-                            chance[policy].append(day.controls)
+                    metering.SLIVER = usual_minimum if policy == "with" else 0.0
+                    day = Day(day_kind, gateway_count, seed, seconds, policy).play()
+                    metering.SLIVER = usual_minimum
+                    shares[policy][gateway_count].append(day.served() / ideal)
+                    if gateway_count == GATEWAY_COUNTS[-1]:
+                        connects[policy].append(sum(day.peak_in_flight.values()))
+                        if day_kind == "quiet":
+                            activations[policy].append(day.throttle_activations)
                     if policy == "with":
-                        falls, breaks = falls + day.falls(), breaks + day.drain_breaks
+                        cold_falls, drain_breaks = (
+                            cold_falls + day.overloaded_cold_workers(),
+                            drain_breaks + day.drain_breaks,
+                        )
                 print(
-                    f"{kind}, {size} gateways, seed {seed}: of the ideal "
-                    f"{shares['with'][size][-1]:.3f} with, {shares['without'][size][-1]:.3f} without",
+                    f"{day_kind}, {gateway_count} gateways, seed {seed}: share of the reference policy "
+                    f"{shares['with'][gateway_count][-1]:.3f} with, {shares['without'][gateway_count][-1]:.3f} without",
                     flush=True,
                 )
-    calls = {p: [float(list_calls(40, p == "with")) for _ in range(1 if short else 5)] for p in shares}
+    calls = {
+        policy: [float(count_discovery_calls(40, policy == "with")) for _ in range(1 if short else 5)]
+        for policy in shares
+    }
     figures = {
-        **{f"served_{size}": {p: spread(shares[p][size]) for p in shares} for size in sizes},
-        "list_calls": {p: spread(calls[p]) for p in shares},
-        "connects": {p: spread(connects[p]) for p in shares},
-        "cold_falls": falls,
-        "drain_breaks": breaks,
-        "controls_by_chance": {p: spread(chance[p]) for p in shares},
+        **{
+            f"served_{gateway_count}": {policy: min_median_max(shares[policy][gateway_count]) for policy in shares}
+            for gateway_count in gateway_counts
+        },
+        "list_calls": {policy: min_median_max(calls[policy]) for policy in shares},
+        "connects": {policy: min_median_max(connects[policy]) for policy in shares},
+        "cold_falls": cold_falls,
+        "drain_breaks": drain_breaks,
+        "controls_by_chance": {policy: min_median_max(activations[policy]) for policy in shares},
         "ok": bool(
-            not falls
-            and not breaks
+            not cold_falls
+            and not drain_breaks
             and statistics.median(calls["with"]) <= 80
             and statistics.median(shares["with"][40]) > 0.95 * statistics.median(shares["without"][40])
         ),
--- a/benchmarks/planner_workers.py
+++ b/benchmarks/planner_workers.py
@@ -1,7 +1,8 @@
-"""What it is worth that planners learn what workers can do: uneven, small and slowing workers, paired, with seeds.
+"""Measures the benefit of planners that learn the capacity of workers, with uneven, small and slowing workers.
 
-`python -m benchmarks.planner_workers [--short]`. First in simulated time, 20 forwarders and one planner before 8
-workers; then real processes on loopback, two installations side by side. The last line is one JSON object.
+Run as `python -m benchmarks.planner_workers [--short]`; the last line of output is one JSON object. Each case runs with
+and without that knowledge on the same seeds: first in simulated time, with 20 forwarders and one planner before 8
+workers; then with real processes on loopback, two installations side by side.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 import uvloop
 
-from benchmarks.planners import settled, spread
+from benchmarks.planners import min_median_max, wait_for_shard_owners
 from micagate import interface
 from micagate.planning.terms import Terms
 from rig.capacity import Capacity
@@ -26,7 +27,7 @@
 from rig.installation import Installation
 from rig.traffic import Customer, Traffic
 
-FORWARDERS, WORK = 20, 0.02  # seconds of a core that a request takes in the rig
+FORWARDERS, WORK_CORE_SECONDS = 20, 0.02  # core seconds of a simulated request
 FLEETS = {
     "even": [Capacity(cores=4, queue=64, thrash=0.05)] * 8,
     "small and large": [Capacity(cores=n, queue=16 * n, thrash=0.05) for n in (1, 1, 2, 2, 4, 4, 8, 8)],
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """A fleet, the share of what it can do that is asked, and whether two workers slow to a quarter for a while."""
+    """A fleet of workers, the load as a share of its capacity, and whether two workers slow to a quarter meanwhile."""
 
     fleet: str
     load: float
@@ -52,7 +53,7 @@
 
     @property
     def name(self) -> str:
-        """As it is shown."""
+        """The name in the output."""
         return f"{self.fleet}, {self.load:.0%}{', two slow down' if self.slowing else ''}"
 
 
@@ -66,137 +67,148 @@
 LONG_CASES = [Case(fleet, load, slowing) for fleet in FLEETS for load in (0.5, 0.7, 0.9) for slowing in (False, True)]
 
 
-def simulate(case: Case, seed: int, paces: bool, seconds: float) -> float:
-    """The share of requests that is served in its aim, from the fifth second on."""
-    models = FLEETS[case.fleet]
-    rate = case.load * sum(model.cores * model.speed for model in models) / WORK
-    made = Cluster(
+def simulate(case: Case, seed: int, learn_capacity: bool, seconds: float) -> float:
+    """Return the share of requests served within the latency objective, from the fifth second on."""
+    capacities = FLEETS[case.fleet]
+    rate = case.load * sum(capacity.cores * capacity.speed for capacity in capacities) / WORK_CORE_SECONDS
+    cluster = Cluster(
         seed,
         [rate / FORWARDERS] * FORWARDERS,
-        {f"w{n}": model for n, model in enumerate(models)},
+        {f"w{n}": capacity for n, capacity in enumerate(capacities)},
         SETTINGS,
         planner=True,
-        paces=paces,
+        paces=learn_capacity,
     )
 
-    def slow(by: float) -> None:
+    def set_speed(factor: float) -> None:
         for n in (5, 7):
-            model = models[n]
-            made.become(f"w{n}", Capacity(model.cores, model.queue, model.speed * by, thrash=model.thrash))
+            capacity = capacities[n]
+            cluster.become(
+                f"w{n}", Capacity(capacity.cores, capacity.queue, capacity.speed * factor, thrash=capacity.thrash)
+            )
 
     if case.slowing:
-        made.clock.at(4.0 + seconds / 4, slow, 0.25)
-        made.clock.at(4.0 + seconds * 5 / 8, slow, 1.0)
-    return made.served(4.0, 4.0 + seconds)
+        cluster.clock.at(4.0 + seconds / 4, set_speed, 0.25)
+        cluster.clock.at(4.0 + seconds * 5 / 8, set_speed, 1.0)
+    return cluster.served(4.0, 4.0 + seconds)
 
 
 @dataclass(slots=True)
 class Run:
-    """What one installation showed."""
+    """The results of one installation."""
 
-    ends: Counter[str]
-    wait: float  # seconds to the answer that 99 of 100 of those served were under
+    ends: Counter[str]  # requests by how they ended
+    p99_seconds: float  # 99th percentile of the response time of served requests, in seconds
 
     @property
     def share(self) -> float:
-        """The share of requests that was served in its aim."""
+        """The share of requests served within the latency objective."""
         return self.ends["served"] / self.ends.total()
 
 
-async def play(seed: int, forwarders: int, paces: bool, seconds: float, load: float) -> Run:
-    """One installation of slow and fast workers, with the planners that learn of them or without."""
-    models = FLEETS["slow and fast"]
-    service = 0.05
-    rate = load * sum(model.cores * model.speed for model in models) / service
+async def run_installation(seed: int, forwarders: int, learn_capacity: bool, seconds: float, load: float) -> Run:
+    """Run one installation of slow and fast workers; `learn_capacity`: planners learn the capacity of workers."""
+    capacities = FLEETS["slow and fast"]
+    service_seconds = 0.05
+    rate = load * sum(capacity.cores * capacity.speed for capacity in capacities) / service_seconds
     plans = [{"Name": "big", "Refill": 5000, "MostAtOnce": 5000}]
     async with Installation(
         forwarders,
         2,
-        capacities=models,
-        service=service,
+        capacities=capacities,
+        service=service_seconds,
         plans=plans,
         seed=seed,
         terms=Terms(),
-        paces=paces,
+        paces=learn_capacity,
         session=2.0,
-    ) as fleet:
-        await settled(fleet)
+    ) as installation:
+        await wait_for_shard_owners(installation)
 
-        def traffic(seed: int) -> Traffic:
-            asked = [
+        def make_traffic(seed: int) -> Traffic:
+            customers = [
                 Customer(
                     f"{n + 1:016x}",
                     "big",
-                    lambda at: rate / forwarders,
-                    lambda at, n=n: n,  # type: ignore
+                    lambda now: rate / forwarders,
+                    lambda now, n=n: n,  # type: ignore
                     top=rate / forwarders,
                 )
                 for n in range(forwarders)
             ]
-            return Traffic(fleet.ports, asked, fleet.plans, seed, timeout=1.5, aim=0.4)
+            return Traffic(installation.ports, customers, installation.plans, seed, timeout=1.5, aim=0.4)
 
-        await traffic(seed).run(4.0)
-        report = await traffic(seed + 1000).run(seconds)
-        waits = sorted(report.waits)
-        return Run(report.ends, waits[int(0.99 * len(waits))] if waits else 0.0)
+        await make_traffic(seed).run(4.0)
+        report = await make_traffic(seed + 1000).run(seconds)
+        response_times = sorted(report.waits)
+        return Run(report.ends, response_times[int(0.99 * len(response_times))] if response_times else 0.0)
 
 
 async def compare(seed: int, forwarders: int, seconds: float, load: float) -> tuple[Run, Run]:
-    """With and without, side by side on the same traffic."""
+    """Run an installation with learned worker capacity and one without, side by side on the same traffic."""
     with_, without = await asyncio.gather(
-        play(seed, forwarders, True, seconds, load), play(seed, forwarders, False, seconds, load)
+        run_installation(seed, forwarders, True, seconds, load),
+        run_installation(seed, forwarders, False, seconds, load),
     )
     return with_, without
 
 
 def rounded(values: Iterable[float]) -> list[float]:
-    """For the JSON line."""
+    """Return the values rounded to four places for the JSON output."""
     return [round(value, 4) for value in values]
 
 
 def main() -> int:
-    """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--short", action="store_true", help="within 45 s")
-    short = words.parse_args().short
+    """Run the benchmark and print the figures; return 0 if every bound holds, else 1."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--short", action="store_true", help="run fewer cases and seeds; ends within 45 s")
+    short = parser.parse_args().short
     cases, seeds = (SHORT_CASES, (1, 2)) if short else (LONG_CASES, tuple(range(1, 7)))
     seconds = 8.0 if short else 16.0
     simulated: dict[str, dict[str, list[float]]] = {}
     with ProcessPoolExecutor() as pool:
         jobs = {
-            (case, seed, paces): pool.submit(simulate, case, seed, paces, seconds)
+            (case, seed, learn_capacity): pool.submit(simulate, case, seed, learn_capacity, seconds)
             for case in cases
             for seed in seeds
-            for paces in (True, False)
+            for learn_capacity in (True, False)
         }
         for case in cases:
-            with_, without = ([jobs[case, seed, paces].result() for seed in seeds] for paces in (True, False))
-            gains = [a / b for a, b in zip(with_, without, strict=True)]
-            simulated[case.name] = {"with": spread(with_), "without": spread(without), "ratio": spread(gains)}
+            with_, without = (
+                [jobs[case, seed, learn_capacity].result() for seed in seeds] for learn_capacity in (True, False)
+            )
+            ratios = [measured / baseline for measured, baseline in zip(with_, without, strict=True)]
+            simulated[case.name] = {
+                "with": min_median_max(with_),
+                "without": min_median_max(without),
+                "ratio": min_median_max(ratios),
+            }
             print(f"simulated {case.name}: {json.dumps(simulated[case.name])}", flush=True)
     runs = []
     for seed in seeds[: 1 if short else 3]:
         runs.append(uvloop.run(compare(seed, 6 if short else FORWARDERS, 8.0 if short else 30.0, 0.7)))
         print(f"real, seed {seed}: with {runs[-1][0].share:.4f}, without {runs[-1][1].share:.4f}", flush=True)
-    ratios = [with_.share / without.share for with_, without in runs]
-    uneven = [
-        line["ratio"][1]
-        for name, line in simulated.items()
+    real_ratios = [with_.share / without.share for with_, without in runs]
+    uneven_ratios = [
+        figure["ratio"][1]
+        for name, figure in simulated.items()
         if not name.startswith("even") and "70%" in name and "slow down" not in name
     ]
-    calm = [line["ratio"][1] for name, line in simulated.items() if name.startswith("even") and "slow down" not in name]
+    even_ratios = [
+        figure["ratio"][1] for name, figure in simulated.items() if name.startswith("even") and "slow down" not in name
+    ]
     figures = {
         "seeds": list(seeds),
         "simulated": simulated,
         "forwarders": 6 if short else FORWARDERS,
         "real_with": rounded(with_.share for with_, _ in runs),
         "real_without": rounded(without.share for _, without in runs),
-        "real_ratio": spread(ratios),
+        "real_ratio": min_median_max(real_ratios),
         "real_p99_s": {
-            "with": rounded(with_.wait for with_, _ in runs),
-            "without": rounded(without.wait for _, without in runs),
+            "with": rounded(with_.p99_seconds for with_, _ in runs),
+            "without": rounded(without.p99_seconds for _, without in runs),
         },
-        "ok": bool(min(uneven) > 1.0 and min(calm) > 0.97 and statistics.median(ratios) > 0.97),
+        "ok": bool(min(uneven_ratios) > 1.0 and min(even_ratios) > 0.97 and statistics.median(real_ratios) > 0.97),
     }
     print(json.dumps(figures))
     return 0 if figures["ok"] else 1
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,10 +1,14 @@
-"""What a decision costs as workers and customers grow, and what parts of quotas lose: the module alone.
+"""Measures the cost and quality of routing decisions in `micagate` alone, without sockets.
 
-`python -m benchmarks.routing [--short]`. The last line is one JSON object. Measured so far: time a request by workers,
-memory of a million customers seen once, and the longest single step while they come, are let go and come back; of
-what one store for each customer would let in, what is served by gatekeepers that hold parts (`rig/customers.py`); and
-what is served by a simulated fleet with slow workers, against a choice that sees all true queues
-(`rig/worker_selection.py`).
+Run as `python -m benchmarks.routing [--short]`; the last line of output is one JSON object. It measures:
+
+- time per request by the number of workers;
+- memory of the accounts of a million customers seen once, and the longest single step while accounts are created,
+  evicted and created again;
+- what gatekeepers that hold local shares of quotas serve, as a share of what one token bucket per customer would admit
+  (`rig/customers.py`);
+- what a simulated fleet with slow workers serves, compared to a policy that sees every true queue
+  (`rig/worker_selection.py`).
 """
 
 from __future__ import annotations
@@ -17,7 +21,7 @@
 import time
 from dataclasses import replace
 
-from benchmarks.planners import spread
+from benchmarks.planners import min_median_max
 from micagate import Gateway, interface
 from rig.customers import play, total, wide
 from rig.memory import resident
@@ -25,106 +29,115 @@
 
 CLASSES = (interface.RequestClass("fetch", aim=0.4, deadline=1.0),)
 PLANS = (interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0),)
-SIZES = (6, 60, 200, 1000)
+WORKER_COUNTS = (6, 60, 200, 1000)
 
 
-def module_us(workers: int, requests: int) -> float:
-    """Microseconds of a request and its outcome, with so many workers."""
-    gate = Gateway(interface.Settings(CLASSES, PLANS, max_attempts=2), 1, 0.0)
-    gate.handle(0.0, interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(workers)), whole=True))
+def microseconds_per_request(workers: int, requests: int) -> float:
+    """Return the mean microseconds for handling a request and its outcome with this many workers."""
+    gateway = Gateway(interface.Settings(CLASSES, PLANS, max_attempts=2), 1, 0.0)
+    gateway.handle(0.0, interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(workers)), whole=True))
     now = 0.0
-    spent = 0.0
+    spent_seconds = 0.0
     for n in range(requests):
         now += 0.005
-        began = time.perf_counter()
-        actions = gate.handle(now, interface.Request(f"r{n}", "fetch", "capped", f"c{n % 100}", 1.0))
-        spent += time.perf_counter() - began
+        started = time.perf_counter()
+        actions = gateway.handle(now, interface.Request(f"r{n}", "fetch", "capped", f"c{n % 100}", 1.0))
+        spent_seconds += time.perf_counter() - started
         for action in actions:
             if isinstance(action, interface.Send):
                 outcome = interface.Outcome(action.request, 0, action.worker, interface.SUCCESS, True, 0.02)
-                began = time.perf_counter()
-                gate.handle(now + 0.004, outcome)
-                spent += time.perf_counter() - began
-    return 1e6 * spent / requests
+                started = time.perf_counter()
+                gateway.handle(now + 0.004, outcome)
+                spent_seconds += time.perf_counter() - started
+    return 1e6 * spent_seconds / requests
 
 
-def customers(count: int) -> dict[str, float]:
-    """A million customers once each, at 16,000 a second, and then all idle: memory and single steps.
+def measure_accounts(count: int) -> dict[str, float]:
+    """Measure memory and the longest step for `count` customers seen once each, at 16,000 per second, then all idle.
 
-    A step's time is the thread's on the processor: what else runs on the machine doesn't count.
+    A step is timed in CPU time of the thread, so that other load on the machine does not count.
     """
-    gate = Gateway(interface.Settings(CLASSES, PLANS), 1, -100.0)
-    gate.handle(0.0, interface.WorkerList((interface.WorkerEntry("w"),), whole=True))
+    gateway = Gateway(interface.Settings(CLASSES, PLANS), 1, -100.0)
+    gateway.handle(0.0, interface.WorkerList((interface.WorkerEntry("w"),), whole=True))
     gc.collect()
     gc.freeze()
-    gc.disable()  # the collector's own pauses are the process's matter: it freezes what it starts with
-    begun = resident()
+    gc.disable()  # collector pauses are not measured here: a serving process freezes its startup objects
+    resident_before = resident()
     for n in range(count):
-        gate.quotas.account(n / 16_000, f"{n:016x}", PLANS[0], 1)
-    memory = (resident() - begun) / 1e6
-    longest = 0.0
+        gateway.quotas.account(n / 16_000, f"{n:016x}", PLANS[0], 1)
+    memory_mb = (resident() - resident_before) / 1e6
+    longest_seconds = 0.0
     now = count / 16_000
     for n in range(count // 4):
         now += 1 / 16_000
-        began = time.thread_time()
-        gate.quotas.account(now, f"again{n:012x}", PLANS[0], 1)
-        longest = max(longest, time.thread_time() - began)
-    kept = len(gate.quotas.accounts)
-    now += 100.0  # all are idle
-    for _ in range(kept):
-        began = time.thread_time()
-        gate.quotas.account(now, "late", PLANS[0], 1)
-        longest = max(longest, time.thread_time() - began)
+        started = time.thread_time()
+        gateway.quotas.account(now, f"again{n:012x}", PLANS[0], 1)
+        longest_seconds = max(longest_seconds, time.thread_time() - started)
+    kept_count = len(gateway.quotas.accounts)
+    now += 100.0  # all accounts are idle by now
+    for _ in range(kept_count):
+        started = time.thread_time()
+        gateway.quotas.account(now, "late", PLANS[0], 1)
+        longest_seconds = max(longest_seconds, time.thread_time() - started)
     gc.enable()
-    return {"memory_mb": memory, "kept": kept, "left": len(gate.quotas.accounts), "longest_ms": 1e3 * longest}
+    return {
+        "memory_mb": memory_mb,
+        "kept": kept_count,
+        "left": len(gateway.quotas.accounts),
+        "longest_ms": 1e3 * longest_seconds,
+    }
 
 
 def main() -> int:
-    """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--short", action="store_true", help="within 45 s")
-    short = words.parse_args().short
+    """Run the benchmark and print the figures; return 0 if every bound holds, else 1."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--short", action="store_true", help="run a reduced benchmark; ends within 45 s")
+    short = parser.parse_args().short
     rounds, requests = (3, 100) if short else (7, 2000)
-    taken: dict[int, list[float]] = {size: [] for size in SIZES}
+    microseconds: dict[int, list[float]] = {worker_count: [] for worker_count in WORKER_COUNTS}
     for _ in range(rounds):
-        for size in SIZES:  # in turn, so that a slow spell of the machine meets all of them
-            taken[size].append(module_us(size, requests))
-    for size, times in taken.items():
-        print(f"module_us {size} workers: {spread(times)}", flush=True)
-    growth = [big / small for big, small in zip(taken[SIZES[-1]], taken[SIZES[0]], strict=True)]
-    seen = customers(1_000_000)
-    print(f"customers: {json.dumps(seen)}", flush=True)
-    parts = {}
+        for worker_count in WORKER_COUNTS:  # interleaved, so that a slow period of the machine affects every size
+            microseconds[worker_count].append(microseconds_per_request(worker_count, requests))
+    for worker_count, times in microseconds.items():
+        print(f"module_us {worker_count} workers: {min_median_max(times)}", flush=True)
+    growth = [
+        big / small for big, small in zip(microseconds[WORKER_COUNTS[-1]], microseconds[WORKER_COUNTS[0]], strict=True)
+    ]
+    accounts = measure_accounts(1_000_000)
+    print(f"customers: {json.dumps(accounts)}", flush=True)
+    quota_shares = {}
     for gateways in (4, 10):
         days = [total([play(wide(gateways), seed)]) for seed in range(1 if short else 12)]
-        parts[str(gateways)] = {name: spread([told[name] for told in days]) for name in days[0]}
-        print(f"parts of quotas, {gateways} gatekeepers: {json.dumps(parts[str(gateways)])}", flush=True)
+        quota_shares[str(gateways)] = {name: min_median_max([shares[name] for shares in days]) for name in days[0]}
+        print(f"local quota shares, {gateways} gatekeepers: {json.dumps(quota_shares[str(gateways)])}", flush=True)
     field = Field(seconds=1.0, warm_up=4.0) if short else Field(seconds=10.0, warm_up=10.0)
-    seen_at_once = replace(field, warm_up=1.5)  # nothing to learn
-    ideal, chosen = [], []
+    reference_field = replace(field, warm_up=1.5)  # this policy learns nothing, so it needs less warm-up
+    ideal, ratios = [], []
     for seed in range(1 if short else 5):
-        ideal.append(served("sees_all", seen_at_once, seed))
-        chosen.append(served("module", field, seed) / ideal[-1])
+        ideal.append(served("sees_all", reference_field, seed))
+        ratios.append(served("module", field, seed) / ideal[-1])
         print(
-            f"served by {field.workers} workers, seed {seed}: {ideal[-1]:.4f} where all queues are seen, "
-            f"{chosen[-1]:.4f} of that here",
+            f"served by {field.workers} workers, seed {seed}: {ideal[-1]:.4f} when every queue is seen, "
+            f"{ratios[-1]:.4f} of that by the gateway",
             flush=True,
         )
     figures = {
-        "module_us": {str(size): round(statistics.median(times), 1) for size, times in taken.items()},
-        "growth": spread(growth),
+        "module_us": {
+            str(worker_count): round(statistics.median(times), 1) for worker_count, times in microseconds.items()
+        },
+        "growth": min_median_max(growth),
         "growth_aim": 1.3,
-        "memory_mb_million_accounts": round(seen["memory_mb"], 1),
-        "accounts_kept": seen["kept"],
-        "quota_parts": parts,
-        "served_vs_ideal": spread(chosen),
+        "memory_mb_million_accounts": round(accounts["memory_mb"], 1),
+        "accounts_kept": accounts["kept"],
+        "quota_parts": quota_shares,
+        "served_vs_ideal": min_median_max(ratios),
         "served_vs_ideal_aim": 0.97,
-        "longest_pause_ms": round(seen["longest_ms"], 3),
+        "longest_pause_ms": round(accounts["longest_ms"], 3),
         "ok": bool(
-            seen["memory_mb"] < 60
-            and seen["longest_ms"] < 5
-            and seen["left"] <= 4
-            and statistics.median(chosen) >= 0.97
+            accounts["memory_mb"] < 60
+            and accounts["longest_ms"] < 5
+            and accounts["left"] <= 4
+            and statistics.median(ratios) >= 0.97
         ),
     }
     print(json.dumps(figures))
