--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -48,6 +48,7 @@
     ),
 )
 QUOTA_DAYS = {"first": replace(wide(3), seconds=40.0), "second": SLOW_METER_DAY}
+# Deployments of the overload part: classes with their share of requests and units of work, workers and rules.
 PRESSED = {
     "first": Kind(
         (
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -314,10 +314,10 @@
     short = parser.parse_args().short
     seeds, seconds, gateway_counts = (1, 9.0, GATEWAY_COUNTS) if short else (5, 24.0, GATEWAY_COUNTS)
     shares: dict[str, dict[int, list[float]]] = {
-        policy: {gateway_count: [] for gateway_count in gateway_counts} for policy in ("with", "without")
+        name: {gateway_count: [] for gateway_count in gateway_counts} for name in ("with", "without")
     }
-    activations: dict[str, list[float]] = {policy: [] for policy in shares}
-    connects: dict[str, list[float]] = {policy: [] for policy in shares}
+    activations: dict[str, list[float]] = {name: [] for name in shares}
+    connects: dict[str, list[float]] = {name: [] for name in shares}
     cold_falls = drain_breaks = 0
     usual_minimum = metering.SLIVER
     for seed in range(seeds):
@@ -344,19 +344,18 @@
                     flush=True,
                 )
     calls = {
-        policy: [float(count_discovery_calls(40, policy == "with")) for _ in range(1 if short else 5)]
-        for policy in shares
+        name: [float(count_discovery_calls(40, name == "with")) for _ in range(1 if short else 5)] for name in shares
     }
     figures = {
         **{
-            f"served_{gateway_count}": {policy: min_median_max(shares[policy][gateway_count]) for policy in shares}
+            f"served_{gateway_count}": {name: min_median_max(shares[name][gateway_count]) for name in shares}
             for gateway_count in gateway_counts
         },
-        "list_calls": {policy: min_median_max(calls[policy]) for policy in shares},
-        "connects": {policy: min_median_max(connects[policy]) for policy in shares},
+        "list_calls": {name: min_median_max(calls[name]) for name in shares},
+        "connects": {name: min_median_max(connects[name]) for name in shares},
         "cold_falls": cold_falls,
         "drain_breaks": drain_breaks,
-        "controls_by_chance": {policy: min_median_max(activations[policy]) for policy in shares},
+        "controls_by_chance": {name: min_median_max(activations[name]) for name in shares},
         "ok": bool(
             not cold_falls
             and not drain_breaks
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,9 +1,10 @@
-"""What operators ask of a gatekeeper in service: calls, bans, drains, upgrades and long bodies, under load.
+"""Measures operations on a gatekeeper under load: management calls, maintenance, drains, upgrades and long bodies.
 
-`python -m benchmarks.operations [--short]`. The last line is one JSON object. All of it is the real program on
-loopback against the rig's stand-ins, but for the handover of 30,000 customers, which two gateways make over the real
-socket in one loop. `short_request_cost_ratio` runs the version named by `BEFORE` beside this one, in turns, where the
-repository has it; otherwise it is null and says nothing. The rates are this machine's; the ratios are taken in one run.
+Run as `python -m benchmarks.operations [--short]`; the last line of output is one JSON object. Gatekeepers are real
+processes on loopback with fake workers and a fake discovery service. Two parts differ: the handoff of 30,000 customers
+runs between two gateways over the real socket in one event loop, and `cold_falls` comes from the decision code alone.
+`short_request_cost_ratio` compares this version to `BASELINE_COMMIT`, in alternating rounds; it is null if the
+repository does not have that commit. Rates depend on the machine; ratios are taken within one run.
 """
 
 from __future__ import annotations
@@ -33,62 +34,67 @@
 from rig.memory import highest
 from rig.process_host import House, Load
 
-BEFORE = "ac3768b"  # the version before long bodies
+BASELINE_COMMIT = "ac3768b"  # the last version without streaming of long bodies
 MB = 1 << 20
 Figures = dict[str, Any]
 
 
-def aims(told: Figures) -> bool:
-    """Whether what must hold holds, with room for a busy machine where a figure is a time."""
+def meets_bounds(figures: Figures) -> bool:
+    """Return whether every bound holds; bounds on times leave a margin for a busy machine."""
     return bool(
-        told["upgrade_lost"] == 0
-        and told["upgrade_refused"] == 0
-        and told["bans_broken"] == 0
-        and told["calls_wrong"] == 0
-        and told["wrong_outcomes"] == 0
-        and told["cold_falls"] == 0
-        and told["served_ratio"] >= 0.95
-        and told["quota_excess"] <= 0.02
-        and told["back_in_s"] <= 5
-        and told["drained_s"] <= 4
-        and told["peak_memory_mb"] <= 80
-        and told["longest_pause_ms"] <= 20
+        figures["upgrade_lost"] == 0
+        and figures["upgrade_refused"] == 0
+        and figures["bans_broken"] == 0
+        and figures["calls_wrong"] == 0
+        and figures["wrong_outcomes"] == 0
+        and figures["cold_falls"] == 0
+        and figures["served_ratio"] >= 0.95
+        and figures["quota_excess"] <= 0.02
+        and figures["back_in_s"] <= 5
+        and figures["drained_s"] <= 4
+        and figures["peak_memory_mb"] <= 80
+        and figures["longest_pause_ms"] <= 20
     )
 
 
-async def upgrades(count: int, calm: float) -> Figures:
-    """Upgrades under load: what was lost and refused, and what was served round each over a calm time."""
+async def measure_upgrades(count: int, calm: float) -> Figures:
+    """Perform `count` hot restarts under load; return the failed requests and the throughput.
+
+    `upgrade_lost` counts responses other than 200 in all; `upgrade_refused` is the highest number of requests without a
+    response at one restart. `served_ratio` compares the throughput in the `calm` seconds from a restart on to that
+    in as many seconds before it.
+    """
     workers = Worker("w"), Worker("v")
-    async with House(*workers) as house:
-        old = await house.process()
-        lost = worst = 0
+    async with House(*workers) as host:
+        predecessor = await host.process()
+        lost = worst_refused = 0
         ratios = []
-        async with Load(house.port, 20, 0.01) as load:
+        async with Load(host.port, 20, 0.01) as load:
             for _ in range(count):
-                began = time.monotonic()
+                started = time.monotonic()
                 await asyncio.sleep(calm)
-                mark, broken, at = len(load.statuses), load.broken, time.monotonic()
-                rate = sum(t >= began for t in load.times) / (at - began)
-                new = await house.process()
-                old.process.terminate()
-                await old.process.wait()
-                await asyncio.sleep(max(0.0, calm - (time.monotonic() - at)))
-                ratios.append((len(load.statuses) - mark) / (time.monotonic() - at) / rate)
-                worst = max(worst, load.broken - broken)
-                old = new
+                statuses_before, broken_before, upgrade_started = len(load.statuses), load.broken, time.monotonic()
+                calm_rate = sum(finished >= started for finished in load.times) / (upgrade_started - started)
+                successor = await host.process()
+                predecessor.process.terminate()
+                await predecessor.process.wait()
+                await asyncio.sleep(max(0.0, calm - (time.monotonic() - upgrade_started)))
+                ratios.append((len(load.statuses) - statuses_before) / (time.monotonic() - upgrade_started) / calm_rate)
+                worst_refused = max(worst_refused, load.broken - broken_before)
+                predecessor = successor
         lost = sum(status != 200 for status in load.statuses)
     return {
         "upgrades": count,
         "upgrade_lost": lost,
-        "upgrade_refused": worst,
+        "upgrade_refused": worst_refused,
         "served_ratio": round(statistics.median(ratios), 3),
         "served_ratio_worst": round(min(ratios), 3),
     }
 
 
-async def edge(seconds: float) -> Figures:
-    """One customer at the edge of its quota, over an upgrade and without one: units let in beyond one process."""
-    plan = [
+async def measure_quota_excess(seconds: float) -> Figures:
+    """Return by how much a hot restart raises what a customer that exhausts its quota is admitted."""
+    plans = [
         {
             "AtOnce": 0,
             "BeyondEarns": 0,
@@ -103,98 +109,102 @@
     ]
     served = []
     for upgrade in (False, True):
-        async with House(Worker("w")) as house:
-            settings = config(house.discovery.port)["settings"]
-            settings["Plans"] = plan
-            old = await house.process(settings=settings)
-            client = Client(*await asyncio.open_connection("127.0.0.1", house.port))
-            began, count = time.monotonic(), 0
-            turned = False
-            while time.monotonic() - began < seconds:
-                if upgrade and not turned and time.monotonic() - began > seconds / 2:
-                    turned = True
-                    await house.process(settings=settings)
-                    old.process.terminate()
+        async with House(Worker("w")) as host:
+            settings = config(host.discovery.port)["settings"]
+            settings["Plans"] = plans
+            predecessor = await host.process(settings=settings)
+            client = Client(*await asyncio.open_connection("127.0.0.1", host.port))
+            started, count = time.monotonic(), 0
+            upgraded = False
+            while time.monotonic() - started < seconds:
+                if upgrade and not upgraded and time.monotonic() - started > seconds / 2:
+                    upgraded = True
+                    await host.process(settings=settings)
+                    predecessor.process.terminate()
                 count += (await client.ask("write")).status == 200
                 await asyncio.sleep(0.002)
-            served.append(count / (20 + 20 * (time.monotonic() - began)))
+            served.append(count / (20 + 20 * (time.monotonic() - started)))
     return {"quota_excess": round(max(0.0, served[1] / served[0] - 1), 3)}
 
 
-class Side:
-    """The process round a giver or a taker, as far as a handover of state needs one."""
+class FakeProcess:
+    """Fake of the process that surrounds a predecessor or successor: a handoff of state with no sockets to pass."""
 
     def pause(self) -> None:
-        """Nothing is accepted here anyway."""
+        """Do nothing: no connections are accepted here."""
 
     resume = gone = pause
 
     def outside(self) -> dict[str, Any]:
-        """No network's side."""
+        """Return no network state."""
         return {}
 
     def receive(self, parts: dict[str, Any]) -> None:
-        """Nothing of it is used."""
+        """Ignore the network state."""
 
     def client(self, sock: socket.socket, good: bool) -> None:
-        """None comes."""
+        """Ignore a client connection; none is passed."""
 
     def worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
-        """None comes."""
+        """Ignore a worker connection; none is passed."""
 
     def call(self, word: str, worker: str) -> None:
-        """None comes."""
+        """Ignore a management call; none is passed."""
 
 
-async def handover(customers: int) -> Figures:
-    """So many customers handed over, both sides in one loop: how long it takes, and its longest step."""
+async def measure_handoff(customers: int) -> Figures:
+    """Hand off this many customers between two gateways in one event loop; return its duration and longest pause."""
     loop = asyncio.get_running_loop()
     plan = Plan("basic", rate=1.0, burst=4.0)
     settings = Settings((RequestClass("read", aim=1.0, deadline=2.0),), (plan,), max_accounts=2 * customers)
-    giving, taking = Gateway(settings, 1, loop.time()), Gateway(settings, 2, loop.time())
+    old_gateway, new_gateway = Gateway(settings, 1, loop.time()), Gateway(settings, 2, loop.time())
     for n in range(customers):
-        account = giving.quotas.account(loop.time(), f"{n:016x}", plan, 2)
-        giving.quotas.spend(account, 1.0, True)
-    longest, ended, random = 0.0, False, Random(3)
+        account = old_gateway.quotas.account(loop.time(), f"{n:016x}", plan, 2)
+        old_gateway.quotas.spend(account, 1.0, True)
+    longest_pause, ended, random = 0.0, False, Random(3)
 
-    async def tick() -> None:
-        nonlocal longest
+    async def measure_pauses() -> None:
+        nonlocal longest_pause
         last = time.perf_counter()
         while not ended:
             await asyncio.sleep(0)
             now = time.perf_counter()
-            longest, last = max(longest, now - last), now
+            longest_pause, last = max(longest_pause, now - last), now
 
-    async def use() -> None:
+    async def change_accounts() -> None:
         while not ended:
             for _ in range(5):
-                giving.quotas.account(loop.time(), f"{random.randrange(customers):016x}", plan, 2)
+                old_gateway.quotas.account(loop.time(), f"{random.randrange(customers):016x}", plan, 2)
             await asyncio.sleep(0.01)
 
     with tempfile.TemporaryDirectory() as folder:
-        giver = Predecessor(loop, "bench", folder, giving, Side(), loop.time)
-        giver.listen()
-        taker = Successor(loop, "bench", taking, Side(), loop.time, lambda event: None)
-        tasks = [asyncio.create_task(tick()), asyncio.create_task(use())]
-        began = time.perf_counter()
-        good = await taker.take(folder)
-        took = time.perf_counter() - began
+        predecessor = Predecessor(loop, "bench", folder, old_gateway, FakeProcess(), loop.time)
+        predecessor.listen()
+        successor = Successor(loop, "bench", new_gateway, FakeProcess(), loop.time, lambda event: None)
+        tasks = [asyncio.create_task(measure_pauses()), asyncio.create_task(change_accounts())]
+        started = time.perf_counter()
+        good = await successor.take(folder)
+        duration = time.perf_counter() - started
         ended = True
         await asyncio.gather(*tasks)
-        giver.stop()
-    assert good and len(taking.quotas.accounts) == customers, (good, len(taking.quotas.accounts))
-    return {"handover_ms": round(1000 * took), "longest_pause_ms": round(1000 * longest, 1), "customers": customers}
+        predecessor.stop()
+    assert good and len(new_gateway.quotas.accounts) == customers, (good, len(new_gateway.quotas.accounts))
+    return {
+        "handover_ms": round(1000 * duration),
+        "longest_pause_ms": round(1000 * longest_pause, 1),
+        "customers": customers,
+    }
 
 
-async def calls(seconds: float) -> Figures:
-    """Calls under full load, beside sixty callers that say nothing."""
+async def measure_calls(seconds: float) -> Figures:
+    """Make management calls under full load, beside 60 open management connections that send no complete line."""
     async with scene(Worker("w"), Worker("v")) as (gatekeeper, _, _):
-        silent = [await asyncio.open_connection("127.0.0.1", gatekeeper.management) for _ in range(60)]
-        for _, writer in silent[::2]:
+        open_connections = [await asyncio.open_connection("127.0.0.1", gatekeeper.management) for _ in range(60)]
+        for _, writer in open_connections[::2]:
             writer.write(b"HEAL")
-        took, wrong = [], 0
+        durations, wrong = [], 0
         async with Load(gatekeeper.port, 40, 0.0):
-            until_ = time.monotonic() + seconds
+            deadline = time.monotonic() + seconds
             expected = (
                 ("HEALTH", "ok"),
                 ("OFFLINE w", "ok"),
@@ -203,48 +213,54 @@
                 ("what", "fail"),
                 ("health", "ok"),
             )
-            while time.monotonic() < until_:
-                for line, start in expected:
-                    began = time.monotonic()
-                    answer = await gatekeeper.call(line)
-                    took.append(time.monotonic() - began)
-                    wrong += not answer.startswith(start)
-        for _, writer in silent:
+            while time.monotonic() < deadline:
+                for line, prefix in expected:
+                    started = time.monotonic()
+                    response = await gatekeeper.call(line)
+                    durations.append(time.monotonic() - started)
+                    wrong += not response.startswith(prefix)
+        for _, writer in open_connections:
             writer.close()
-    took.sort()
+    durations.sort()
     return {
-        "calls": len(took),
-        "calls_p99_ms": round(1000 * took[int(0.99 * (len(took) - 1))], 1),
+        "calls": len(durations),
+        "calls_p99_ms": round(1000 * durations[int(0.99 * (len(durations) - 1))], 1),
         "calls_wrong": wrong,
     }
 
 
-async def bans(rounds: int) -> Figures:
-    """Workers taken out and put back among twelve: sends meanwhile, and how soon the first comes after."""
+async def measure_maintenance(rounds: int) -> Figures:
+    """Take workers out for maintenance and back, among twelve.
+
+    Returns the requests sent to them while out, and the longest time until the first request after their return.
+    """
     workers = [Worker(f"w{n}") for n in range(12)]
-    broken, back = 0, []
+    sent_while_out, return_times = 0, []
     async with scene(*workers) as (gatekeeper, discovery, _):
         async with Load(gatekeeper.port, 10, 0.005) as load:
             for n in range(rounds):
                 worker = workers[n % len(workers)]
                 await gatekeeper.call(f"OFFLINE {worker.name}")
                 await asyncio.sleep(0.05)
-                before = len(worker.seen)
-                if n % 2:  # the list tells of it as if nothing were
+                seen_before = len(worker.seen)
+                if n % 2:  # a discovery update that shows the worker as healthy must not bring it back
                     discovery.change(worker.entry(since_ms=int(1000 * time.time())))
                 await asyncio.sleep(0.25)
-                broken += len(worker.seen) - before
-                before, at = len(worker.seen), time.monotonic()
+                sent_while_out += len(worker.seen) - seen_before
+                seen_before, returned_at = len(worker.seen), time.monotonic()
                 await gatekeeper.call(f"ONLINE {worker.name}")
-                await asyncio.wait_for(until(lambda: len(worker.seen) > before), 10)  # noqa: B023
-                back.append(time.monotonic() - at)
+                await asyncio.wait_for(until(lambda: len(worker.seen) > seen_before), 10)  # noqa: B023
+                return_times.append(time.monotonic() - returned_at)
         assert load.broken == 0
-    return {"bans": rounds, "bans_broken": broken, "back_in_s": round(max(back), 2)}
+    return {"bans": rounds, "bans_broken": sent_while_out, "back_in_s": round(max(return_times), 2)}
 
 
-def cold(rounds: int) -> Figures:
-    """Of what comes back cold among sixty: attempts out there beyond what it bears, in decisions alone."""
-    falls = 0
+def count_cold_overloads(rounds: int) -> Figures:
+    """Count requests at which a worker back from maintenance, one of 60, has more attempts in flight than it can bear.
+
+    Runs the decision code alone, in simulated time.
+    """
+    overloads = 0
     for seed in range(rounds):
         random = Random(seed)
         settings = Settings(
@@ -258,59 +274,61 @@
         gateway = Gateway(settings, seed, 0.0)
         names = [f"w{n}" for n in range(60)]
         gateway.handle(0.0, interface.WorkerList(tuple(interface.WorkerEntry(name) for name in names), whole=True))
-        now, back, victim = 0.0, 0.0, random.choice(names)
-        open_: list[tuple[float, str, str]] = []
+        now, returned_at, victim = 0.0, 0.0, random.choice(names)
+        in_flight: list[tuple[float, str, str]] = []
         for n in range(3000):
             now += random.expovariate(300.0)
             if n == 1000:
                 gateway.handle(now, interface.SetMaintenance(victim, True))
             if n == 1500:
                 gateway.handle(now, interface.SetMaintenance(victim, False))
-                back = now
-            while open_ and open_[0][0] <= now:
-                due, name, worker = open_.pop(0)
-                gateway.handle(due, interface.Outcome(name, 0, worker, interface.SUCCESS, terminal=True, took=0.05))
+                returned_at = now
+            while in_flight and in_flight[0][0] <= now:
+                end_time, name, worker = in_flight.pop(0)
+                gateway.handle(
+                    end_time, interface.Outcome(name, 0, worker, interface.SUCCESS, terminal=True, took=0.05)
+                )
             for action in gateway.handle(now, interface.Request(f"r{n}", "read", "basic", f"{n:016x}", 4.0)):
                 if isinstance(action, interface.Send):
-                    open_.append((now + 0.05, f"r{n}", action.worker))
-            known = gateway.fleet.workers.get(victim)
-            if n > 1500 and known is not None:
-                # A warm one serves this gateway 300 / 60 a second; of that so much, and twice that over its span.
-                warm = min(1.0, 0.2 + 0.8 * (now - back) / 8.0)
-                falls += len(known.in_flight) > max(1.0, 2 * warm * 300 / 60)
-    return {"cold_falls": falls}
-
-
-async def drains(rounds: int) -> Figures:
-    """Clients sent away: how long until none is left, with idle ones, busy ones and new ones."""
-    worst = 0.0
+                    in_flight.append((now + 0.05, f"r{n}", action.worker))
+            state = gateway.fleet.workers.get(victim)
+            if n > 1500 and state is not None:
+                # A warm worker serves 300 / 60 requests per second here; the limit is twice its current share of that.
+                warm_up_factor = min(1.0, 0.2 + 0.8 * (now - returned_at) / 8.0)
+                overloads += len(state.in_flight) > max(1.0, 2 * warm_up_factor * 300 / 60)
+    return {"cold_falls": overloads}
+
+
+async def measure_drains(rounds: int) -> Figures:
+    """Drain the clients of a gatekeeper, idle and new ones; return the longest time until all have disconnected."""
+    longest = 0.0
     async with scene(Worker("w")) as (gatekeeper, _, _):
         for _ in range(rounds):
             idle = [await gatekeeper.client() for _ in range(20)]
             for client in idle:
                 assert (await client.ask("write")).status == 200
-            began = time.monotonic()
+            started = time.monotonic()
             await gatekeeper.call("LEAVE")
             assert await gatekeeper.health() == 503
-            late = await gatekeeper.client()
-            assert (await late.ask("write")).status == 200
-            ends = await asyncio.gather(*(client.ended() for client in (*idle, late)))
-            assert all(ends)
-            worst = max(worst, time.monotonic() - began)
+            late_client = await gatekeeper.client()
+            assert (await late_client.ask("write")).status == 200
+            disconnected = await asyncio.gather(*(client.ended() for client in (*idle, late_client)))
+            assert all(disconnected)
+            longest = max(longest, time.monotonic() - started)
             await gatekeeper.call("JOIN")
             assert await gatekeeper.health() == 200
-    return {"drained_s": round(worst, 2)}
+    return {"drained_s": round(longest, 2)}
 
 
-async def memory() -> Figures:
-    """Twenty bodies of 32 MB at once, both ways, by a gatekeeper that may take 80 MB."""
+async def measure_memory() -> Figures:
+    """Transfer 20 bodies of 32 MB concurrently, both ways, through a gatekeeper that is limited to 80 MB of memory."""
     async with scene(BulkWorker("w"), limits={"memory_mb": 80}) as (gatekeeper, _, _):
-        most = await highest(gatekeeper.process.pid, at_once(gatekeeper.port, 20, 32 * MB))
-    return {"peak_memory_mb": round(most / MB, 1)}
+        peak_bytes = await highest(gatekeeper.process.pid, at_once(gatekeeper.port, 20, 32 * MB))
+    return {"peak_memory_mb": round(peak_bytes / MB, 1)}
 
 
 class Relay(asyncio.Protocol):
-    """One side of a bare relay, with the other's pace."""
+    """One connection of a plain TCP relay; backpressure on one side pauses reading on the other."""
 
     def __init__(self, port: int = 0, other: Relay | None = None) -> None:
         self._port, self._other = port, other
@@ -318,7 +336,7 @@
         self._early: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect the other side, or pass on what came before it stood."""
+        """Connect to the target, or forward what arrived before this connection was established."""
         self._transport = transport = cast(asyncio.Transport, transport)
         if self._other is None:
             other = self._other = Relay(other=self)
@@ -330,7 +348,7 @@
                 transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Pass it on."""
+        """Forward the data, or keep it until the other side is connected."""
         other = self._other
         if other is not None and other._transport is not None:
             other._transport.write(data)
@@ -338,23 +356,23 @@
             self._early.append(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Both ends end."""
+        """Close the other side."""
         if self._other is not None and self._other._transport is not None:
             self._other._transport.close()
 
     def pause_writing(self) -> None:
-        """Read no more from the other side."""
+        """Pause reading from the other side."""
         if self._other is not None and self._other._transport is not None:
             self._other._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Read on."""
+        """Resume reading from the other side."""
         if self._other is not None and self._other._transport is not None:
             self._other._transport.resume_reading()
 
 
-def relay(port: int) -> None:
-    """A bare relay in a process of its own: prints its port, and passes bytes on."""
+def run_relay(port: int) -> None:
+    """Run a plain TCP relay to `port` for 60 s: print its own port, then forward bytes both ways."""
 
     async def serve() -> None:
         server = await asyncio.get_running_loop().create_server(lambda: Relay(port), "127.0.0.1", 0)
@@ -364,31 +382,34 @@
     uvloop.run(serve())
 
 
-async def passed(port: int, size: int) -> float:
-    """MB a second of one long answer."""
+async def transfer_rate(port: int, size: int) -> float:
+    """Return the MB per second at which one response of `size` bytes is received."""
     client = await BulkClient.connect(port)
-    began = time.perf_counter()
-    status, _, got, _, whole = await client.ask("read", want=f"give={size}")
-    took = time.perf_counter() - began
+    started = time.perf_counter()
+    status, _, received, _, whole = await client.ask("read", want=f"give={size}")
+    duration = time.perf_counter() - started
     client.close()
-    assert status == 200 and whole and got == size, (status, whole, got)
-    return size / MB / took
+    assert status == 200 and whole and received == size, (status, whole, received)
+    return size / MB / duration
 
 
-async def speed(rounds: int) -> Figures:
-    """Long answers through the gatekeeper beside a bare relay, in turns."""
+async def measure_transfer_rates(rounds: int) -> Figures:
+    """Compare the transfer rate of long responses through the gatekeeper to that of a plain relay, in alternation."""
     worker, size = BulkWorker("w"), 32 * MB
     async with scene(worker) as (gatekeeper, _, _):
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.operations", "--relay", str(worker.port), stdout=asyncio.subprocess.PIPE
         )
         assert process.stdout is not None
-        bare = int(await process.stdout.readline())
+        relay_port = int(await process.stdout.readline())
         ratios, rates = [], []
         for _ in range(rounds):
-            through, plain = await passed(gatekeeper.port, size), await passed(bare, size)
-            rates.append(through)
-            ratios.append(through / plain)
+            gatekeeper_rate, relay_rate = (
+                await transfer_rate(gatekeeper.port, size),
+                await transfer_rate(relay_port, size),
+            )
+            rates.append(gatekeeper_rate)
+            ratios.append(gatekeeper_rate / relay_rate)
         process.kill()
         await process.wait()
     return {
@@ -398,54 +419,56 @@
     }
 
 
-def used(gatekeeper: Gatekeeper) -> float:
-    """CPU seconds of a process."""
+def cpu_seconds_used(gatekeeper: Gatekeeper) -> float:
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{gatekeeper.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def cost(rounds: int, requests: int) -> Figures:
-    """CPU of a short request, beside the version before long bodies, in turns."""
-    top = Path(__file__).parents[1]
+async def measure_request_cost(rounds: int, requests: int) -> Figures:
+    """Compare the CPU time of short requests to that of `BASELINE_COMMIT`, in alternating rounds."""
+    repository = Path(__file__).parents[1]
     with tempfile.TemporaryDirectory() as folder:
-        packed = subprocess.run(["git", "-C", str(top), "archive", BEFORE], capture_output=True, check=False)
-        if packed.returncode:
+        archive = subprocess.run(
+            ["git", "-C", str(repository), "archive", BASELINE_COMMIT], capture_output=True, check=False
+        )
+        if archive.returncode:
             return {"short_request_cost_ratio": None}
-        subprocess.run(["tar", "-x", "-C", folder], input=packed.stdout, check=True)
+        subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
         worker = Worker("w")
         ratios = []
-        async with House(worker) as house:
-            sides: list[Gatekeeper] = []
-            for root in (top, Path(folder)):
-                made = config(house.discovery.port)
-                del made["management"]
-                side = await spawn(json.dumps(made), root=root)
-                await side.listening()
-                sides.append(side)
-                house.processes.append(side)
-            clients = [await side.client() for side in sides]
+        async with House(worker) as host:
+            gatekeepers: list[Gatekeeper] = []
+            for root in (repository, Path(folder)):
+                configuration = config(host.discovery.port)
+                del configuration["management"]
+                gatekeeper = await spawn(json.dumps(configuration), root=root)
+                await gatekeeper.listening()
+                gatekeepers.append(gatekeeper)
+                host.processes.append(gatekeeper)
+            clients = [await gatekeeper.client() for gatekeeper in gatekeepers]
             body = b"x" * 200
             for n in range(rounds + 1):
-                spent = []
-                for side, client in zip(sides, clients, strict=True):
-                    before = used(side)
+                cpu_seconds = []
+                for gatekeeper, client in zip(gatekeepers, clients, strict=True):
+                    cpu_before = cpu_seconds_used(gatekeeper)
                     for _ in range(requests):
                         assert (await client.ask("write", body=body)).status == 200
-                    spent.append(used(side) - before)
-                if n:  # the first warms both
-                    ratios.append(spent[0] / spent[1])
+                    cpu_seconds.append(cpu_seconds_used(gatekeeper) - cpu_before)
+                if n:  # the first round warms up both versions
+                    ratios.append(cpu_seconds[0] / cpu_seconds[1])
         return {
             "short_request_cost_ratio": round(statistics.median(ratios), 3),
             "short_request_cost_spread": [round(min(ratios), 3), round(max(ratios), 3)],
         }
 
 
-async def outcomes() -> Figures:
-    """Class kind x stage x what broke: the answer, and how often a worker had the whole request."""
-    wrong = cases = 0
+async def check_outcomes() -> Figures:
+    """Check the response and the number of whole requests at workers for each request class and point of failure."""
+    wrong_count = case_count = 0
     size = 16 * MB
-    # Wanted: by class, status and whole requests at workers.
-    asked: list[tuple[str, dict[str, tuple[int, int]]]] = [
+    # Per case, the instructions to the worker; per class, the expected status and number of whole requests at workers.
+    expected: list[tuple[str, dict[str, tuple[int, int]]]] = [
         ("", {"write": (200, 1), "read": (200, 1)}),
         ("turn=1", {"write": (200, 2), "read": (200, 2)}),
         ("cut=1", {"write": (200, 1)}),
@@ -453,60 +476,74 @@
         ("give=100&break=50", {"write": (502, 1)}),
         ("turn=9", {"write": (503, 3), "read": (503, 3)}),
     ]
-    for want, by_class in asked:
-        for klass, (status, times) in by_class.items():
+    for want, by_class in expected:
+        for klass, (status, whole_expected) in by_class.items():
             workers = [BulkWorker(name) for name in "wvu"]
             async with scene(*workers) as (gatekeeper, _, _):
                 client = await BulkClient.connect(gatekeeper.port)
-                sent = size if klass == "write" else 0
-                got, name, length, total, whole = await client.ask(klass, size=sent, want=want)
-                had = sum(each[0] == name and each[3] for worker in workers for each in worker.took)
-                broken = "give=4" in want and "break" in want
-                good = got == status and had == times and whole is not broken
-                if got == 200 and whole and not broken:
-                    good = good and total == check(name, length)
-                cases += 1
-                wrong += not good
-                if not good:
-                    print("wrong:", klass, want, "status", got, "whole requests", had, "answer whole", whole)
-    return {"cases": cases, "wrong_outcomes": wrong}
+                body_size = size if klass == "write" else 0
+                received_status, name, length, total, whole = await client.ask(klass, size=body_size, want=want)
+                whole_received = sum(
+                    transfer[0] == name and transfer[3] for worker in workers for transfer in worker.took
+                )
+                response_cut = "give=4" in want and "break" in want
+                as_expected = (
+                    received_status == status and whole_received == whole_expected and whole is not response_cut
+                )
+                if received_status == 200 and whole and not response_cut:
+                    as_expected = as_expected and total == check(name, length)
+                case_count += 1
+                wrong_count += not as_expected
+                if not as_expected:
+                    print(
+                        "wrong:",
+                        klass,
+                        want,
+                        "status",
+                        received_status,
+                        "whole requests",
+                        whole_received,
+                        "whole response",
+                        whole,
+                    )
+    return {"cases": case_count, "wrong_outcomes": wrong_count}
 
 
 def main() -> int:
-    """Run all of it; the exit status."""
-    reader = argparse.ArgumentParser(prog="python -m benchmarks.operations", description=__doc__)
-    reader.add_argument("--short", action="store_true", help="within 45 s")
-    reader.add_argument("--relay", type=int, help=argparse.SUPPRESS)
-    words = reader.parse_args()
-    if words.relay:
-        relay(words.relay)
+    """Run every part and print the figures; return 0 if every bound holds, else 1."""
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.operations", description=__doc__)
+    parser.add_argument("--short", action="store_true", help="run fewer rounds; ends within 45 s")
+    parser.add_argument("--relay", type=int, help=argparse.SUPPRESS)
+    options = parser.parse_args()
+    if options.relay:
+        run_relay(options.relay)
         return 0
-    short = words.short
-    told: Figures = {}
+    short = options.short
+    figures: Figures = {}
     parts: list[tuple[str, Callable[[], Awaitable[Figures]]]] = [
-        ("upgrades", lambda: upgrades(2 if short else 8, 1.5 if short else 5.0)),
-        ("a customer at its edge", lambda: edge(2.0 if short else 10.0)),
-        ("30,000 customers", lambda: handover(30_000)),
-        ("calls", lambda: calls(1.0 if short else 10.0)),
-        ("bans", lambda: bans(4 if short else 40)),
-        ("drains", lambda: drains(1 if short else 10)),
-        ("memory", memory),
-        ("speed", lambda: speed(2 if short else 9)),
-        ("the cost of a short request", lambda: cost(2 if short else 9, 800 if short else 4000)),
-        ("outcomes", outcomes),
+        ("upgrades", lambda: measure_upgrades(2 if short else 8, 1.5 if short else 5.0)),
+        ("quota over an upgrade", lambda: measure_quota_excess(2.0 if short else 10.0)),
+        ("handoff of 30,000 customers", lambda: measure_handoff(30_000)),
+        ("calls", lambda: measure_calls(1.0 if short else 10.0)),
+        ("bans", lambda: measure_maintenance(4 if short else 40)),
+        ("drains", lambda: measure_drains(1 if short else 10)),
+        ("memory", measure_memory),
+        ("speed", lambda: measure_transfer_rates(2 if short else 9)),
+        ("CPU time of a short request", lambda: measure_request_cost(2 if short else 9, 800 if short else 4000)),
+        ("outcomes", check_outcomes),
     ]
     for name, part in parts:
-        began = time.monotonic()
+        started = time.monotonic()
 
-        async def keep(part: Callable[[], Awaitable[Figures]] = part) -> None:
-            told.update(await part())
+        async def collect(part: Callable[[], Awaitable[Figures]] = part) -> None:
+            figures.update(await part())
 
-        run(keep())
-        print(f"{name}: {time.monotonic() - began:.1f} s")
-    told.update(cold(3 if short else 20))
-    told["ok"] = aims(told)
-    print(json.dumps(told))
-    return 0 if told["ok"] else 1
+        run(collect())
+        print(f"{name}: {time.monotonic() - started:.1f} s")
+    figures.update(count_cold_overloads(3 if short else 20))
+    figures["ok"] = meets_bounds(figures)
+    print(json.dumps(figures))
+    return 0 if figures["ok"] else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/slow_discovery.py
+++ b/benchmarks/slow_discovery.py
@@ -22,7 +22,7 @@
 from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch
 
 DRAIN_GRACE_SECONDS = 0.25  # seconds in which a draining worker may still receive requests
-MAX_NOTIFICATION_SECONDS = 6.0  # seconds after the change until which the gatekeeper may not know of it
+MAX_NOTIFICATION_SECONDS = 6.0  # seconds after the change within which the gatekeeper must know of it
 TOLERANCE_SECONDS = 0.2  # seconds of tolerance for a busy machine
 EVENT_TO_CHANGE_SECONDS = 1.0  # seconds from the event to the change
 # Longest response delay in seconds that `ok` covers. Cases with a longer delay that miss the bound are `beyond`.
