--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -8,8 +8,9 @@
 and low concurrency limits.
 
 Then the fleet of each kind is overloaded, redeployed and slowed down (`rig/overload.py`), on the same arrivals once
-with the importance of classes configured and once with all classes alike. Load reports of workers are left out, because
-no decision depends on them.
+with the importance of classes configured and once with all classes alike. The value served is compared to a bound: the
+most valuable work for its cost that the capacity of all workers allows in each span of time. Load reports of workers
+are left out, because no decision depends on them.
 """
 
 from __future__ import annotations
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -292,14 +292,14 @@
             )
             for n in range(gatekeepers)
         ]
-        for each_watch in watches:
-            each_watch.start()
+        for watch in watches:
+            watch.start()
         for _ in range(1000):
             await asyncio.sleep(0.01)
             if len(updated) == gatekeepers:
                 break
-        for each_watch in watches:
-            each_watch.stop()
+        for watch in watches:
+            watch.stop()
         service.stop()
 
     asyncio.run(scenario())
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -126,7 +126,7 @@
     """The results of one installation."""
 
     report: Report
-    failover_seconds: float = 0.0  # seconds from the planner's death until all its shards have another owner
+    failover_seconds: float = 0.0  # seconds from the kill of one planner until every shard has an owner
     bytes_per_second: float = 0.0  # planner traffic of one forwarder
     excess: float = 0.0  # units beyond a ceiling, of the worst customer; negative if none exceeded it
     duplicate_count: int = 0  # requests with side effects that workers started more than once
--- a/benchmarks/quiet_quotas.py
+++ b/benchmarks/quiet_quotas.py
@@ -17,7 +17,7 @@
 from micagate import interface
 from rig.customers import PLANS, Day, play, wide
 
-REFERENCE_STATE_AGE_SECONDS = 0.25  # age of the true state that the reference policy sees
+REFERENCE_STATE_AGE_SECONDS = 0.25  # age of the true state when the reference policy sees it
 MAX_EXTRA_COST = 0.1  # bound on the cost beyond the reference policy's, as a share of the value offered
 CUSTOMER_MIX = (("calm", 0.62), ("full", 0.2), ("heavy", 0.1), ("spiky", 0.08))
 MULTI_UNIT_PLANS = (
@@ -39,7 +39,8 @@
         ceiling_slack=34.0,
     ),
 )
-KINDS: dict[str, dict[str, object]] = {
+# By name of a case: the fields of `Day` in which it differs.
+CASES: dict[str, dict[str, object]] = {
     "metered": {"plans": PLANS},
     "sized": {"plans": MULTI_UNIT_PLANS, "units": 4, "meter": False, "marked": False},
     "capped": {"plans": CEILING_PLANS, "meter": False, "seconds": 6.0},
@@ -62,7 +63,7 @@
     )
     short = parser.parse_args().short
     figures: dict[str, float] = {}
-    for name, changes in KINDS.items():
+    for name, changes in CASES.items():
         for gateways in (4, 40) if short else (4, 40, 200):
             customers = min(360, wide(gateways).customers)
             options = {"customers": customers, "mix": CUSTOMER_MIX, "seconds": 12.0, **changes}
