--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -394,7 +394,7 @@
         request_rate *= len(self.fleet.members) / max(1, self.members.alive_count())
         if slow_start.begin(self._gateway, now, request_rate, state.load()):
             log.info(
-                "fleet: overload control starts at %.1f requests/s, workers %.0f%% warmed up",
+                "fleet: control from %.1f a second, workers %.0f%% warm",
                 request_rate,
                 100 * slow_start.warmth(self._gateway, now),
             )
--- a/oliveloft/memory/memory.py
+++ b/oliveloft/memory/memory.py
@@ -242,7 +242,7 @@
         self.unavailable_reason = reason
         self._failing_since = self._failing_since or time.monotonic()
         self._on_lost(reason)
-        log.warning("memory: %s; records on disk are no longer trusted", reason)
+        log.warning("memory: %s; nothing of it is believed from here on", reason)
         for future in self._sync_waiters:
             if not future.done():
                 future.set_result(False)
