--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -30,40 +30,40 @@
 
     def __init__(self, capacity: Capacity, started: float | None = None) -> None:
         self.capacity, self.started = capacity, started
-        self._free = [0.0] * capacity.cores
-        self._starts: deque[float] = deque()
-        self.served = self.turned_away = 0
-        self.longest = 0  # the longest queue yet
+        self._core_free_times = [0.0] * capacity.cores
+        self._queued_start_times: deque[float] = deque()
+        self.served = self.rejected = 0
+        self.max_queue_length = 0  # the longest queue yet
 
     def warmth(self, now: float) -> float:
         """The share of its speed that it has."""
-        c = self.capacity
-        if self.started is None or now - self.started >= c.ramp:
+        capacity = self.capacity
+        if self.started is None or now - self.started >= capacity.ramp:
             return 1.0
-        return c.cold_from + (1 - c.cold_from) * max(0.0, now - self.started) / c.ramp
+        return capacity.cold_from + (1 - capacity.cold_from) * max(0.0, now - self.started) / capacity.ramp
 
     def waiting(self, now: float) -> int:
         """How many wait for a core."""
-        while self._starts and self._starts[0] <= now:
-            self._starts.popleft()
-        return len(self._starts)
+        while self._queued_start_times and self._queued_start_times[0] <= now:
+            self._queued_start_times.popleft()
+        return len(self._queued_start_times)
 
     def free(self, now: float) -> float:
         """When the next core is free."""
-        return max(now, self._free[0])
+        return max(now, self._core_free_times[0])
 
     def arrive(self, now: float, work: float) -> float | None:
         """A request that would take `work` seconds of an idle warm core: when it is done, or None if full."""
         waiting = self.waiting(now)
         start = self.free(now)
         if start > now and waiting >= self.capacity.queue:
-            self.turned_away += 1
+            self.rejected += 1
             return None
-        slow = 1.0 + self.capacity.thrash * waiting / self.capacity.cores
-        done = start + work * slow / (self.capacity.speed * self.warmth(now))
-        heapq.heapreplace(self._free, done)
+        slowdown = 1.0 + self.capacity.thrash * waiting / self.capacity.cores
+        done = start + work * slowdown / (self.capacity.speed * self.warmth(now))
+        heapq.heapreplace(self._core_free_times, done)
         if start > now:
-            self._starts.append(start)
-            self.longest = max(self.longest, waiting + 1)
+            self._queued_start_times.append(start)
+            self.max_queue_length = max(self.max_queue_length, waiting + 1)
         self.served += 1
         return done
--- a/rig/cluster.py
+++ b/rig/cluster.py
@@ -21,7 +21,7 @@
 from rig.simulation import Clock
 
 TERMS = Terms(shards=1)
-EVERY = 0.1  # seconds between a forwarder's surveys
+EXCHANGE_INTERVAL_SECONDS = 0.1  # seconds between a forwarder's surveys
 
 
 class Cluster:
@@ -50,28 +50,28 @@
         self.moved = 0.0  # the most ever borrowed of a thing
         self.entrances: list[Entrance] = []
         self.holders: list[Holder] = []
-        self.demands: list[Demands] = []
+        self.demand_estimates: list[Demands] = []
         self.gates: list[Gateway] = []
         for n in range(count):
-            known = settings.number is not None  # then each has its own
-            gate = Gateway(replace(settings, number=n) if known else settings, seed * 100 + n, 0.0)
-            self.gates.append(gate)
-            self.entrances.append(Entrance(self.fleet, gate.handle, settings, f"f{n}"))
+            numbered = settings.number is not None  # then each has its own
+            gateway = Gateway(replace(settings, number=n) if numbered else settings, seed * 100 + n, 0.0)
+            self.gates.append(gateway)
+            self.entrances.append(Entrance(self.fleet, gateway.handle, settings, f"f{n}"))
             holder = Holder(TERMS, n, count, -1e6, n * 1000 + 1)
             if planner:
                 holder.planner_elected(0.0, "p", 0, 1)
             self.holders.append(holder)
-            self.demands.append(Demands(0.0))
-            self.clock.after(self.random.expovariate(self.rates[n]), self._ask, n)
+            self.demand_estimates.append(Demands(0.0))
+            self.clock.after(self.random.expovariate(self.rates[n]), self._submit, n)
         self.sent: list[tuple[float, str, float]] = []  # when, where, seconds of work
         self.fleet.arrived = lambda now, name, work, done: self.sent.append((now, name, work))
         self.fleet.tell(whole=True)
-        self.clock.after(EVERY, self._exchange)
+        self.clock.after(EXCHANGE_INTERVAL_SECONDS, self._exchange)
 
-    def _ask(self, n: int) -> None:
+    def _submit(self, n: int) -> None:
         if self.rates[n] > 0:
             self.entrances[n].ask(self.klass, self.plan, "c", spread=1)
-        self.clock.after(self.random.expovariate(self.rates[n] or 10.0), self._ask, n)
+        self.clock.after(self.random.expovariate(self.rates[n] or 10.0), self._submit, n)
 
     def _exchange(self) -> None:
         now = self.clock.now
@@ -81,7 +81,7 @@
                 for a in self.gates[n].handle(now, interface.DemandQuery(self.paces))
                 if isinstance(a, interface.DemandReport)
             )
-            holder.demand(now, self.demands[n].survey(now, tallies.resources))
+            holder.demand(now, self.demand_estimates[n].survey(now, tallies.resources))
             holder.record_worker_loads(tallies.workers)
             for event in [*holder.share_updates(now), *holder.expired_sessions(now)]:
                 self.gates[n].handle(now, event)
@@ -90,9 +90,9 @@
                 if self.ledger is not None:
                     self.ledger.report(now, f"f{n}", n, report)
         if self.ledger is not None:
-            for name, word in self.ledger.pending_updates(now):
-                self.holders[int(name[1:])].receive_update(now, "p", word)
-        self.clock.after(EVERY, self._exchange)
+            for name, update in self.ledger.pending_updates(now):
+                self.holders[int(name[1:])].receive_update(now, "p", update)
+        self.clock.after(EXCHANGE_INTERVAL_SECONDS, self._exchange)
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
         """A worker is replaced by a cold one."""
@@ -107,9 +107,9 @@
         self.clock.run(start)
         before = self.ends
         self.clock.run(end)
-        ends = self.ends
-        ends.subtract(before)
-        return ends["served"] / ends.total()
+        results = self.ends
+        results.subtract(before)
+        return results["served"] / results.total()
 
     @property
     def ends(self) -> Counter[str]:
--- a/rig/crash_recovery.py
+++ b/rig/crash_recovery.py
@@ -36,25 +36,25 @@
     """What outlives a gatekeeper's life: what was synced before it ended."""
 
     marks: dict[str, Mark] = field(default_factory=dict)
-    before: float | None = None
+    previous_start: float | None = None
 
 
-class Life:
+class Incarnation:
     """One gatekeeper from its start to a crash."""
 
     def __init__(self, disk: Disk, now: float, number: int, variant: Variant) -> None:
         self.disk, self.variant = disk, variant
         self.quotas = Quotas(now, None, 100, str(number))
-        self.marks = self.quotas.ceiling_marks = Marks(now, disk.marks, disk.before)
-        if variant is not Variant.LAST_LIFE or disk.before is None:
-            disk.before = now
-        self.full = variant is Variant.FULL
-        self.writing: list[tuple[float, list[Mark]]] = []  # when they will be on disk
+        self.marks = self.quotas.ceiling_marks = Marks(now, disk.marks, disk.previous_start)
+        if variant is not Variant.LAST_LIFE or disk.previous_start is None:
+            disk.previous_start = now
+        self.full_after_crash = variant is Variant.FULL
+        self.pending_writes: list[tuple[float, list[Mark]]] = []  # when they will be on disk
 
-    def ask(self, now: float, customer: str, units: float, count: int) -> bool:
+    def admit(self, now: float, customer: str, units: float, count: int) -> bool:
         """A customer's try: whether it is sent on."""
         account = self.quotas.account(now, customer, PLAN, count)
-        if self.full and account.ceiling_balance < PLAN.ceiling_capacity / count and not account.demand:
+        if self.full_after_crash and account.ceiling_balance < PLAN.ceiling_capacity / count and not account.demand:
             account.ceiling_balance = PLAN.ceiling_capacity / count
         account.demand += units
         account.largest_request = max(account.largest_request, units)
@@ -65,23 +65,23 @@
         self.quotas.spend(account, units, True)
         return True
 
-    def write(self, now: float, takes: float) -> None:
+    def write(self, now: float, sync_seconds: float) -> None:
         """What is due goes to the disk, and is there after some time."""
         if marks := self.marks.make(now):
             if self.variant is Variant.EARLY:
                 self.marks.written(marks, self.quotas.accounts.get)
-            self.writing.append((now + takes, marks))
+            self.pending_writes.append((now + sync_seconds, marks))
 
-    def synced(self, now: float) -> None:
+    def complete_writes(self, now: float) -> None:
         """What is on disk by now is."""
-        for when, marks in [entry for entry in self.writing if entry[0] <= now]:
-            self.writing.remove((when, marks))
+        for when, marks in [entry for entry in self.pending_writes if entry[0] <= now]:
+            self.pending_writes.remove((when, marks))
             self.disk.marks.update({mark.key: mark for mark in marks})
             self.marks.written(marks, self.quotas.accounts.get)
 
 
 @dataclass
-class Told:
+class ScheduleResult:
     """What became of a schedule."""
 
     sent: int = 0
@@ -90,52 +90,56 @@
     excess: float = 0.0  # units beyond the ceiling
 
 
-def play(seed: int, variant: Variant = Variant.NONE, seconds: float = 30.0, count: int = 3) -> Told:
+def play(seed: int, variant: Variant = Variant.NONE, seconds: float = 30.0, count: int = 3) -> ScheduleResult:
     """One schedule: customers at the edge of their ceiling and below, slow and quick disks, crashes at any time."""
-    random, told, now, lives = Random(seed), Told(), 100.0, 0
+    random, result, now, incarnations = Random(seed), ScheduleResult(), 100.0, 0
     disks = [Disk() for _ in range(count)]
-    gates: list[Life | None] = []
+    gatekeepers: list[Incarnation | None] = []
     for disk in disks:
-        lives += 1
-        gates.append(Life(disk, now, lives, variant))
-    units: dict[str, list[tuple[float, float]]] = {f"{n:x}": [] for n in range(CUSTOMERS)}
-    slow = random.choice((0.005, 0.05, 0.4, 1.5))
+        incarnations += 1
+        gatekeepers.append(Incarnation(disk, now, incarnations, variant))
+    admitted_units: dict[str, list[tuple[float, float]]] = {f"{n:x}": [] for n in range(CUSTOMERS)}
+    mean_sync_seconds = random.choice((0.005, 0.05, 0.4, 1.5))
     rate = random.choice((20.0, 60.0, 200.0))
-    customers, fragile = random.randint(1, CUSTOMERS), random.choice((0.002, 0.01, 0.03))
-    looked = now
+    customers, crash_probability = random.randint(1, CUSTOMERS), random.choice((0.002, 0.01, 0.03))
+    last_check = now
     while now < 100.0 + seconds:
         now += random.expovariate(rate)
         n = random.randrange(count)
-        gate = gates[n]
-        for other in gates:
+        gatekeeper = gatekeepers[n]
+        for other in gatekeepers:
             if other is not None:
-                other.synced(now)
+                other.complete_writes(now)
                 if random.random() < 0.5:
-                    other.write(now, random.expovariate(1 / slow))
-        if now - looked > 1.0:
-            looked = now
-            for other in gates:
+                    other.write(now, random.expovariate(1 / mean_sync_seconds))
+        if now - last_check > 1.0:
+            last_check = now
+            for other in gatekeepers:
                 if other is not None:
                     other.marks.look()
                     for key in other.marks.idle(now, 5):
                         other.disk.marks.pop(key, None)
-        if gate is None:
+        if gatekeeper is None:
             if random.random() < 0.5:
-                lives += 1
-                gates[n] = Life(disks[n], now, lives, variant)
-        elif random.random() < fragile:
-            told.crashes += 1
-            gates[n] = None
+                incarnations += 1
+                gatekeepers[n] = Incarnation(disks[n], now, incarnations, variant)
+        elif random.random() < crash_probability:
+            result.crashes += 1
+            gatekeepers[n] = None
             if random.random() < 0.3:  # all at once
-                told.crashes += sum(other is not None for other in gates)
-                gates = [None] * count
+                result.crashes += sum(other is not None for other in gatekeepers)
+                gatekeepers = [None] * count
         else:
             amount = random.choice((0.5, 1.0, 1.0, 2.0))
             customer = f"{random.randrange(customers):x}"
-            if gate.ask(now, customer, amount, count):
-                told.sent += 1
-                units[customer].append((now, amount))
+            if gatekeeper.admit(now, customer, amount, count):
+                result.sent += 1
+                admitted_units[customer].append((now, amount))
             else:
-                told.refused += 1
-    told.excess = max(overspent(each, PLAN.ceiling_rate, PLAN.ceiling_capacity) for each in units.values() if each)
-    return told
+                result.refused += 1
+    result.excess = max(
+        overspent(admitted, PLAN.ceiling_rate, PLAN.ceiling_capacity)
+        for admitted in admitted_units.values()
+        if admitted
+    )
+    return result
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -22,7 +22,7 @@
 from micagate.quotas import Quotas
 from rig.traffic import PlanShape, Store
 
-KINDS = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # shares of the customers
+KIND_SHARES = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # shares of the customers
 PLANS = (
     interface.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
     interface.Plan("middle", rate=4.1, burst=14.0, concurrency_limit=2.0, excess_cost=1.2),
@@ -30,9 +30,9 @@
         "large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_capacity=41.0, ceiling_slack=4.0, excess_cost=0.8
     ),
 )
-OF_PLAN = (0,) * 12 + (1,) * 5 + (2,)  # of eighteen customers in a row
-AIM, DEADLINE = 0.33, 1.76
-WRITTEN, GIVEN_UP = -1, -2  # for an attempt's number: its answer was written and lost; it counts no more
+PLAN_INDEXES = (0,) * 12 + (1,) * 5 + (2,)  # of eighteen customers in a row
+AIM_SECONDS, DEADLINE_SECONDS = 0.33, 1.76
+RESPONSE_LOST, ATTEMPT_EXPIRED = -1, -2  # for an attempt's number: its answer was written and lost; it counts no more
 
 
 @dataclass(frozen=True)
@@ -57,7 +57,7 @@
     meter: bool = True  # without one, parts of quotas decide alone
     # In place of the gatekeepers' own decisions: each sees the whole store as it was so long ago, and its own sends.
     sees: float | None = None
-    mix: tuple[tuple[str, float], ...] = tuple(KINDS.items())
+    mix: tuple[tuple[str, float], ...] = tuple(KIND_SHARES.items())
 
 
 def wide(gateways: int) -> Day:
@@ -72,171 +72,236 @@
     name: str
     kind: str
     plan: interface.Plan
-    first: int
+    first_gateway: int
     weights: list[tuple[float, list[float]]]  # from when on
-    store: Store
-    out: int = 0
-    past: list[tuple[float, float, int]] = field(default_factory=list)  # after each send or end: store, and out
-    own: list[tuple[float, int, int]] = field(default_factory=list)  # sends: when, from where, units
-    counted: dict[int, int] = field(default_factory=lambda: defaultdict(int))
+    bucket: Store
+    in_flight: int = 0
+    history: list[tuple[float, float, int]] = field(default_factory=list)  # after each send or end: store, and out
+    sent: list[tuple[float, int, int]] = field(default_factory=list)  # sends: when, from where, units
+    metered_units: dict[int, int] = field(default_factory=lambda: defaultdict(int))
 
     def gateway(self, now: float, random: Random, gateways: int) -> int:
         """Where a try goes."""
         weights = next(w for since, w in reversed(self.weights) if since <= now)
-        return (self.first + random.choices(range(len(weights)), weights)[0]) % gateways
+        return (self.first_gateway + random.choices(range(len(weights)), weights)[0]) % gateways
 
-    def seemed(self, now: float, ago: float, gateway: int, units: int) -> bool:
+    def appears_to_have_room(self, now: float, delay: float, gateway: int, units: int) -> bool:
         """Whether it would seem to have room at a gateway that sees what was true so long ago, and its own sends."""
-        then = now - ago
-        when, level, out = next((p for p in reversed(self.past) if p[0] <= then), (0.0, self.plan.burst, 0))
-        since = [sent for at, where, sent in reversed(self.own[-64:]) if at > then and where == gateway]
-        level = min(self.plan.burst, level + (now - when) * self.plan.rate) - sum(since)
-        return level >= units and (not self.plan.concurrency_limit or out + len(since) < self.plan.concurrency_limit)
+        seen_at = now - delay
+        updated_at, level, in_flight = next(
+            (p for p in reversed(self.history) if p[0] <= seen_at), (0.0, self.plan.burst, 0)
+        )
+        sent_since = [sent for at, where, sent in reversed(self.sent[-64:]) if at > seen_at and where == gateway]
+        level = min(self.plan.burst, level + (now - updated_at) * self.plan.rate) - sum(sent_since)
+        return level >= units and (
+            not self.plan.concurrency_limit or in_flight + len(sent_since) < self.plan.concurrency_limit
+        )
 
-    def note(self, now: float) -> None:
+    def record_state(self, now: float) -> None:
         """Keep what is true now for those that see it later."""
-        self.past.append((now, self.store.fill(now), self.out))
+        self.history.append((now, self.bucket.fill(now), self.in_flight))
 
     def has_room(self, now: float, units: int) -> bool:
         """Whether the whole quota has room for one more try of so many units now."""
-        return self.store.fill(now) >= units and (
-            not self.plan.concurrency_limit or self.out < self.plan.concurrency_limit
+        return self.bucket.fill(now) >= units and (
+            not self.plan.concurrency_limit or self.in_flight < self.plan.concurrency_limit
         )
 
 
 @dataclass
-class Kind:
+class KindTotals:
     """What became of one kind's tries, in units."""
 
     offered: int = 0  # first tries that one store that sees them all lets in
     served: int = 0  # inside the whole quota, within the aim
-    over: int = 0  # let in beyond the whole quota
+    over_quota: int = 0  # let in beyond the whole quota
     worth: float = 0.0  # of what is offered, and of what is served, by the plans' prices
     earned: float = 0.0
     cost: float = 0.0  # of what is let in beyond the quota, less what that earns
-    tries: int = 0
+    units_requested: int = 0
     refused_with_room: int = 0  # with half of the whole store or more unused
 
 
-def whole(plan: interface.Plan) -> Store:
+def full_bucket(plan: interface.Plan) -> Store:
     """A full store of the whole quota."""
     return Store(PlanShape(plan.rate, plan.burst), 0.0)
 
 
-def arrivals(random: Random, day: Day, kind: str, rate: float) -> list[float]:
+def arrivals(random: Random, scenario: Day, kind: str, rate: float) -> list[float]:
     """The times of a customer's first tries: steady, or with spikes."""
     low, high = {"calm": (0.16, 0.36), "full": (0.8, 1.0), "heavy": (1.9, 4.3), "spiky": (0.16, 0.36)}[kind]
-    usual, spikes, at = random.uniform(low, high), [], random.uniform(0.0, 18.0)
-    while kind == "spiky" and at < day.seconds:
+    base_load, spikes, at = random.uniform(low, high), [], random.uniform(0.0, 18.0)
+    while kind == "spiky" and at < scenario.seconds:
         end = at + random.uniform(0.6, 3.6)
         spikes.append((at, end, random.uniform(2.6, 7.3)))
         at = end + random.uniform(11.0, 25.0)
     times, now = [], 0.0
-    while now < day.seconds:
-        times_usual = next((x for a, b, x in spikes if a <= now < b), usual)
-        change = min((t for a, b, _ in spikes for t in (a, b) if t > now), default=math.inf)
-        step = random.expovariate(times_usual * rate)
-        now = min(now + step, change)
-        if now < change and now < day.seconds:
+    while now < scenario.seconds:
+        load = next((x for a, b, x in spikes if a <= now < b), base_load)
+        next_change = min((t for a, b, _ in spikes for t in (a, b) if t > now), default=math.inf)
+        step = random.expovariate(load * rate)
+        now = min(now + step, next_change)
+        if now < next_change and now < scenario.seconds:
             times.append(now)
     return times
 
 
-def play(day: Day, seed: int) -> dict[str, Kind]:
+def play(scenario: Day, seed: int) -> dict[str, KindTotals]:
     """Play a day; what became of the tries, by kind of customer."""
     random = Random(seed)
-    parts = [Quotas(-60.0, period=day.period if day.meter else 0.0) for _ in range(day.gateways)]
-    customers, told = [], {kind: Kind() for kind in KINDS}
+    quotas_by_gateway = [
+        Quotas(-60.0, period=scenario.period if scenario.meter else 0.0) for _ in range(scenario.gateways)
+    ]
+    customers, totals = [], {kind: KindTotals() for kind in KIND_SHARES}
     queue: list[tuple[float, int, Customer, float, int, int, Account | None, bool, int]] = []
-    for number in range(day.customers):
-        plan, sort = day.plans[OF_PLAN[number % 18]], random.choices(*zip(*day.mix, strict=True))[0]
-        spread = random.randint(max(1, day.gateways // 2), day.gateways)
-        even = [(rank + 1) ** -day.skew for rank in range(spread)]
-        weights, since = [(0.0, random.sample(even, spread))], random.uniform(0.0, day.moves)
-        while since < day.seconds:
+    for number in range(scenario.customers):
+        plan, kind_name = scenario.plans[PLAN_INDEXES[number % 18]], random.choices(*zip(*scenario.mix, strict=True))[0]
+        spread = random.randint(max(1, scenario.gateways // 2), scenario.gateways)
+        even = [(rank + 1) ** -scenario.skew for rank in range(spread)]
+        weights, since = [(0.0, random.sample(even, spread))], random.uniform(0.0, scenario.moves)
+        while since < scenario.seconds:
             weights.append((since, random.sample(even, spread)))
-            since += random.uniform(0.6, 1.4) * day.moves
-        who = Customer(f"c{number}", sort, plan, random.randrange(day.gateways), weights, whole(plan))
-        customers.append(who)
-        ideal = whole(plan)
-        for now in arrivals(random, day, sort, plan.rate / ((1 + day.units) / 2)):
-            units = random.randint(1, day.units) if day.units > 1 else 1
+            since += random.uniform(0.6, 1.4) * scenario.moves
+        customer = Customer(
+            f"c{number}", kind_name, plan, random.randrange(scenario.gateways), weights, full_bucket(plan)
+        )
+        customers.append(customer)
+        ideal = full_bucket(plan)
+        for now in arrivals(random, scenario, kind_name, plan.rate / ((1 + scenario.units) / 2)):
+            units = random.randint(1, scenario.units) if scenario.units > 1 else 1
             offered = units * ideal.take(now, units)
-            told[sort].offered += offered
-            told[sort].worth += offered * plan.price
-            queue.append((now, len(queue), who, now, 0, who.gateway(now, random, day.gateways), None, False, units))
+            totals[kind_name].offered += offered
+            totals[kind_name].worth += offered * plan.price
+            queue.append(
+                (
+                    now,
+                    len(queue),
+                    customer,
+                    now,
+                    0,
+                    customer.gateway(now, random, scenario.gateways),
+                    None,
+                    False,
+                    units,
+                )
+            )
     heapq.heapify(queue)
-    made = len(queue)
+    sequence = len(queue)
     while queue:
-        now, _, who, begun, attempt, at_gateway, account, inside, units = heapq.heappop(queue)
-        kind, part, made = told[who.kind], parts[at_gateway], made + 1
-        spread = len(who.weights[0][1])
+        now, _, customer, started, attempt, gateway_index, account, within_quota, units = heapq.heappop(queue)
+        kind_totals, quotas, sequence = totals[customer.kind], quotas_by_gateway[gateway_index], sequence + 1
+        spread = len(customer.weights[0][1])
         if account is not None:  # an answer, or the end of waiting for one
-            who.out -= attempt != GIVEN_UP
-            if day.sees is not None:
-                who.note(now)
-            account.in_flight -= attempt != WRITTEN
-            if attempt in (WRITTEN, GIVEN_UP):
+            customer.in_flight -= attempt != ATTEMPT_EXPIRED
+            if scenario.sees is not None:
+                customer.record_state(now)
+            account.in_flight -= attempt != RESPONSE_LOST
+            if attempt in (RESPONSE_LOST, ATTEMPT_EXPIRED):
                 continue
-            period = int((now - day.late) / day.period) - 1
+            period = int((now - scenario.late) / scenario.period) - 1
             if period >= 0:
-                account.record_reading(now, who.counted[period] / day.period / who.plan.rate, part.meter)
-            in_time = inside and now - begun <= AIM + (day.tries - 1) * day.wait
-            kind.served += units * in_time
-            kind.earned += units * in_time * who.plan.price
+                account.record_reading(
+                    now, customer.metered_units[period] / scenario.period / customer.plan.rate, quotas.meter
+                )
+            in_time = within_quota and now - started <= AIM_SECONDS + (scenario.tries - 1) * scenario.wait
+            kind_totals.served += units * in_time
+            kind_totals.earned += units * in_time * customer.plan.price
             continue
-        kind.tries += units
-        account = part.account(now, who.name, who.plan, spread)
-        part.record_demand(
+        kind_totals.units_requested += units
+        account = quotas.account(now, customer.name, customer.plan, spread)
+        quotas.record_demand(
             account,
-            interface.Request("r", "k", who.plan.name, who.name, 1.0, units, spread, day.marked and attempt > 0),
+            interface.Request(
+                "r", "k", customer.plan.name, customer.name, 1.0, units, spread, scenario.marked and attempt > 0
+            ),
         )
-        room = who.has_room(now, units)
-        lets = (
-            part.is_within_quota(account, units, False) and part.ceiling_allows(account, units, False)
-            if day.sees is None
-            else who.seemed(now, day.sees, at_gateway, units)
+        has_room = customer.has_room(now, units)
+        allowed = (
+            quotas.is_within_quota(account, units, False) and quotas.ceiling_allows(account, units, False)
+            if scenario.sees is None
+            else customer.appears_to_have_room(now, scenario.sees, gateway_index, units)
         )
-        if lets:
-            part.spend(account, units, True)
+        if allowed:
+            quotas.spend(account, units, True)
             account.in_flight += 1
-            who.out += 1
-            who.counted[int(now / day.period)] += units
-            if room:
-                who.store.take(now, units)
-            kind.over += units * (not room)
-            kind.cost += units * (not room) * who.plan.price * (who.plan.excess_cost - who.plan.excess_revenue)
-            if day.sees is not None:
-                who.own.append((now, at_gateway, units))
-                who.note(now)
-            gone = random.random() < day.lost
+            customer.in_flight += 1
+            customer.metered_units[int(now / scenario.period)] += units
+            if has_room:
+                customer.bucket.take(now, units)
+            kind_totals.over_quota += units * (not has_room)
+            kind_totals.cost += (
+                units
+                * (not has_room)
+                * customer.plan.price
+                * (customer.plan.excess_cost - customer.plan.excess_revenue)
+            )
+            if scenario.sees is not None:
+                customer.sent.append((now, gateway_index, units))
+                customer.record_state(now)
+            response_lost = random.random() < scenario.lost
             end = now + random.uniform(0.02, 0.06)
             heapq.heappush(
-                queue, (end, made, who, begun, WRITTEN if gone else attempt, at_gateway, account, room, units)
+                queue,
+                (
+                    end,
+                    sequence,
+                    customer,
+                    started,
+                    RESPONSE_LOST if response_lost else attempt,
+                    gateway_index,
+                    account,
+                    has_room,
+                    units,
+                ),
             )
-            if gone:
-                made += 1
-                heapq.heappush(queue, (now + AIM, made, who, begun, GIVEN_UP, at_gateway, account, room, units))
+            if response_lost:
+                sequence += 1
+                heapq.heappush(
+                    queue,
+                    (
+                        now + AIM_SECONDS,
+                        sequence,
+                        customer,
+                        started,
+                        ATTEMPT_EXPIRED,
+                        gateway_index,
+                        account,
+                        has_room,
+                        units,
+                    ),
+                )
         else:
-            kind.refused_with_room += units * (room and who.store.level >= who.plan.burst / 2)
-            wait = 0.2 * AIM * random.uniform(0.5, 1.0) if random.random() < day.patient else 0.0
-            if attempt + 1 < day.tries and now + wait - begun < DEADLINE:
-                if random.random() < day.elsewhere:
-                    at_gateway = who.gateway(now, random, day.gateways)
+            kind_totals.refused_with_room += units * (has_room and customer.bucket.level >= customer.plan.burst / 2)
+            wait = 0.2 * AIM_SECONDS * random.uniform(0.5, 1.0) if random.random() < scenario.patient else 0.0
+            if attempt + 1 < scenario.tries and now + wait - started < DEADLINE_SECONDS:
+                if random.random() < scenario.elsewhere:
+                    gateway_index = customer.gateway(now, random, scenario.gateways)
                 heapq.heappush(
-                    queue, (now + wait + day.wait, made, who, begun, attempt + 1, at_gateway, None, False, units)
+                    queue,
+                    (
+                        now + wait + scenario.wait,
+                        sequence,
+                        customer,
+                        started,
+                        attempt + 1,
+                        gateway_index,
+                        None,
+                        False,
+                        units,
+                    ),
                 )
-    return told
+    return totals
 
 
-def total(days: list[dict[str, Kind]], *kinds: str) -> dict[str, float]:
+def total(days: list[dict[str, KindTotals]], *kinds: str) -> dict[str, float]:
     """Served and over as shares of what was offered, and refused with room as a share of the tries."""
-    all_of = [told[kind] for told in days for kind in kinds or KINDS]
-    offered = max(1, sum(k.offered for k in all_of))
+    selected = [day_totals[kind] for day_totals in days for kind in kinds or KIND_SHARES]
+    offered = max(1, sum(k.offered for k in selected))
     return {
-        "served": sum(k.served for k in all_of) / offered,
-        "over": sum(k.over for k in all_of) / offered,
-        "refused_with_room": sum(k.refused_with_room for k in all_of) / max(1, sum(k.tries for k in all_of)),
+        "served": sum(k.served for k in selected) / offered,
+        "over": sum(k.over_quota for k in selected) / offered,
+        "refused_with_room": sum(k.refused_with_room for k in selected)
+        / max(1, sum(k.units_requested for k in selected)),
     }
 
 
@@ -247,7 +312,7 @@
     parser.add_argument("--seeds", type=int, default=8, help="days played (default %(default)s)")
     options = parser.parse_args()
     days = [play(wide(options.gateways), seed) for seed in range(options.seeds)]
-    for kinds in (*((kind,) for kind in KINDS), ()):
+    for kinds in (*((kind,) for kind in KIND_SHARES), ()):
         figures = "  ".join(f"{name} {value:.3f}" for name, value in total(days, *kinds).items())
         print(f"{', '.join(kinds) or 'all':6} {figures}")
 
--- a/rig/driver.py
+++ b/rig/driver.py
@@ -108,13 +108,13 @@
 
     def pass_time(self, seconds: float) -> list[interface.Action]:
         """Let time go by, firing the timers that fall due."""
-        end, seen = self.now + seconds, []
+        end, actions = self.now + seconds, []
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            seen += self.give(interface.TimerFired(due[0][1]))
+            actions += self.give(interface.TimerFired(due[0][1]))
         self.now = end
-        return seen
+        return actions
 
 
 def sends(actions: list[interface.Action]) -> list[str]:
@@ -122,17 +122,17 @@
     return [action.worker for action in actions if isinstance(action, interface.Send)]
 
 
-def answered(d: Driver, count: int) -> list[str]:
+def answered(driver: Driver, count: int) -> list[str]:
     """Reads one after another, each answered; where they went."""
-    seen: list[str] = []
+    workers_used: list[str] = []
     for _ in range(count):
-        name, actions = d.ask(after=0.01)
-        seen += sends(actions)
-        d.answer(name, seen[-1], after=0.01, took=0.02)
-    return seen
+        name, actions = driver.ask(after=0.01)
+        workers_used += sends(actions)
+        driver.answer(name, workers_used[-1], after=0.01, took=0.02)
+    return workers_used
 
 
-def losing(d: Driver, count: int = 6) -> None:
+def losing(driver: Driver, count: int = 6) -> None:
     """So many attempts have just passed their aims in silence, though their workers answered what came later."""
     for _ in range(count):
-        d.gateway.fleet.tails.missed(d.now)
+        driver.gateway.fleet.tails.missed(driver.now)
--- a/rig/engines.py
+++ b/rig/engines.py
@@ -20,19 +20,22 @@
 from oliveloft.memory.files import PlainDisk
 from oliveloft.memory.log import Log
 
-BATCHES, EACH, CUSTOMERS = 100, 20, 5000
+BATCH_COUNT, BATCH_SIZE, CUSTOMER_COUNT = 100, 20, 5000
 
 Batch = list[tuple[str, str, Any]]
 
 
 def _batches() -> list[Batch]:
     return [
-        [("mark", f"c/team/{(n * EACH + k) % CUSTOMERS:016x}", [float(n), 2.0, 3.0, 4.0, 5]) for k in range(EACH)]
-        for n in range(BATCHES)
+        [
+            ("mark", f"c/team/{(n * BATCH_SIZE + k) % CUSTOMER_COUNT:016x}", [float(n), 2.0, 3.0, 4.0, 5])
+            for k in range(BATCH_SIZE)
+        ]
+        for n in range(BATCH_COUNT)
     ]
 
 
-def _log(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
+def _open_log(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
     log = Log(PlainDisk(folder), "g")
     log.find()
     log.begin([])
@@ -47,7 +50,7 @@
     return append, read
 
 
-def _sqlite(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
+def _open_sqlite(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
     path = os.path.join(folder, "kept.db")
     db = sqlite3.connect(path, isolation_level=None)
     db.execute("PRAGMA journal_mode=WAL")
@@ -71,7 +74,7 @@
     return append, read
 
 
-def _lmdb(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
+def _open_lmdb(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
     store = lmdb.open(folder, map_size=1 << 28)
 
     def append(batch: Batch) -> None:
@@ -88,24 +91,24 @@
 
 def compare() -> dict[str, dict[str, float]]:
     """By engine: milliseconds of a batch on disk (median, and of a hundred the worst), of reading all back, and kB."""
-    told = {}
-    for name, engine in (("log", _log), ("sqlite", _sqlite), ("lmdb", _lmdb)):
+    results = {}
+    for name, open_engine in (("log", _open_log), ("sqlite", _open_sqlite), ("lmdb", _open_lmdb)):
         with tempfile.TemporaryDirectory() as folder:
-            append, read = engine(folder)
-            took = []
+            append, read = open_engine(folder)
+            batch_seconds = []
             for batch in _batches():
-                began = time.perf_counter()
+                started = time.perf_counter()
                 append(batch)
-                took.append(time.perf_counter() - began)
-            began = time.perf_counter()
+                batch_seconds.append(time.perf_counter() - started)
+            started = time.perf_counter()
             count = read()
-            reading = time.perf_counter() - began
-            assert count == min(CUSTOMERS, BATCHES * EACH)
+            read_seconds = time.perf_counter() - started
+            assert count == min(CUSTOMER_COUNT, BATCH_COUNT * BATCH_SIZE)
             size = sum(os.stat(os.path.join(folder, file)).st_blocks * 512 for file in os.listdir(folder))
-            told[name] = {
-                "batch_ms": round(1000 * statistics.median(took), 3),
-                "worst_ms": round(1000 * max(took), 2),
-                "read_ms": round(1000 * reading, 2),
+            results[name] = {
+                "batch_ms": round(1000 * statistics.median(batch_seconds), 3),
+                "worst_ms": round(1000 * max(batch_seconds), 2),
+                "read_ms": round(1000 * read_seconds, 2),
                 "kB": round(size / 1024),
             }
-    return told
+    return results
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -12,26 +12,26 @@
 from rig.simulation import Clock
 
 Handle = Callable[[float, interface.Event], list[interface.Action]]
-UNIT = 0.02  # seconds of a core that a unit takes, on average
+UNIT_CORE_SECONDS = 0.02  # seconds of a core that a unit takes, on average
 
 
 @dataclass(slots=True)
-class Place:
+class SimulatedWorker:
     """A worker of the fleet: its model, where it stands, and what befalls the way to it."""
 
     load: Load
     zone: str = "a"
     lost: float = 0.0  # share of the answers that get lost on the way back
     hung: bool = False  # takes requests and never answers
-    dead: bool = False  # connections are refused
+    refuses_connections: bool = False  # connections are refused
     up: bool = True
 
 
 @dataclass(slots=True)
-class Tally:
+class RequestCounts:
     """How requests ended."""
 
-    asked: int = 0
+    received: int = 0
     ends: Counter[str] = field(default_factory=Counter)
 
 
@@ -48,12 +48,12 @@
         random: Random,
         capacities: dict[str, Capacity],
         zones: str = "abc",
-        way: float = 0.0005,
+        network_delay: float = 0.0005,
         work_cv: float = 0.5,
     ) -> None:
-        self.clock, self.random, self.way, self.work_cv = clock, random, way, work_cv
+        self.clock, self.random, self.network_delay, self.work_cv = clock, random, network_delay, work_cv
         self.places = {
-            name: Place(Load(capacity), zones[n % len(zones)])
+            name: SimulatedWorker(Load(capacity), zones[n % len(zones)])
             for n, (name, capacity) in enumerate(sorted(capacities.items()))
         }
         self.entrances: list[Entrance] = []
@@ -65,30 +65,30 @@
         """How all requests so far have ended, at all entrances."""
         total: Counter[str] = Counter()
         for entrance in self.entrances:
-            total.update(entrance.tally.ends)
+            total.update(entrance.counts.ends)
         return total
 
     def entry(self, name: str) -> interface.WorkerEntry:
         """A worker's line of the list."""
-        place = self.places[name]
+        worker = self.places[name]
         return interface.WorkerEntry(
             name,
-            zone=place.zone,
+            zone=worker.zone,
             cell=sorted(self.places).index(name) // 2,
-            state=interface.HEALTHY if place.up else interface.DRAINING,
-            started=place.load.started,
+            state=interface.HEALTHY if worker.up else interface.DRAINING,
+            started=worker.load.started,
         )
 
     def tell(self, *names: str, whole: bool = False) -> None:
         """All gateways hear of these workers."""
-        news = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
+        update = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
         for entrance in self.entrances:
-            entrance.hand(news, "")
+            entrance.hand(update, "")
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
         """A worker is replaced by a cold one; what it held is lost without an answer."""
-        place = self.places[name]
-        place.load = Load(capacity or place.load.capacity, started=self.clock.now)
+        worker = self.places[name]
+        worker.load = Load(capacity or worker.load.capacity, started=self.clock.now)
         self.tell(name)
 
 
@@ -97,11 +97,11 @@
 
     def __init__(self, fleet: Fleet, handle: Handle, settings: interface.Settings, name: str = "g") -> None:
         self.fleet, self.handle, self.settings, self.name = fleet, handle, settings, name
-        self.tally = Tally()
-        self.served: dict[tuple[str, str], float] = {}  # units served in their aim, by customer and plan
-        self._asked: dict[str, tuple[interface.Request, float]] = {}  # open: the request and its deadline
+        self.counts = RequestCounts()
+        self.units_served: dict[tuple[str, str], float] = {}  # units served in their aim, by customer and plan
+        self._open_requests: dict[str, tuple[interface.Request, float]] = {}  # open: the request and its deadline
         self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker while it is out, or ""
-        self._made = 0
+        self._request_count = 0
         self.used: Callable[[str], float | None] = lambda customer: None  # what the meter says
         fleet.entrances.append(self)
 
@@ -109,22 +109,24 @@
         self, klass: str, plan: str, customer: str, units: float = 1.0, spread: int = 1, time_left: float | None = None
     ) -> None:
         """A client's try."""
-        self._made += 1
-        self.tally.asked += 1
-        kind = next(c for c in self.settings.classes if c.name == klass)
-        left = kind.deadline if time_left is None else time_left
-        request = interface.Request(f"{self.name}-{self._made}", klass, plan, customer, left, units, spread)
-        self._asked[request.request] = request, self.fleet.clock.now + left
-        self.fleet.clock.after(left, self._expired, request.request)
+        self._request_count += 1
+        self.counts.received += 1
+        request_class = next(c for c in self.settings.classes if c.name == klass)
+        time_left_seconds = request_class.deadline if time_left is None else time_left
+        request = interface.Request(
+            f"{self.name}-{self._request_count}", klass, plan, customer, time_left_seconds, units, spread
+        )
+        self._open_requests[request.request] = request, self.fleet.clock.now + time_left_seconds
+        self.fleet.clock.after(time_left_seconds, self._expired, request.request)
         self.hand(request, request.request)
 
-    def hand(self, event: interface.Event, about: str) -> None:
+    def hand(self, event: interface.Event, request_id: str) -> None:
         """Let the gateway handle an event, and carry out what it decides."""
         clock = self.fleet.clock
         for action in self.handle(clock.now, event):
             match action:
                 case interface.SetTimer(delay, ref):
-                    clock.after(delay, self.hand, interface.TimerFired(ref), about)
+                    clock.after(delay, self.hand, interface.TimerFired(ref), request_id)
                 case interface.Send(name, worker):
                     self._send(name, worker)
                 case interface.Refuse(name):
@@ -141,21 +143,21 @@
         attempts = self._attempts.setdefault(name, [])
         number = len(attempts)
         attempts.append(worker)
-        if name not in self._asked:
+        if name not in self._open_requests:
             fleet.clock.after(0.0, self._outcome, name, number, interface.NOT_SENT, now)
             return
-        place = fleet.places[worker]
-        if place.dead:
-            fleet.clock.after(fleet.way, self._outcome, name, number, interface.UNREACHABLE, now)
+        simulated_worker = fleet.places[worker]
+        if simulated_worker.refuses_connections:
+            fleet.clock.after(fleet.network_delay, self._outcome, name, number, interface.UNREACHABLE, now)
             return
-        request, deadline = self._asked[name]
-        work = fleet.random.gammavariate(1 / fleet.work_cv**2, fleet.work_cv**2) * UNIT * request.units
-        done = place.load.arrive(now + fleet.way, work)
-        fleet.arrived(now + fleet.way, worker, work, done)
+        request, deadline = self._open_requests[name]
+        work = fleet.random.gammavariate(1 / fleet.work_cv**2, fleet.work_cv**2) * UNIT_CORE_SECONDS * request.units
+        done = simulated_worker.load.arrive(now + fleet.network_delay, work)
+        fleet.arrived(now + fleet.network_delay, worker, work, done)
         if done is None:
-            fleet.clock.after(2 * fleet.way, self._outcome, name, number, interface.OVERLOADED, now)
-        elif not place.hung and fleet.random.random() >= place.lost:
-            fleet.clock.at(done + fleet.way, self._answered, name, number, now, place.load)
+            fleet.clock.after(2 * fleet.network_delay, self._outcome, name, number, interface.OVERLOADED, now)
+        elif not simulated_worker.hung and fleet.random.random() >= simulated_worker.lost:
+            fleet.clock.at(done + fleet.network_delay, self._answered, name, number, now, simulated_worker.load)
         fleet.clock.at(deadline, self._outcome, name, number, interface.TIMED_OUT, now)
 
     def _answered(self, name: str, number: int, sent: float, load: Load) -> None:
@@ -171,7 +173,7 @@
             return  # it has had its outcome
         worker, attempts[number] = attempts[number], ""
         now, used = self.fleet.clock.now, None
-        open_request = self._asked.get(name)
+        open_request = self._open_requests.get(name)
         if open_request is not None and status == interface.SUCCESS:
             request = open_request[0]
             klass = next(c for c in self.settings.classes if c.name == request.klass)
@@ -179,18 +181,18 @@
             self._end(name, "served" if in_aim else "late")
             if in_aim:
                 key = request.customer, request.plan
-                self.served[key] = self.served.get(key, 0.0) + request.units
+                self.units_served[key] = self.units_served.get(key, 0.0) + request.units
             used = self.used(request.customer)
-        ended = name not in self._asked
+        ended = name not in self._open_requests
         if ended and not any(attempts):
             del self._attempts[name]
         self.hand(interface.Outcome(name, number, worker, status, ended, now - sent, used), name)
 
-    def _end(self, name: str, how: str) -> None:
-        if self._asked.pop(name, None) is not None:
-            self.tally.ends[how] += 1
+    def _end(self, name: str, result: str) -> None:
+        if self._open_requests.pop(name, None) is not None:
+            self.counts.ends[result] += 1
 
     def _expired(self, name: str) -> None:
-        if name in self._asked:
+        if name in self._open_requests:
             self._end(name, "lost")
             self.hand(interface.ClientDisconnected(name), name)
--- a/rig/gossip.py
+++ b/rig/gossip.py
@@ -16,8 +16,8 @@
 from micagate.membership.messages import Fact, Heartbeat, StateSummary
 from rig.simulation import Clock
 
-LOOK = 0.05  # seconds between a member's looks
-CONNECT = 0.5  # seconds after which a connection that does not come up is given up
+TICK_INTERVAL_SECONDS = 0.05  # seconds between a member's looks
+CONNECT_TIMEOUT_SECONDS = 0.5  # seconds after which a connection that does not come up is given up
 
 
 @dataclass
@@ -27,14 +27,14 @@
     name: str
     boot: int = 0
     life: Members | None = None
-    serial: int = 0  # of the life, for what is still under way to an earlier one
-    asleep: bool = False
-    held: list[tuple[Any, ...]] = field(default_factory=list)  # what came while it slept
+    run_number: int = 0  # of the life, for what is still under way to an earlier one
+    paused: bool = False
+    queued_messages: list[tuple[Any, ...]] = field(default_factory=list)  # what came while it slept
     wall: float = 0.0  # its wall clock less the true one
     slow: float = 0.0  # seconds that each of its messages takes more
     kept: list[Fact] = field(default_factory=list)  # what its memory has
     news: list[tuple[float, News]] = field(default_factory=list)
-    ended: float | None = None  # when its last life ended
+    stopped_at: float | None = None  # when its last life ended
 
 
 class Gossip:
@@ -45,16 +45,16 @@
         count: int,
         seed: int,
         terms: Terms | None = None,
-        way: float = 0.002,
+        network_delay: float = 0.002,
         digests: bool = True,
         boots: bool = True,
         names: Sequence[str] = (),
     ) -> None:
         self.clock, self.random = Clock(1000.0), Random(seed)
-        self.terms, self.way, self.digests, self.boots = terms or Terms(), way, digests, boots
+        self.terms, self.network_delay, self.digests, self.boots = terms or Terms(), network_delay, digests, boots
         self.names = list(names) or [f"g{n:03d}" for n in range(count)]
         self.nodes = {name: Node(name) for name in self.names}
-        self.cuts: set[tuple[str, str]] = set()  # ways that pass nothing
+        self.blocked_links: set[tuple[str, str]] = set()  # ways that pass nothing
         self.loss = 0.0  # share of messages that TCP has to send again
         self.lost = 0.0  # share that a link breaks at
         self._links: dict[frozenset[str], tuple[int, int]] = {}  # by pair: the serials of both lives, in name order
@@ -66,101 +66,112 @@
         """What a member's wall clock reads."""
         return 1.7e9 + self.clock.now + node.wall
 
-    def start(self, name: str, **about: Any) -> Members:
+    def start(self, name: str, **attributes: Any) -> Members:
         """A life begins, under a number that was never used, or with `boots` False under the same again."""
         node = self.nodes[name]
         node.boot = max(node.boot + 1, int(self.wall(node))) if self.boots else 1
-        node.serial += 1
-        node.asleep = False
-        node.held.clear()
-        life = node.life = Members(
-            name, self.names, node.boot, self.clock.now, Random(self.random.random()), self.terms, about, node.kept
+        node.run_number += 1
+        node.paused = False
+        node.queued_messages.clear()
+        member = node.life = Members(
+            name, self.names, node.boot, self.clock.now, Random(self.random.random()), self.terms, attributes, node.kept
         )
-        self.clock.after(self.random.random() * LOOK, self._look, name, node.serial)
-        return life
+        self.clock.after(self.random.random() * TICK_INTERVAL_SECONDS, self._tick, name, node.run_number)
+        return member
 
     def stop(self, name: str) -> None:
         """A life ends, with no word: its machine is there, and refuses."""
         node = self.nodes[name]
         if node.life is not None:
             node.kept = list(node.life.facts)
-        node.life, node.ended = None, self.clock.now
+        node.life, node.stopped_at = None, self.clock.now
         for pair in [pair for pair in self._links if name in pair]:
             del self._links[pair]
             (other,) = pair - {name}
             self._queues.pop((name, other), None)
             self._queues.pop((other, name), None)
-            if not self._cut(name, other):
-                self.clock.after(self.way, self._broken, other, self.nodes[other].serial, name, True)
+            if not self._is_blocked(name, other):
+                self.clock.after(
+                    self.network_delay, self._connection_failed, other, self.nodes[other].run_number, name, True
+                )
 
     def sleep(self, name: str, seconds: float) -> None:
         """A life is stopped, and goes on later: what came meanwhile is there then."""
         node = self.nodes[name]
-        node.asleep = True
-        self.clock.after(seconds, self._wake, name, node.serial)
+        node.paused = True
+        self.clock.after(seconds, self._resume, name, node.run_number)
 
-    def _wake(self, name: str, serial: int) -> None:
+    def _resume(self, name: str, run_number: int) -> None:
         node = self.nodes[name]
-        if node.serial != serial or node.life is None:
+        if node.run_number != run_number or node.life is None:
             return
-        node.asleep = False
-        self._look(name, serial, again=False)
-        held, node.held = node.held, []
-        for source, message in held:
-            self._hear(name, serial, source, message)
+        node.paused = False
+        self._tick(name, run_number, reschedule=False)
+        queued_messages, node.queued_messages = node.queued_messages, []
+        for source, message in queued_messages:
+            self._receive(name, run_number, source, message)
 
-    def _cut(self, a: str, b: str) -> bool:
-        return (a, b) in self.cuts or (b, a) in self.cuts
+    def _is_blocked(self, a: str, b: str) -> bool:
+        return (a, b) in self.blocked_links or (b, a) in self.blocked_links
 
-    def _look(self, name: str, serial: int, again: bool = True) -> None:
+    def _tick(self, name: str, run_number: int, reschedule: bool = True) -> None:
         node = self.nodes[name]
-        life = node.life
-        if life is None or node.serial != serial:
+        member = node.life
+        if member is None or node.run_number != run_number:
             return
-        if again:
-            self.clock.after(LOOK, self._look, name, serial)
-        if node.asleep:
+        if reschedule:
+            self.clock.after(TICK_INTERVAL_SECONDS, self._tick, name, run_number)
+        if node.paused:
             return
         now = self.clock.now
-        for peer in life.peers_to_connect(now):
-            self._dial(name, serial, peer)
-        for peer, message in life.tick(now, self.wall(node)):
+        for peer in member.peers_to_connect(now):
+            self._connect(name, run_number, peer)
+        for peer, message in member.tick(now, self.wall(node)):
             self._send(name, peer, message)
-        for peer in life.links_to_close(now):
+        for peer in member.links_to_close(now):
             if self._links.pop(frozenset((name, peer)), None) is not None:
-                life.link_closed(now, peer)
-                self.clock.after(self.way, self._broken, peer, self.nodes[peer].serial, name, False)
-        self._told(node)
+                member.link_closed(now, peer)
+                self.clock.after(
+                    self.network_delay, self._connection_failed, peer, self.nodes[peer].run_number, name, False
+                )
+        self._record_updates(node)
 
-    def _told(self, node: Node) -> None:
+    def _record_updates(self, node: Node) -> None:
         if node.life is not None:
-            node.news += [(self.clock.now, news) for news in node.life.updates]
+            node.news += [(self.clock.now, update) for update in node.life.updates]
             node.life.updates.clear()
 
-    def _dial(self, name: str, serial: int, peer: str) -> None:
+    def _connect(self, name: str, run_number: int, peer: str) -> None:
         other = self.nodes[peer]
-        if self._cut(name, peer):
-            self.clock.after(CONNECT, self._broken, name, serial, peer, False)
+        if self._is_blocked(name, peer):
+            self.clock.after(CONNECT_TIMEOUT_SECONDS, self._connection_failed, name, run_number, peer, False)
         elif other.life is None:
-            self.clock.after(2 * self.way, self._broken, name, serial, peer, True)
-        elif other.asleep:
-            self.clock.after(CONNECT, self._broken, name, serial, peer, False)
+            self.clock.after(2 * self.network_delay, self._connection_failed, name, run_number, peer, True)
+        elif other.paused:
+            self.clock.after(CONNECT_TIMEOUT_SECONDS, self._connection_failed, name, run_number, peer, False)
         else:
-            self.clock.after(2 * self.way, self._connected, name, serial, peer, other.serial)
-
-    def _connected(self, name: str, serial: int, peer: str, theirs: int) -> None:
-        one, other = self.nodes[name], self.nodes[peer]
-        if one.serial != serial or other.serial != theirs or one.life is None or other.life is None:
+            self.clock.after(2 * self.network_delay, self._connected, name, run_number, peer, other.run_number)
+
+    def _connected(self, name: str, run_number: int, peer: str, peer_run_number: int) -> None:
+        node, peer_node = self.nodes[name], self.nodes[peer]
+        if (
+            node.run_number != run_number
+            or peer_node.run_number != peer_run_number
+            or node.life is None
+            or peer_node.life is None
+        ):
             return
-        self._links[frozenset((name, peer))] = (serial, theirs) if name < peer else (theirs, serial)
+        self._links[frozenset((name, peer))] = (
+            (run_number, peer_run_number) if name < peer else (peer_run_number, run_number)
+        )
         self._queues[name, peer] = []
         self._queues[peer, name] = []
-        one.life.link_opened(self.clock.now, peer)
-        other.life.link_opened(self.clock.now, name)
+        node.life.link_opened(self.clock.now, peer)
+        peer_node.life.link_opened(self.clock.now, name)
 
-    def _broken(self, name: str, serial: int, peer: str, refused: bool) -> None:
+    def _connection_failed(self, name: str, run_number: int, peer: str, refused: bool) -> None:
         node = self.nodes[name]
-        if node.serial == serial and node.life is not None and not node.asleep:
+        if node.run_number == run_number and node.life is not None and not node.paused:
             if refused and self.nodes[peer].life is not None and peer in node.life.links:
                 return  # it has come back meanwhile
             node.life.link_closed(self.clock.now, peer, refused)
@@ -179,39 +190,39 @@
             return
         if self.random.random() < self.lost:  # the connection breaks: what was on the way is lost
             del self._links[pair]
-            for one, other in ((name, peer), (peer, name)):
-                self._broken(one, self.nodes[one].serial, other, False)
+            for source, target in ((name, peer), (peer, name)):
+                self._connection_failed(source, self.nodes[source].run_number, target, False)
             return
-        wait = self.way * (0.5 + self.random.random()) + self.nodes[name].slow
+        delay = self.network_delay * (0.5 + self.random.random()) + self.nodes[name].slow
         if self.random.random() < self.loss:
-            wait += 0.2  # sent again
+            delay += 0.2  # sent again
         queue = self._queues[name, peer]
-        due = max(self.clock.now + wait, queue[-1][0] if queue else 0.0)
+        due = max(self.clock.now + delay, queue[-1][0] if queue else 0.0)
         queue.append((due, message))
         self.clock.at(due, self._arrive, name, peer, self._links[pair])
 
     def _arrive(self, name: str, peer: str, link: tuple[int, int]) -> None:
         if self._links.get(frozenset((name, peer))) != link:
             return
-        if (name, peer) in self.cuts:
+        if (name, peer) in self.blocked_links:
             self.clock.after(0.2, self._arrive, name, peer, link)
             return
         queue = self._queues[name, peer]
         while queue and queue[0][0] <= self.clock.now:
             _, message = queue.pop(0)
             node = self.nodes[peer]
-            if node.asleep:
-                node.held.append((name, message))
+            if node.paused:
+                node.queued_messages.append((name, message))
             else:
-                self._hear(peer, node.serial, name, message)
+                self._receive(peer, node.run_number, name, message)
 
-    def _hear(self, name: str, serial: int, source: str, message: Any) -> None:
+    def _receive(self, name: str, run_number: int, source: str, message: Any) -> None:
         node = self.nodes[name]
-        if node.life is None or node.serial != serial:
+        if node.life is None or node.run_number != run_number:
             return
-        for peer, answer in node.life.receive(self.clock.now, self.wall(node), source, message):
-            self._send(name, peer, answer)
-        self._told(node)
+        for peer, reply in node.life.receive(self.clock.now, self.wall(node), source, message):
+            self._send(name, peer, reply)
+        self._record_updates(node)
 
     # What is asked of it.
 
@@ -221,37 +232,37 @@
 
     def cut(self, sources: Sequence[str], targets: Sequence[str], both: bool = True) -> None:
         """Ways from the first to the second pass nothing, nor back unless `both` is False."""
-        for one in sources:
-            for other in targets:
-                self.cuts.add((one, other))
+        for source in sources:
+            for target in targets:
+                self.blocked_links.add((source, target))
                 if both:
-                    self.cuts.add((other, one))
+                    self.blocked_links.add((target, source))
 
     def heal(self) -> None:
         """All ways pass."""
-        self.cuts.clear()
+        self.blocked_links.clear()
 
-    def living(self) -> list[str]:
+    def running(self) -> list[str]:
         """Those that have a life."""
         return [name for name, node in self.nodes.items() if node.life is not None]
 
     def agree(self) -> bool:
         """Whether all that live see the same lives, with just those that live there, and have the same facts."""
-        living = set(self.living())
-        lives = [life for node in self.nodes.values() if (life := node.life) is not None]
-        for life in lives:
+        running = set(self.running())
+        members = [member for node in self.nodes.values() if (member := node.life) is not None]
+        for member in members:
             for name in self.names:
-                if life.is_alive(name) != (name in living):
+                if member.is_alive(name) != (name in running):
                     return False
-                if name in living and life.records[name].incarnation != self.nodes[name].boot:
+                if name in running and member.records[name].incarnation != self.nodes[name].boot:
                     return False
-        return len({life.facts.sum for life in lives}) <= 1
+        return len({member.facts.sum for member in members}) <= 1
 
     def settled(self, within: float) -> float | None:
         """Seconds until all agree; None where they don't within so many."""
-        began = self.clock.now
-        while self.clock.now - began < within:
+        started = self.clock.now
+        while self.clock.now - started < within:
             if self.agree():
-                return self.clock.now - began
+                return self.clock.now - started
             self.run(0.05)
         return None
--- a/rig/memory.py
+++ b/rig/memory.py
@@ -15,9 +15,9 @@
 
 async def highest(pid: int, work: Awaitable[None]) -> int:
     """The most that a process had resident while some work was done, in bytes."""
-    most, working = 0, asyncio.ensure_future(work)
-    while not working.done():
-        most = max(most, resident(pid))
+    peak, task = 0, asyncio.ensure_future(work)
+    while not task.done():
+        peak = max(peak, resident(pid))
         await asyncio.sleep(0.02)
-    await working
-    return most
+    await task
+    return peak
--- a/rig/overload.py
+++ b/rig/overload.py
@@ -15,10 +15,10 @@
 
 from micagate import Gateway, interface
 from rig.capacity import Capacity, Load
-from rig.fleet import UNIT, Entrance, Fleet
+from rig.fleet import UNIT_CORE_SECONDS, Entrance, Fleet
 from rig.simulation import Clock
 
-SPAN = 2.0  # in which the bound may move work about
+BOUND_SPAN_SECONDS = 2.0  # in which the bound may move work about
 
 
 @dataclass(frozen=True)
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class DayResult:
     """What became of a day. Shares are of the bound's worth, of attempts begun, and counts of broken rules."""
 
     worth: float
@@ -65,115 +65,123 @@
     by_class: dict[str, float]  # share of each class's requests served in their aim
 
 
-def arrivals(kind: Kind, random: Random) -> list[tuple[float, int, int]]:
+def arrivals(deployment: Kind, random: Random) -> list[tuple[float, int, int]]:
     """When, of which class and at which gateway."""
-    work = sum(share * units * UNIT for _, share, units in kind.classes)
-    usual = kind.load * kind.workers * kind.capacity.cores / work
-    begin, end, factor = kind.rush
-    shares = [share for _, share, _ in kind.classes]
-    now, made = 0.0, list[tuple[float, int, int]]()
+    work = sum(share * units * UNIT_CORE_SECONDS for _, share, units in deployment.classes)
+    base_rate = deployment.load * deployment.workers * deployment.capacity.cores / work
+    begin, end, factor = deployment.rush
+    shares = [share for _, share, _ in deployment.classes]
+    now, arrival_list = 0.0, list[tuple[float, int, int]]()
     while True:
-        rate = usual * (factor / kind.load if begin <= now < end else 1.0)
+        rate = base_rate * (factor / deployment.load if begin <= now < end else 1.0)
         now += random.expovariate(rate)
-        if now >= kind.seconds:
-            return made
-        made.append((now, random.choices(range(len(shares)), shares)[0], random.randrange(kind.gateways)))
+        if now >= deployment.seconds:
+            return arrival_list
+        arrival_list.append((now, random.choices(range(len(shares)), shares)[0], random.randrange(deployment.gateways)))
 
 
-def bound(kind: Kind, asked: list[tuple[float, int, int]]) -> float:
+def worth_bound(deployment: Kind, requests: list[tuple[float, int, int]]) -> float:
     """The worth that the true capacity has room for, span by span; all workers count as warm and never away."""
-    total, counts = 0.0, Counter((int(at / SPAN), which) for at, which, _ in asked)
-    dear = sorted(range(len(kind.classes)), key=lambda n: -kind.classes[n][0].importance / kind.classes[n][2])
-    for span in range(int(kind.seconds / SPAN) + 1):
-        start = span * SPAN
-        slow = max(0.0, min(start + SPAN, kind.slow[1]) - max(start, kind.slow[0]))
-        room = kind.workers * kind.capacity.cores * (SPAN - slow * (1 - kind.slow[2]))
-        for n in dear:
-            klass, _, units = kind.classes[n]
-            fits = min(float(counts[span, n]), room / (units * UNIT))
-            room -= fits * units * UNIT
-            total += fits * klass.importance
+    total, counts = 0.0, Counter((int(at / BOUND_SPAN_SECONDS), class_index) for at, class_index, _ in requests)
+    by_value = sorted(
+        range(len(deployment.classes)), key=lambda n: -deployment.classes[n][0].importance / deployment.classes[n][2]
+    )
+    for span in range(int(deployment.seconds / BOUND_SPAN_SECONDS) + 1):
+        start = span * BOUND_SPAN_SECONDS
+        slow_seconds = max(0.0, min(start + BOUND_SPAN_SECONDS, deployment.slow[1]) - max(start, deployment.slow[0]))
+        remaining_work = (
+            deployment.workers
+            * deployment.capacity.cores
+            * (BOUND_SPAN_SECONDS - slow_seconds * (1 - deployment.slow[2]))
+        )
+        for n in by_value:
+            klass, _, units = deployment.classes[n]
+            served = min(float(counts[span, n]), remaining_work / (units * UNIT_CORE_SECONDS))
+            remaining_work -= served * units * UNIT_CORE_SECONDS
+            total += served * klass.importance
     return total
 
 
-def play(kind: Kind, seed: int, alike: bool = False) -> Outcome:
+def play(kind: Kind, seed: int, alike: bool = False) -> DayResult:
     """One day; the same arrivals for each seed, whatever the decisions."""
     random, clock = Random(seed), Clock()
-    asked = arrivals(kind, random)
+    requests = arrivals(kind, random)
     names = [f"w{n:02}" for n in range(kind.workers)]
     fleet = Fleet(clock, Random(seed + 1), dict.fromkeys(names, kind.capacity))
     settings = kind.settings(alike)
     entrances = [
         Entrance(fleet, Gateway(settings, seed * 100 + n, 0.0).handle, settings, f"g{n}") for n in range(kind.gateways)
     ]
-    begun: list[tuple[float, str, float]] = []  # when, where, work
-    breaks = 0
-    drained: dict[str, float] = {}
+    attempts: list[tuple[float, str, float]] = []  # when, where, work
+    drain_violations = 0
+    drain_times: dict[str, float] = {}
 
-    def arrived(now: float, name: str, work: float, done: float | None) -> None:
-        nonlocal breaks
-        breaks += name in drained and now > drained[name] + 0.5
+    def record_arrival(now: float, name: str, work: float, done: float | None) -> None:
+        nonlocal drain_violations
+        drain_violations += name in drain_times and now > drain_times[name] + 0.5
         if done is not None:
-            begun.append((now, name, work))
+            attempts.append((now, name, work))
 
     def drain(name: str) -> None:
         fleet.places[name].up = False
-        drained[name] = clock.now
+        drain_times[name] = clock.now
         fleet.tell(name)
-        clock.after(1.5, renew, name)
+        clock.after(1.5, replace_worker, name)
 
-    cold: list[tuple[str, float]] = []
+    cold_starts: list[tuple[str, float]] = []
 
-    def renew(name: str) -> None:
-        drained.pop(name)
+    def replace_worker(name: str) -> None:
+        drain_times.pop(name)
         fleet.places[name].up = True
-        cold.append((name, clock.now))
-        fleet.restart(name, pace())
+        cold_starts.append((name, clock.now))
+        fleet.restart(name, current_capacity())
 
-    def pace() -> Capacity:
+    def current_capacity() -> Capacity:
         slow = kind.slow[0] <= clock.now < kind.slow[1]
         return replace(kind.capacity, speed=kind.slow[2] if slow else 1.0)
 
-    def change() -> None:
+    def update_capacities() -> None:
         for place in fleet.places.values():
-            place.load.capacity = pace()
+            place.load.capacity = current_capacity()
 
-    fleet.arrived = arrived
+    fleet.arrived = record_arrival
     for n, name in enumerate(names):
         if (at := kind.release[0] + n * kind.release[1]) < kind.seconds - 2.0:
             clock.at(at, drain, name)
     for at in kind.slow[:2]:
-        clock.at(at, change)
-    for at, which, gateway in asked:
-        klass, _, units = kind.classes[which]
+        clock.at(at, update_capacities)
+    for at, class_index, gateway in requests:
+        klass, _, units = kind.classes[class_index]
         clock.at(at, entrances[gateway].ask, klass.name, "free", klass.name, units)
     fleet.tell(whole=True)
     clock.run(kind.seconds + max(klass.deadline for klass, _, _ in kind.classes) + 1.0)
 
     worth, served, shares = 0.0, 0.0, {}
     for n, (klass, _, units) in enumerate(kind.classes):
-        count = sum(entrance.served.get((klass.name, "free"), 0.0) for entrance in entrances) / units
+        count = sum(entrance.units_served.get((klass.name, "free"), 0.0) for entrance in entrances) / units
         worth += count * klass.importance
         served += count
-        shares[klass.name] = count / max(1, sum(which == n for _, which, _ in asked))
-    return Outcome(
-        worth / bound(kind, asked),
-        1 - served / max(1, len(begun)),
-        sum(fell(kind, begun, name, at) for name, at in cold),
-        breaks,
+        shares[klass.name] = count / max(1, sum(class_index == n for _, class_index, _ in requests))
+    return DayResult(
+        worth / worth_bound(kind, requests),
+        1 - served / max(1, len(attempts)),
+        sum(was_overloaded(kind, attempts, name, at) for name, at in cold_starts),
+        drain_violations,
         shares,
     )
 
 
-def fell(kind: Kind, begun: list[tuple[float, str, float]], name: str, started: float) -> bool:
+def was_overloaded(deployment: Kind, attempts: list[tuple[float, str, float]], name: str, started: float) -> bool:
     """Whether a cold worker got more than `overload_factor` times what it could do, for all of a fall's span."""
-    c = kind.capacity
-    times = [(at, work) for at, where, work in begun if where == name and started <= at < started + c.ramp]
-    for end, _ in times:
-        start = end - kind.fall_time
+    capacity = deployment.capacity
+    arrivals = [(at, work) for at, where, work in attempts if where == name and started <= at < started + capacity.ramp]
+    for end, _ in arrivals:
+        start = end - deployment.fall_time
         if start < started:
             continue
-        best = kind.overload_factor * c.cores * Load(c, started).warmth(end)  # within the span
-        if sum(work for at, work in times if start < at <= end) > best * kind.fall_time:
+        work_limit = (
+            deployment.overload_factor * capacity.cores * Load(capacity, started).warmth(end)
+        )  # within the span
+        if sum(work for at, work in arrivals if start < at <= end) > work_limit * deployment.fall_time:
             return True
     return False
--- a/rig/simulation.py
+++ b/rig/simulation.py
@@ -29,12 +29,12 @@
     def __init__(self, now: float = 0.0) -> None:
         self.now = now
         self._due: list[tuple[float, int, Timer]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
         """Make a call at a time; at once, but after what is already due, where that has passed."""
         timer = Timer(call, args)
-        heapq.heappush(self._due, (max(when, self.now), next(self._numbers), timer))
+        heapq.heappush(self._due, (max(when, self.now), next(self._sequence), timer))
         return timer
 
     def after(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
@@ -77,11 +77,11 @@
 class Link:
     """How messages fare one way between two names; times are seconds, shares from 0 to 1."""
 
-    least: float = 0.001
-    most: float = 0.005
+    min_delay: float = 0.001
+    max_delay: float = 0.005
     loss: float = 0.0
-    repeat: float = 0.0  # share that arrives twice
-    cut: bool = False
+    duplication: float = 0.0  # share that arrives twice
+    blocked: bool = False
 
 
 class Network:
@@ -91,63 +91,69 @@
     still arrives, as on a real network; `drop` loses it.
     """
 
-    def __init__(self, clock: Clock, random: Random, usual: Link | None = None) -> None:
-        self._clock, self._random, self.usual = clock, random, usual or Link()
+    def __init__(self, clock: Clock, random: Random, default_link: Link | None = None) -> None:
+        self._clock, self._random, self.default_link = clock, random, default_link or Link()
         self._links: dict[tuple[str, str], Link] = {}
         self._peers: dict[str, Callable[[str, Any], object]] = {}
-        self._under_way: list[Timer] = []
-        self.carried = self.lost = 0
+        self._in_transit: list[Timer] = []
+        self.delivered = self.lost = 0
 
-    def join(self, name: str, receive: Callable[[str, Any], object]) -> None:
+    def register(self, name: str, receive: Callable[[str, Any], object]) -> None:
         """`receive` gets the sender's name and the message; a second join replaces the first."""
         self._peers[name] = receive
 
-    def leave(self, name: str) -> None:
+    def unregister(self, name: str) -> None:
         """What comes for this name from now on is lost."""
         self._peers.pop(name, None)
 
     def link(self, source: str, target: str) -> Link:
         """The link one way, to be changed in place."""
         return self._links.setdefault(
-            (source, target), Link(self.usual.least, self.usual.most, self.usual.loss, self.usual.repeat)
+            (source, target),
+            Link(
+                self.default_link.min_delay,
+                self.default_link.max_delay,
+                self.default_link.loss,
+                self.default_link.duplication,
+            ),
         )
 
-    def cut(self, sources: list[str], targets: list[str], both: bool = True) -> None:
+    def block(self, sources: list[str], targets: list[str], both: bool = True) -> None:
         """Silence all links from the first to the second names, and back unless `both` is False."""
         for source in sources:
             for target in targets:
-                self.link(source, target).cut = True
+                self.link(source, target).blocked = True
                 if both:
-                    self.link(target, source).cut = True
+                    self.link(target, source).blocked = True
 
     def heal(self) -> None:
         """All links carry again, as usual."""
         self._links.clear()
 
-    def drop(self) -> None:
+    def drop_in_transit(self) -> None:
         """Lose all that is under way."""
-        for timer in self._under_way:
+        for timer in self._in_transit:
             timer.cancel()
-        self._under_way.clear()
+        self._in_transit.clear()
 
     def send(self, source: str, target: str, message: Any) -> None:
         """Send a message; nothing tells the sender what became of it."""
         link = self.link(source, target)
-        copies = 2 if self._random.random() < link.repeat else 1
+        copies = 2 if self._random.random() < link.duplication else 1
         for _ in range(copies):
-            if link.cut or self._random.random() < link.loss:
+            if link.blocked or self._random.random() < link.loss:
                 self.lost += 1
                 continue
-            delay = self._random.uniform(link.least, link.most)
-            if len(self._under_way) > 256:
-                self._under_way = [timer for timer in self._under_way if not timer.cancelled]
+            delay = self._random.uniform(link.min_delay, link.max_delay)
+            if len(self._in_transit) > 256:
+                self._in_transit = [timer for timer in self._in_transit if not timer.cancelled]
             timer = self._clock.after(delay, self._arrive, source, target, message)
-            self._under_way.append(timer)
+            self._in_transit.append(timer)
 
     def _arrive(self, source: str, target: str, message: Any) -> None:
         receive = self._peers.get(target)
         if receive is None:
             self.lost += 1
         else:
-            self.carried += 1
+            self.delivered += 1
             receive(source, message)
--- a/rig/subsets.py
+++ b/rig/subsets.py
@@ -24,42 +24,51 @@
 def fleet(names: Sequence[str], gateway: int, gateways: int, numbered: bool = True) -> Fleet:
     """One of the gateways as it sees its workers; not numbered, it does not know its number."""
     settings = interface.Settings(CLASSES, PLANS, gateways=gateways, number=gateway if numbered else None)
-    made = Fleet(settings, Random(gateway), 0.0, Shares())
-    made.update(0.0, interface.WorkerList(tuple(map(interface.WorkerEntry, names)), whole=True))
-    return made
+    result = Fleet(settings, Random(gateway), 0.0, Shares())
+    result.update(0.0, interface.WorkerList(tuple(map(interface.WorkerEntry, names)), whole=True))
+    return result
 
 
-def module(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
+def gateway_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
     """The arc of a numbered gateway."""
     return [worker.entry.worker for worker in fleet(names, gateway, gateways).subset.members(size)]
 
 
-def by_chance(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
+def random_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
     """The least of numbers that each gateway draws for each worker once."""
-    return sorted(names, key=lambda name: _drawn(name, gateway))[:size]
+    return sorted(names, key=lambda name: _random_rank(name, gateway))[:size]
 
 
-def rendezvous(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
+def rendezvous_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
     """Each worker goes to the gateways of the highest hashes of both, as many as it needs (highest random weight)."""
-    each = max(1, round(size * gateways / max(1, len(names))))
-    return [name for name in names if gateway in sorted(range(gateways), key=lambda g: -_drawn(name, g))[:each]]
+    gateways_per_worker = max(1, round(size * gateways / max(1, len(names))))
+    return [
+        name
+        for name in names
+        if gateway in sorted(range(gateways), key=lambda g: -_random_rank(name, g))[:gateways_per_worker]
+    ]
 
 
-def in_rounds(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
+def round_based_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
     """Deterministic subsetting (Site Reliability Engineering, 2016, chapter 20): a shuffle for each round."""
     rounds = max(1, len(names) // size)
     order = sorted(names)
     Random(gateway // rounds).shuffle(order)
-    begin = gateway % rounds * size
-    return order[begin : begin + size]
+    start = gateway % rounds * size
+    return order[start : start + size]
 
 
 @cache
-def _drawn(name: str, gateway: int) -> float:
+def _random_rank(name: str, gateway: int) -> float:
     return Random(f"{name}/{gateway}").random()
 
 
-KINDS: dict[str, Subset] = {"module": module, "by_chance": by_chance, "rendezvous": rendezvous, "in_rounds": in_rounds}
+ALGORITHMS: dict[str, Subset] = {
+    "module": gateway_subset,
+    "by_chance": random_subset,
+    "rendezvous": rendezvous_subset,
+    "in_rounds": round_based_subset,
+}
 
 
 def imbalance(subsets: Sequence[Sequence[str]], names: Sequence[str]) -> float:
@@ -71,7 +80,7 @@
     return max(load.values()) / (len(subsets) / len(names))
 
 
-def least(subsets: Sequence[Sequence[str]], names: Sequence[str]) -> int:
+def min_gateways_per_worker(subsets: Sequence[Sequence[str]], names: Sequence[str]) -> int:
     """How many gateways the worker has that has fewest."""
     count = Counter(name for subset in subsets for name in subset)
     return min(count[name] for name in names)
@@ -83,28 +92,28 @@
     return new / max(1, sum(map(len, after)))
 
 
-def measure(kind: str, workers: int, gateways: int, size: int) -> dict[str, float]:
+def measure(algorithm: str, workers: int, gateways: int, size: int) -> dict[str, float]:
     """Imbalance, and churn for each event; least churn possible is about the share of workers that are new."""
-    subset = KINDS[kind]
+    subset = ALGORITHMS[algorithm]
     names = [f"w{n:04}" for n in range(workers)]
 
     def all_of(names: Sequence[str], count: int = gateways, size: int = size) -> list[list[str]]:
         return [subset(names, gateway, count, size) for gateway in range(count)]
 
-    usual = all_of(names)
-    tenth = [name for n, name in enumerate(names) if n % 10]
-    renewed = [*names[1:], "x0000"]
-    release = [f"x{n:04}" for n in range(workers // 10)]
-    part = [*names[len(release) :], *release]
+    original = all_of(names)
+    nine_tenths = [name for n, name in enumerate(names) if n % 10]
+    one_replaced = [*names[1:], "x0000"]
+    replacements = [f"x{n:04}" for n in range(workers // 10)]
+    tenth_replaced = [*names[len(replacements) :], *replacements]
     return {
-        "imbalance": imbalance(usual, names),
-        "least_gateways": least(usual, names),
-        "churn_one_leaves": churn(usual, all_of(names[1:])),
-        "churn_one_replaced": churn(usual, all_of(renewed)),
-        "churn_tenth_leaves": churn(usual, all_of(tenth, size=len(tenth) * size // workers)),
-        "churn_tenth_replaced": churn(usual, all_of(part)),
-        "imbalance_tenth_replaced": imbalance(all_of(part), part),
-        "churn_gateway_comes": churn(usual, all_of(names, gateways + 1)),
+        "imbalance": imbalance(original, names),
+        "least_gateways": min_gateways_per_worker(original, names),
+        "churn_one_leaves": churn(original, all_of(names[1:])),
+        "churn_one_replaced": churn(original, all_of(one_replaced)),
+        "churn_tenth_leaves": churn(original, all_of(nine_tenths, size=len(nine_tenths) * size // workers)),
+        "churn_tenth_replaced": churn(original, all_of(tenth_replaced)),
+        "imbalance_tenth_replaced": imbalance(all_of(tenth_replaced), tenth_replaced),
+        "churn_gateway_comes": churn(original, all_of(names, gateways + 1)),
     }
 
 
@@ -114,10 +123,10 @@
     parser.add_argument("--workers", type=int, default=1000, help="workers (default %(default)s)")
     parser.add_argument("--gateways", type=int, default=50, help="gatekeepers (default %(default)s)")
     parser.add_argument("--size", type=int, default=60, help="workers of each gatekeeper (default %(default)s)")
-    words = parser.parse_args()
-    for kind in KINDS:
-        figures = measure(kind, words.workers, words.gateways, words.size)
-        print(f"{kind:10}", "  ".join(f"{name} {value:.3f}" for name, value in figures.items()), flush=True)
+    options = parser.parse_args()
+    for algorithm in ALGORITHMS:
+        figures = measure(algorithm, options.workers, options.gateways, options.size)
+        print(f"{algorithm:10}", "  ".join(f"{name} {value:.3f}" for name, value in figures.items()), flush=True)
 
 
 if __name__ == "__main__":
--- a/rig/traces.py
+++ b/rig/traces.py
@@ -39,24 +39,24 @@
     interface.Plan("firm", rate=20.0, burst=40.0, ceiling_rate=40.0, ceiling_capacity=80.0, ceiling_slack=8.0),
 )
 CUSTOMERS = 60
-DAYS: dict[str, dict[str, int]] = {
+SCENARIOS: dict[str, dict[str, int]] = {
     "few": {"gateways": 3, "workers": 6, "seconds": 24, "per_second": 110, "seed": 11},
     "many": {"gateways": 40, "workers": 30, "seconds": 16, "per_second": 160, "seed": 12},
 }
 
 
-def day(name: str, write: object) -> Entrance:
+def record_day(name: str, write: object) -> Entrance:
     """Play a day and record what one gateway of it met; troubles come one after another."""
-    facts = DAYS[name]
-    random, clock = Random(facts["seed"]), Clock()
+    scenario = SCENARIOS[name]
+    random, clock = Random(scenario["seed"]), Clock()
     settings = interface.Settings(
         CLASSES,
         PLANS,
-        gateways=facts["gateways"],
+        gateways=scenario["gateways"],
         zone="a",
         max_attempts=4,
         can_cancel=True,
-        hedging=facts["workers"] < 10,
+        hedging=scenario["workers"] < 10,
         max_retry_after=0.5,
         meter_period=1.0,
         slow_start_min_factor=0.25,
@@ -66,27 +66,27 @@
     )
     capacity = {
         f"s{n:02}": Capacity(
-            cores=2 if facts["workers"] < 10 else 1,
+            cores=2 if scenario["workers"] < 10 else 1,
             queue=12,
             speed=random.uniform(0.8, 1.2),
             cold_from=0.25,
             ramp=6.0,
             thrash=0.1,
         )
-        for n in range(facts["workers"])
+        for n in range(scenario["workers"])
     }
     fleet = Fleet(clock, random, capacity)
-    gateway = Gateway(settings, facts["seed"], 0.0)
-    recorder = Recorder(gateway.handle, settings, facts["seed"], 0.0, write)  # type: ignore[arg-type]
+    gateway = Gateway(settings, scenario["seed"], 0.0)
+    recorder = Recorder(gateway.handle, settings, scenario["seed"], 0.0, write)  # type: ignore[arg-type]
     entrance = Entrance(fleet, recorder.handle, settings)
-    used: dict[str, float] = {}
-    entrance.used = lambda customer: used.get(customer)
+    metered_use: dict[str, float] = {}
+    entrance.used = lambda customer: metered_use.get(customer)
     fleet.tell(whole=True)
-    names, span = sorted(capacity), facts["seconds"]
+    names, duration_seconds = sorted(capacity), scenario["seconds"]
 
     def meter() -> None:
-        used.clear()
-        used.update(
+        metered_use.clear()
+        metered_use.update(
             {f"c{n}": random.choice((0.2, 0.5, 0.9, 1.4)) for n in range(0, CUSTOMERS, 1 + random.randrange(3))}
         )
         clock.after(1.0, meter)
@@ -99,42 +99,42 @@
             plan,
             f"c{number}",
             units=random.choice((1.0, 1.0, 2.0, 3.0)),
-            spread=min(3, facts["gateways"]),
+            spread=min(3, scenario["gateways"]),
             time_left=random.choice((None, None, 0.3, 0.0005)) if random.random() < 0.1 else None,
         )
-        now = clock.now / span
+        now = clock.now / duration_seconds
         surge = 2.2 if 0.35 < now < 0.55 else 1.0
         clock.after(random.expovariate(rate * surge), ask, rate)
 
-    def trouble(at: float, what: str) -> None:
+    def schedule_fault(at: float, fault: str) -> None:
         place = fleet.places[random.choice(names)]
 
         def heal() -> None:
-            place.lost, place.hung, place.dead = 0.0, False, False
+            place.lost, place.hung, place.refuses_connections = 0.0, False, False
 
-        def begin() -> None:
-            place.lost = 0.6 if what == "lost" else 0.0
-            place.hung, place.dead = what == "hung", what == "dead"
-            clock.after(0.1 * span, heal)
+        def inject() -> None:
+            place.lost = 0.6 if fault == "lost" else 0.0
+            place.hung, place.refuses_connections = fault == "hung", fault == "dead"
+            clock.after(0.1 * duration_seconds, heal)
 
-        clock.at(at * span, begin)
+        clock.at(at * duration_seconds, inject)
 
     def drain(name: str) -> None:
         fleet.places[name].up = False
         fleet.tell(name)
-        clock.after(0.05 * span, back, name)
+        clock.after(0.05 * duration_seconds, restore, name)
 
-    def back(name: str) -> None:
+    def restore(name: str) -> None:
         fleet.places[name].up = True
         fleet.restart(name)
 
-    for at, what in ((0.1, "lost"), (0.2, "hung"), (0.3, "dead"), (0.6, "lost")):
-        trouble(at, what)
+    for at, fault in ((0.1, "lost"), (0.2, "hung"), (0.3, "dead"), (0.6, "lost")):
+        schedule_fault(at, fault)
     for n, name in enumerate(names[: max(2, len(names) // 3)]):
-        clock.at((0.65 + 0.04 * n) * span, drain, name)
+        clock.at((0.65 + 0.04 * n) * duration_seconds, drain, name)
     meter()
-    ask(float(facts["per_second"]))
-    clock.run(float(span))
+    ask(float(scenario["per_second"]))
+    clock.run(float(duration_seconds))
     return entrance
 
 
@@ -146,12 +146,12 @@
 
 def main() -> int:
     """Record."""
-    if len(sys.argv) != 3 or sys.argv[1] not in DAYS:
-        print(f"usage: python -m rig.traces {'|'.join(DAYS)} FILE.gz", file=sys.stderr)
+    if len(sys.argv) != 3 or sys.argv[1] not in SCENARIOS:
+        print(f"usage: python -m rig.traces {'|'.join(SCENARIOS)} FILE.gz", file=sys.stderr)
         return 2
     with gzip.GzipFile(sys.argv[2], "wb", mtime=0) as file:
-        entrance = day(sys.argv[1], lambda line: file.write(line.encode() + b"\n"))
-    print(json.dumps({"asked": entrance.tally.asked, **entrance.tally.ends}))
+        entrance = record_day(sys.argv[1], lambda line: file.write(line.encode() + b"\n"))
+    print(json.dumps({"asked": entrance.counts.received, **entrance.counts.ends}))
     return 0
 
 
--- a/rig/upgrades.py
+++ b/rig/upgrades.py
@@ -22,14 +22,14 @@
     RequestClass("read", aim=0.5, deadline=2.0),
     RequestClass("write", aim=0.5, deadline=2.0, effect=interface.SIDE_EFFECT),
 )
-RATED = Plan("rated", rate=2.0, burst=8.0, excess_cost=1.0)
-PLACED = Plan("placed", concurrency_limit=2.0)
+QUOTA_PLAN = Plan("rated", rate=2.0, burst=8.0, excess_cost=1.0)
+CONCURRENCY_PLAN = Plan("placed", concurrency_limit=2.0)
 CUSTOMERS = 3
-SURE = 1e-6
+TOLERANCE = 1e-6
 
 
 @dataclass(slots=True)
-class Told:
+class ScheduleResult:
     """What went wrong, over some schedules."""
 
     schedules: int = 0
@@ -38,7 +38,7 @@
     granted_twice: int = 0
     lost: int = 0
 
-    def add(self, other: Told) -> None:
+    def add(self, other: ScheduleResult) -> None:
         """Add up."""
         for name in ("schedules", "upgrades", "bans_broken", "granted_twice", "lost"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
@@ -49,10 +49,10 @@
     """One process: its decisions, and what it has out and owes."""
 
     gateway: Gateway
-    out: dict[tuple[str, int], tuple[str, str]] = field(default_factory=dict)  # worker and customer
-    owed: set[str] = field(default_factory=set)
+    in_flight: dict[tuple[str, int], tuple[str, str]] = field(default_factory=dict)  # worker and customer
+    unanswered: set[str] = field(default_factory=set)
     timers: list[tuple[float, int]] = field(default_factory=list)
-    taker: Process | None = None
+    successor: Process | None = None
 
 
 class Schedule:
@@ -61,76 +61,86 @@
     def __init__(self, seed: int, news: bool = True) -> None:
         self.random, self.news, self.now = Random(seed), news, 0.0
         self.seed, self.count = seed, 0
-        self.told = Told(schedules=1)
-        self.banned: set[str] = set()
-        self.listed = {name: interface.WorkerEntry(name) for name in WORKERS}
-        self.began = {n: 0.0 for n in range(CUSTOMERS)}
-        self.granted = {n: 0.0 for n in range(CUSTOMERS)}  # units of the rated plan since then
-        self.holds: dict[tuple[str, int], int] = {}  # attempts of the placed plan, by customer
+        self.result = ScheduleResult(schedules=1)
+        self.in_maintenance: set[str] = set()
+        self.worker_entries = {name: interface.WorkerEntry(name) for name in WORKERS}
+        self.quota_started_at = {n: 0.0 for n in range(CUSTOMERS)}
+        self.units_granted = {n: 0.0 for n in range(CUSTOMERS)}  # units of the rated plan since then
+        self.slot_holders: dict[tuple[str, int], int] = {}  # attempts of the placed plan, by customer
         self.serving = self._process()
-        self.old: Process | None = None
+        self.predecessor: Process | None = None
 
     def _process(self) -> Process:
         self.count += 1
-        settings = Settings(CLASSES, (RATED, PLACED), max_attempts=2)
+        settings = Settings(CLASSES, (QUOTA_PLAN, CONCURRENCY_PLAN), max_attempts=2)
         process = Process(Gateway(settings, self.seed + self.count, self.now))
-        process.gateway.handle(self.now, interface.WorkerList(tuple(self.listed.values()), whole=True))
+        process.gateway.handle(self.now, interface.WorkerList(tuple(self.worker_entries.values()), whole=True))
         return process
 
-    def _do(self, process: Process, actions: Iterable[interface.Action], customer: str) -> None:
+    def _carry_out(self, process: Process, actions: Iterable[interface.Action], customer: str) -> None:
         for action in actions:
             match action:
                 case interface.Send(name, worker):
                     key = name, max(number for request, number in process.gateway.in_flight if request == name)
-                    process.out[key] = worker, customer
-                    self.told.bans_broken += worker in self.banned
-                    plan, _, who = customer.partition("/")
+                    process.in_flight[key] = worker, customer
+                    self.result.bans_broken += worker in self.in_maintenance
+                    plan, _, customer_number = customer.partition("/")
                     if plan == "placed":
-                        self.holds[key] = int(who, 16)
-                        mine = sum(each == int(who, 16) and self._held(key) for key, each in self.holds.items())
+                        self.slot_holders[key] = int(customer_number, 16)
+                        slots_held = sum(
+                            holder == int(customer_number, 16) and self._holds_slot(key)
+                            for key, holder in self.slot_holders.items()
+                        )
                         # A further attempt keeps its request's place: it is not asked again, in one process either.
-                        self.told.granted_twice += key[1] == 0 and mine > PLACED.concurrency_limit
+                        self.result.granted_twice += key[1] == 0 and slots_held > CONCURRENCY_PLAN.concurrency_limit
                     elif key[1] == 0:
-                        self._grant(int(who, 16))
-                    if process.taker is not None and self.news:
+                        self._grant(int(customer_number, 16))
+                    if process.successor is not None and self.news:
                         row = state.out_row(*key, process.gateway.in_flight[key])
-                        state.adopt(process.taker.gateway, self.now, row, spends=True)
+                        state.adopt(process.successor.gateway, self.now, row, spends=True)
                 case interface.Refuse(name) | interface.Fail(name):
-                    process.owed.discard(name)
+                    process.unanswered.discard(name)
                 case interface.SetTimer(delay, ref):
                     process.timers.append((self.now + delay, ref))
 
-    def _held(self, key: tuple[str, int]) -> bool:
+    def _holds_slot(self, key: tuple[str, int]) -> bool:
         """Whether an attempt still holds its place: one whose answer is taken to be lost has given it back."""
         return any(
-            key in process.out and process.gateway.in_flight[key].holds_slot
-            for process in (self.serving, self.old)
+            key in process.in_flight and process.gateway.in_flight[key].holds_slot
+            for process in (self.serving, self.predecessor)
             if process is not None
         )
 
-    def _grant(self, who: int) -> None:
-        self.granted[who] += 1.0
-        most = RATED.burst + RATED.rate * (self.now - self.began[who])
-        self.told.granted_twice += self.granted[who] > most + SURE
+    def _grant(self, customer_number: int) -> None:
+        self.units_granted[customer_number] += 1.0
+        allowed = QUOTA_PLAN.burst + QUOTA_PLAN.rate * (self.now - self.quota_started_at[customer_number])
+        self.result.granted_twice += self.units_granted[customer_number] > allowed + TOLERANCE
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         """A client asks the process that serves: connections go over before their next request."""
         process = self.serving
         self.count += 1
-        plan, who = self.random.choice((RATED, PLACED)).name, self.random.randrange(CUSTOMERS)
-        name, customer = f"r{self.count}", f"{who:016x}"
-        process.owed.add(name)
+        plan, customer_number = (
+            self.random.choice((QUOTA_PLAN, CONCURRENCY_PLAN)).name,
+            self.random.randrange(CUSTOMERS),
+        )
+        name, customer = f"r{self.count}", f"{customer_number:016x}"
+        process.unanswered.add(name)
         klass = self.random.choice(CLASSES).name
         event = interface.Request(name, klass, plan, customer, 2.0)
-        self._do(process, process.gateway.handle(self.now, event), f"{plan}/{customer}")
+        self._carry_out(process, process.gateway.handle(self.now, event), f"{plan}/{customer}")
 
-    def answer(self) -> None:
+    def finish_attempt(self) -> None:
         """An attempt ends, at either process."""
-        process = self.old if self.old is not None and self.old.out and self.random.random() < 0.5 else self.serving
-        if process.out:
-            self.end(
+        process = (
+            self.predecessor
+            if self.predecessor is not None and self.predecessor.in_flight and self.random.random() < 0.5
+            else self.serving
+        )
+        if process.in_flight:
+            self.record_outcome(
                 process,
-                self.random.choice(list(process.out)),
+                self.random.choice(list(process.in_flight)),
                 self.random.choice(
                     (
                         interface.SUCCESS,
@@ -143,123 +153,127 @@
                 ),
             )
 
-    def end(self, process: Process, key: tuple[str, int], status: str) -> None:
+    def record_outcome(self, process: Process, key: tuple[str, int], status: str) -> None:
         """The outcome of an attempt; what the old process has out is told to the new one."""
-        worker, customer = process.out.pop(key)
-        self.holds.pop(key, None)
+        worker, customer = process.in_flight.pop(key)
+        self.slot_holders.pop(key, None)
         if status == interface.SUCCESS:
-            process.owed.discard(key[0])
+            process.unanswered.discard(key[0])
         outcome = interface.Outcome(*key, worker, status, terminal=status == interface.SUCCESS, took=0.1)
         # The new process hears of it no sooner than the old one has drawn its consequences.
-        if process.taker is not None and self.news:
-            process.taker.gateway.handle(self.now, outcome)
-        self._do(process, process.gateway.handle(self.now, outcome), customer)
+        if process.successor is not None and self.news:
+            process.successor.gateway.handle(self.now, outcome)
+        self._carry_out(process, process.gateway.handle(self.now, outcome), customer)
 
-    def call(self) -> None:
+    def set_maintenance(self) -> None:
         """An operator takes a worker out, or puts it back, at the process that serves; at times twice."""
         worker, out = self.random.choice(WORKERS), self.random.random() < 0.6
-        if out and len(self.banned | {worker}) == len(WORKERS):
+        if out and len(self.in_maintenance | {worker}) == len(WORKERS):
             return
         for _ in range(self.random.choice((1, 1, 2))):
-            process = self.old if self.old is not None and self.random.random() < 0.3 else self.serving
+            process = self.predecessor if self.predecessor is not None and self.random.random() < 0.3 else self.serving
             actions = process.gateway.handle(self.now, interface.SetMaintenance(worker, out))
-            if process is self.old and process.taker is not None:  # calls are passed on
-                process.taker.gateway.handle(self.now, interface.SetMaintenance(worker, out))
+            if process is self.predecessor and process.successor is not None:  # calls are passed on
+                process.successor.gateway.handle(self.now, interface.SetMaintenance(worker, out))
             if any(isinstance(action, interface.MaintenanceResult) and action.known for action in actions):
-                self.banned.add(worker) if out else self.banned.discard(worker)
-        if self.old is not None:  # its further attempts keep to it as well
-            self.old.gateway.handle(self.now, interface.SetMaintenance(worker, out))
+                self.in_maintenance.add(worker) if out else self.in_maintenance.discard(worker)
+        if self.predecessor is not None:  # its further attempts keep to it as well
+            self.predecessor.gateway.handle(self.now, interface.SetMaintenance(worker, out))
 
-    def list(self) -> None:
+    def update_worker_list(self) -> None:
         """The list tells something: a restart, a drain, all of it."""
         name = self.random.choice(WORKERS)
-        drains = self.random.random() < 0.3
-        entry = interface.WorkerEntry(name, state=interface.DRAINING if drains else interface.HEALTHY, started=self.now)
-        if drains and sum(e.state == interface.HEALTHY for e in self.listed.values()) < 3:
+        draining = self.random.random() < 0.3
+        entry = interface.WorkerEntry(
+            name, state=interface.DRAINING if draining else interface.HEALTHY, started=self.now
+        )
+        if draining and sum(e.state == interface.HEALTHY for e in self.worker_entries.values()) < 3:
             return
-        self.listed[name] = entry
+        self.worker_entries[name] = entry
         whole = self.random.random() < 0.3
-        news = interface.WorkerList(tuple(self.listed.values()) if whole else (entry,), whole=whole)
-        for process in filter(None, (self.serving, self.old)):
-            process.gateway.handle(self.now, news)
+        update = interface.WorkerList(tuple(self.worker_entries.values()) if whole else (entry,), whole=whole)
+        for process in filter(None, (self.serving, self.predecessor)):
+            process.gateway.handle(self.now, update)
 
     def upgrade(self) -> None:
         """A new process takes over; at times it dies before it accepts, and the old one goes on."""
-        if self.old is not None:
+        if self.predecessor is not None:
             return
-        new, old = self._process(), self.serving
-        copy = state.Copy(old.gateway, self.now)
+        successor, predecessor = self._process(), self.serving
+        copy = state.Copy(predecessor.gateway, self.now)
         while rows := copy.more(self.now, 2):
-            state.put_accounts(new.gateway, self.now, rows)
+            state.put_accounts(successor.gateway, self.now, rows)
             self.now += self.random.random() * 0.01
             for _ in range(self.random.randrange(3)):
-                self.random.choice((self.ask, self.answer, self.call, self.list))()
+                self.random.choice(
+                    (self.send_request, self.finish_attempt, self.set_maintenance, self.update_worker_list)
+                )()
         if self.random.random() < 0.2:
-            old.gateway.quotas.deficits.rest()
+            predecessor.gateway.quotas.deficits.rest()
             return
-        state.put_accounts(new.gateway, self.now, copy.rest())
-        new.gateway.handle(self.now, interface.WorkerList(tuple(self.listed.values()), whole=True))
-        outs = list(state.outs(old.gateway)) if self.news else []
-        state.put_core(new.gateway, self.now, state.core(old.gateway), outs)
-        self.told.upgrades += 1
-        old.taker, self.serving, self.old = new, new, old
+        state.put_accounts(successor.gateway, self.now, copy.rest())
+        successor.gateway.handle(self.now, interface.WorkerList(tuple(self.worker_entries.values()), whole=True))
+        in_flight_rows = list(state.outs(predecessor.gateway)) if self.news else []
+        state.put_core(successor.gateway, self.now, state.core(predecessor.gateway), in_flight_rows)
+        self.result.upgrades += 1
+        predecessor.successor, self.serving, self.predecessor = successor, successor, predecessor
 
-    def leave(self) -> None:
+    def stop_predecessor(self) -> None:
         """The old process ends: by itself once nothing is out, or it is killed."""
-        if self.old is None or self.old.out and self.random.random() < 0.7:
+        if self.predecessor is None or self.predecessor.in_flight and self.random.random() < 0.7:
             return
-        theirs = set(self.old.out)
-        for key in theirs:
-            self.holds.pop(key, None)  # its connections are closed
-        for outcome in state.left_out(self.serving.gateway, theirs):
+        unfinished = set(self.predecessor.in_flight)
+        for key in unfinished:
+            self.slot_holders.pop(key, None)  # its connections are closed
+        for outcome in state.left_out(self.serving.gateway, unfinished):
             self.serving.gateway.handle(self.now, outcome)
-        self.old = None
+        self.predecessor = None
 
     def kill(self) -> None:
         """The process that serves is killed with no one to take over: what comes next knows nothing."""
-        if self.old is not None or self.random.random() < 0.9:
+        if self.predecessor is not None or self.random.random() < 0.9:
             return
-        for key in self.serving.out:
-            self.holds.pop(key, None)
-        self.banned.clear()
-        for who in self.began:
-            self.began[who], self.granted[who] = self.now, 0.0
+        for key in self.serving.in_flight:
+            self.slot_holders.pop(key, None)
+        self.in_maintenance.clear()
+        for customer_number in self.quota_started_at:
+            self.quota_started_at[customer_number], self.units_granted[customer_number] = self.now, 0.0
         self.serving = self._process()
 
     def tick(self) -> None:
         """Time passes, and timers fire."""
         self.now += self.random.random() * 0.3
-        for process in filter(None, (self.serving, self.old)):
+        for process in filter(None, (self.serving, self.predecessor)):
             due = [timer for timer in process.timers if timer[0] <= self.now]
             process.timers = [timer for timer in process.timers if timer[0] > self.now]
             for _, ref in due:
-                self._do(process, process.gateway.handle(self.now, interface.TimerFired(ref)), "")
+                self._carry_out(process, process.gateway.handle(self.now, interface.TimerFired(ref)), "")
 
-    def play(self, steps: int = 120) -> Told:
+    def play(self, steps: int = 120) -> ScheduleResult:
         """Go through it, let all end, and tell."""
-        weighted: list[Any] = (
-            [self.ask] * 8
-            + [self.answer] * 6
+        steps_by_weight: list[Any] = (
+            [self.send_request] * 8
+            + [self.finish_attempt] * 6
             + [self.tick] * 3
-            + [self.call, self.list, self.upgrade, self.leave, self.kill]
+            + [self.set_maintenance, self.update_worker_list, self.upgrade, self.stop_predecessor, self.kill]
         )
         for _ in range(steps):
             self.now += self.random.random() * 0.02
-            self.random.choice(weighted)()
-        for process in filter(None, (self.old, self.serving)):
-            while process.out:
-                self.end(process, next(iter(process.out)), interface.SUCCESS)
+            self.random.choice(steps_by_weight)()
+        for process in filter(None, (self.predecessor, self.serving)):
+            while process.in_flight:
+                self.record_outcome(process, next(iter(process.in_flight)), interface.SUCCESS)
         self.now += 10.0
         self.tick()
-        for process in filter(None, (self.old, self.serving)):
-            self.told.lost += len(process.owed) + len(process.gateway._pending)
-        self.told.lost += len(self.serving.gateway.in_flight) if self.news else 0
-        return self.told
+        for process in filter(None, (self.predecessor, self.serving)):
+            self.result.lost += len(process.unanswered) + len(process.gateway._pending)
+        self.result.lost += len(self.serving.gateway.in_flight) if self.news else 0
+        return self.result
 
 
-def play(seeds: range, news: bool = True) -> Told:
+def play(seeds: range, news: bool = True) -> ScheduleResult:
     """Some schedules, added up."""
-    told = Told()
+    result = ScheduleResult()
     for seed in seeds:
-        told.add(Schedule(seed, news).play())
-    return told
+        result.add(Schedule(seed, news).play())
+    return result
--- a/rig/worker_selection.py
+++ b/rig/worker_selection.py
@@ -20,7 +20,7 @@
 
 CLASSES = (interface.RequestClass("fetch", aim=0.8, deadline=2.0),)
 PLANS = (interface.Plan("free"),)
-UNITS, MEAN = 8.0, 0.16  # of a request, and the seconds that it takes on a worker of speed 1
+REQUEST_UNITS, MEAN_SERVICE_SECONDS = 8.0, 0.16  # of a request, and the seconds that it takes on a worker of speed 1
 
 
 @dataclass(frozen=True)
@@ -36,102 +36,107 @@
     numbered: bool = True  # gateways know their numbers, so that subsets are dealt out evenly
 
 
-Choose = Callable[[float, "Choices"], str]
+SelectWorker = Callable[[float, "BaselineGateway"], str]
 
 
-class Choices:
+class BaselineGateway:
     """Takes a gateway's place: sends each request once, to the worker that `choose` names."""
 
-    def __init__(self, fleet: Fleet, random: Random, choose: Choose) -> None:
-        self.fleet, self.random, self.choose = fleet, random, choose
+    def __init__(self, fleet: Fleet, random: Random, select: SelectWorker) -> None:
+        self.fleet, self.random, self.select = fleet, random, select
         self.names = sorted(fleet.places)
-        self.out = dict.fromkeys(self.names, 0)
-        self.turn = 0
-        self.credit = dict.fromkeys(self.names, 0.0)
+        self.in_flight = dict.fromkeys(self.names, 0)
+        self.next_index = 0
+        self.credits = dict.fromkeys(self.names, 0.0)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Send what comes; count what is out."""
         if isinstance(event, interface.Request):
-            worker = self.choose(now, self)
-            self.out[worker] += 1
+            worker = self.select(now, self)
+            self.in_flight[worker] += 1
             return [interface.Send(event.request, worker)]
         if isinstance(event, interface.Outcome):
-            self.out[event.worker] -= 1
+            self.in_flight[event.worker] -= 1
         return []
 
 
-def sees_all(now: float, c: Choices) -> str:
+def shortest_true_queue(now: float, gateway: BaselineGateway) -> str:
     """The worker that would be done first, by its true queue and speed."""
 
     def done(name: str) -> float:
-        load = c.fleet.places[name].load
-        return load.free(now) + MEAN / (load.capacity.speed * load.warmth(now))
+        load = gateway.fleet.places[name].load
+        return load.free(now) + MEAN_SERVICE_SECONDS / (load.capacity.speed * load.warmth(now))
 
-    return min(c.names, key=done)
+    return min(gateway.names, key=done)
 
 
-def of_two(now: float, c: Choices) -> str:
+def two_random_choices(now: float, gateway: BaselineGateway) -> str:
     """The one of two drawn by chance where less of the own is out."""
-    return min(c.random.sample(c.names, 2), key=lambda name: c.out[name])
+    return min(gateway.random.sample(gateway.names, 2), key=lambda name: gateway.in_flight[name])
 
 
-def by_chance(now: float, c: Choices) -> str:
+def random_worker(now: float, gateway: BaselineGateway) -> str:
     """Any."""
-    return c.random.choice(c.names)
+    return gateway.random.choice(gateway.names)
 
 
-def in_turn(now: float, c: Choices) -> str:
+def weighted_round_robin(now: float, gateway: BaselineGateway) -> str:
     """Weighted round robin by the true speeds, which a real one would have to learn."""
     while True:
-        name = c.names[c.turn % len(c.names)]
-        c.turn += 1
-        c.credit[name] += c.fleet.places[name].load.capacity.speed / 1.3
-        if c.credit[name] >= 1.0:
-            c.credit[name] -= 1.0
+        name = gateway.names[gateway.next_index % len(gateway.names)]
+        gateway.next_index += 1
+        gateway.credits[name] += gateway.fleet.places[name].load.capacity.speed / 1.3
+        if gateway.credits[name] >= 1.0:
+            gateway.credits[name] -= 1.0
             return name
 
 
-OTHERS: dict[str, Choose] = {"sees_all": sees_all, "of_two": of_two, "by_chance": by_chance, "in_turn": in_turn}
+BASELINES: dict[str, SelectWorker] = {
+    "sees_all": shortest_true_queue,
+    "of_two": two_random_choices,
+    "by_chance": random_worker,
+    "in_turn": weighted_round_robin,
+}
 
 
-def served(how: str, field: Field, seed: int) -> float:
+def served(selection: str, scenario: Field, seed: int) -> float:
     """The share of the requests that are answered in their aim; `how` is `module` or one of `OTHERS`."""
     random, clock = Random(seed), Clock()
-    slow = round(field.workers * field.slow)
+    slow = round(scenario.workers * scenario.slow)
     capacities = {
         f"w{n:04}": Capacity(cores=1, queue=8, speed=random.uniform(0.3, 0.5) if n < slow else random.uniform(0.8, 1.3))
-        for n in range(field.workers)
+        for n in range(scenario.workers)
     }
     fleet = Fleet(clock, random, capacities, zones="a")
-    for number in range(field.gateways):
+    for number in range(scenario.gateways):
         settings = interface.Settings(
             CLASSES,
             PLANS,
-            gateways=field.gateways,
-            number=number if field.numbered else None,
+            gateways=scenario.gateways,
+            number=number if scenario.numbered else None,
             zone="a",
             max_attempts=2,
             can_cancel=True,
         )
-        if how == "module":
+        if selection == "module":
             handle = Gateway(settings, seed * 1000 + number, 0.0).handle
         else:
-            handle = Choices(fleet, random, OTHERS[how]).handle
+            handle = BaselineGateway(fleet, random, BASELINES[selection]).handle
         Entrance(fleet, handle, settings, f"g{number}")
     fleet.tell(whole=True)
-    rate = field.load * sum(c.speed for c in capacities.values()) / MEAN
-    customers = 40 * field.gateways
+    rate = scenario.load * sum(c.speed for c in capacities.values()) / MEAN_SERVICE_SECONDS
+    customers = 40 * scenario.gateways
 
     def ask() -> None:
-        random.choice(fleet.entrances).ask("fetch", "free", f"c{random.randrange(customers)}", UNITS)
+        random.choice(fleet.entrances).ask("fetch", "free", f"c{random.randrange(customers)}", REQUEST_UNITS)
         clock.after(random.expovariate(rate), ask)
 
     ask()
-    clock.run(field.warm_up)
-    before = [(e.tally.asked, e.tally.ends["served"]) for e in fleet.entrances]
-    clock.run(field.warm_up + field.seconds)
-    asked = sum(e.tally.asked - a for e, (a, _) in zip(fleet.entrances, before, strict=True))
-    good = sum(e.tally.ends["served"] - s for e, (_, s) in zip(fleet.entrances, before, strict=True))
+    clock.run(scenario.warm_up)
+    before = [(e.counts.received, e.counts.ends["served"]) for e in fleet.entrances]
+    clock.run(scenario.warm_up + scenario.seconds)
+    asked = sum(e.counts.received - a for e, (a, _) in zip(fleet.entrances, before, strict=True))
+    good = sum(e.counts.ends["served"] - s for e, (_, s) in zip(fleet.entrances, before, strict=True))
     return good / max(1, asked)
 
 
@@ -143,14 +148,14 @@
     parser.add_argument("--load", type=float, default=0.8, help="of what all can do (default %(default)s)")
     parser.add_argument("--seconds", type=float, default=6.0, help="counted (default %(default)s)")
     parser.add_argument("--seeds", type=int, default=1, help="fields played (default %(default)s)")
-    words = parser.parse_args()
-    field = Field(words.workers, words.gateways, words.load, words.seconds)
-    ideal = [served("sees_all", field, seed) for seed in range(words.seeds)]
+    options = parser.parse_args()
+    scenario = Field(options.workers, options.gateways, options.load, options.seconds)
+    ideal = [served("sees_all", scenario, seed) for seed in range(options.seeds)]
     print(f"sees_all   {statistics.median(ideal):.3f}")
-    for how in ("module", *OTHERS):
-        if how != "sees_all":
-            share = [served(how, field, seed) / best for seed, best in enumerate(ideal)]
-            print(f"{how:10} {statistics.median(share):.3f} of that", flush=True)
+    for selection in ("module", *BASELINES):
+        if selection != "sees_all":
+            share = [served(selection, scenario, seed) / best for seed, best in enumerate(ideal)]
+            print(f"{selection:10} {statistics.median(share):.3f} of that", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/rig/test_overload.py
+++ b/tests/rig/test_overload.py
@@ -6,8 +6,8 @@
 
 from benchmarks.deployments import PRESSED
 from micagate.fleet import Fleet
-from rig.fleet import UNIT
-from rig.overload import arrivals, bound, fell, play
+from rig.fleet import UNIT_CORE_SECONDS
+from rig.overload import arrivals, play, was_overloaded, worth_bound
 
 SECOND = PRESSED["second"]
 
@@ -26,10 +26,10 @@
     bears = SECOND.overload_factor * c.cores * c.cold_from  # seconds of work a second, at its start
     for share, falls in ((0.8, False), (1.6, True)):
         begun = [(n * 0.1, "w00", share * bears * 0.1) for n in range(int(span / 0.1) + 10)]
-        assert fell(SECOND, begun, "w00", 0.0) == falls
-        assert not fell(SECOND, begun, "w01", 0.0)
+        assert was_overloaded(SECOND, begun, "w00", 0.0) == falls
+        assert not was_overloaded(SECOND, begun, "w01", 0.0)
     short = [(n * 0.1, "w00", 1.6 * bears * 0.1) for n in range(int(span / 0.1) // 2)]
-    assert not fell(SECOND, short, "w00", 0.0)
+    assert not was_overloaded(SECOND, short, "w00", 0.0)
 
 
 def test_sends_to_draining_workers_and_floods_of_cold_ones_are_counted(monkeypatch):
@@ -44,9 +44,9 @@
     kind = PRESSED[name]
     asked = arrivals(kind, Random(1))
     everything = sum(kind.classes[n][0].importance for _, n, _ in asked)
-    assert 0.5 * everything < bound(kind, asked) < everything
+    assert 0.5 * everything < worth_bound(kind, asked) < everything
     begin, end, _ = kind.rush
     quiet = [each for each in asked if each[0] < begin - 2]
-    assert bound(kind, quiet) == pytest.approx(sum(kind.classes[n][0].importance for _, n, _ in quiet))
-    rush = sum(kind.classes[n][2] * UNIT for at, n, _ in asked if begin <= at < end) / (end - begin)
+    assert worth_bound(kind, quiet) == pytest.approx(sum(kind.classes[n][0].importance for _, n, _ in quiet))
+    rush = sum(kind.classes[n][2] * UNIT_CORE_SECONDS for at, n, _ in asked if begin <= at < end) / (end - begin)
     assert rush > 1.1 * kind.workers * kind.capacity.cores
--- a/tests/rig/test_simulation.py
+++ b/tests/rig/test_simulation.py
@@ -37,16 +37,16 @@
     clock = Clock()
     net = Network(clock, Random(1))
     for name, value in usual.items():
-        setattr(net.usual, name, value)
+        setattr(net.default_link, name, value)
     got = []
     for name in "ab":
-        net.join(name, lambda source, message, name=name: got.append((source, name, message)))
+        net.register(name, lambda source, message, name=name: got.append((source, name, message)))
     return clock, net, got
 
 
 def test_a_cut_one_way_silences_that_way_alone_until_it_heals():
     clock, net, got = network()
-    net.cut(["a"], ["b"], both=False)
+    net.block(["a"], ["b"], both=False)
     net.send("a", "b", 1)
     net.send("b", "a", 2)
     clock.run(1.0)
@@ -58,7 +58,7 @@
 
 
 def test_messages_get_lost_repeated_and_overtake_each_other_as_told():
-    clock, net, got = network(least=0.0, most=1.0, loss=0.3, repeat=0.3)
+    clock, net, got = network(min_delay=0.0, max_delay=1.0, loss=0.3, duplication=0.3)
     for n in range(500):
         net.send("a", "b", n)
     clock.run(10.0)
@@ -70,9 +70,9 @@
 def test_what_is_under_way_can_be_lost_and_who_has_left_gets_nothing():
     clock, net, got = network()
     net.send("a", "b", 1)
-    net.drop()
+    net.drop_in_transit()
     net.send("a", "b", 2)
-    net.leave("b")
+    net.unregister("b")
     clock.run(1.0)
     assert got == []
 
@@ -81,7 +81,7 @@
     load = Load(Capacity(cores=2, queue=3))
     ends = [load.arrive(0.0, 1.0) for _ in range(6)]
     assert ends == [1.0, 1.0, 2.0, 2.0, 3.0, None]
-    assert load.turned_away == 1 and load.longest == 3
+    assert load.rejected == 1 and load.max_queue_length == 3
     assert load.arrive(1.0, 1.0) == 3.0
 
 
@@ -97,6 +97,6 @@
     days = []
     for _ in range(2):
         lines = []
-        tally = traces.day("many", lines.append).tally
+        tally = traces.record_day("many", lines.append).counts
         days.append((lines, tally.ends))
     assert days[0] == days[1] and days[0][1]["served"] > 1000
