--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -1,4 +1,4 @@
-"""What a worker can take: cores, a bounded queue, and slowness while it is cold. No I/O, the time is told."""
+"""Model of a worker's capacity: cores, a bounded queue and slow start. No I/O; the time is an argument."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """A worker's model; times are seconds.
+    """Parameters of a worker's model; times are in seconds.
 
-    `cores` requests are worked on at once and `queue` more wait, the next is turned away. Work takes
-    1/`speed` of its time on a warm worker. One that starts has the share `cold_from` of its speed, which
-    rises evenly to the whole over `ramp`. `thrash` slows work by that share for each request waiting a core:
-    a worker with a deep queue gets less done, so that overload feeds on itself.
+    `cores` requests are processed in parallel, up to `queue` more wait, and any further one is rejected. A warm worker
+    takes 1/`speed` of a request's nominal time. A worker that starts has the fraction `cold_from` of its speed, which
+    rises linearly to 1 over `ramp`. `thrash` is the fraction by which each request waiting per core slows new work:
+    a worker with a long queue gets less done, so that overload reinforces itself.
     """
 
     cores: int = 2
@@ -26,34 +26,34 @@
 
 
 class Load:
-    """What is at a worker: the first come is served first, by the core that is free first."""
+    """Requests at a worker, served in order of arrival, each by the first core that becomes free."""
 
     def __init__(self, capacity: Capacity, started: float | None = None) -> None:
         self.capacity, self.started = capacity, started
         self._core_free_times = [0.0] * capacity.cores
         self._queued_start_times: deque[float] = deque()
         self.served = self.rejected = 0
-        self.max_queue_length = 0  # the longest queue yet
+        self.max_queue_length = 0  # longest queue so far
 
     def warmth(self, now: float) -> float:
-        """The share of its speed that it has."""
+        """Return the warm-up factor: the fraction of its full speed that the worker has, up to 1."""
         capacity = self.capacity
         if self.started is None or now - self.started >= capacity.ramp:
             return 1.0
         return capacity.cold_from + (1 - capacity.cold_from) * max(0.0, now - self.started) / capacity.ramp
 
     def waiting(self, now: float) -> int:
-        """How many wait for a core."""
+        """Return the number of requests that wait for a core."""
         while self._queued_start_times and self._queued_start_times[0] <= now:
             self._queued_start_times.popleft()
         return len(self._queued_start_times)
 
     def free(self, now: float) -> float:
-        """When the next core is free."""
+        """Return when the next core is free."""
         return max(now, self._core_free_times[0])
 
     def arrive(self, now: float, work: float) -> float | None:
-        """A request that would take `work` seconds of an idle warm core: when it is done, or None if full."""
+        """Add a request of `work` seconds of a warm core at speed 1; return its end, or None if the queue is full."""
         waiting = self.waiting(now)
         start = self.free(now)
         if start > now and waiting >= self.capacity.queue:
--- a/rig/cluster.py
+++ b/rig/cluster.py
@@ -1,7 +1,7 @@
-"""Forwarders with one planner, or none, before modelled workers, in simulated time: modules, holders and a ledger.
+"""Forwarders with one planner, or none, and simulated workers in simulated time: gateways, holders and a ledger.
 
-The planner's messages take no time and none gets lost: `rig/planning.py` is for what befalls those. Here the workers
-are uneven, slow down, start cold and are replaced.
+Messages to and from the planner take no time and none is lost; `rig/planning.py` simulates delays and losses of those.
+Here the workers differ in speed, slow down, start slowly and are replaced.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from rig.simulation import Clock
 
 TERMS = Terms(shards=1)
-EXCHANGE_INTERVAL_SECONDS = 0.1  # seconds between a forwarder's surveys
+EXCHANGE_INTERVAL_SECONDS = 0.1  # between two demand reports of a forwarder
 
 
 class Cluster:
-    """Forwarders that ask a planner (or none) and send to one fleet.
+    """Forwarders that report to one planner (or none) and send to one fleet.
 
-    `rates` are requests a second by forwarder, of a customer with no quota; `capacities` the workers.
+    `rates` are requests per second by forwarder, all of one customer without a quota; `capacities` are the workers'.
     """
 
     def __init__(
@@ -41,19 +41,19 @@
         zones: str = "a",
     ) -> None:
         self.random, self.clock = Random(seed), Clock()
-        self.paces = paces  # whether forwarders report of workers
+        self.paces = paces  # whether forwarders report the workers' load
         self.rates = list(rates)
         self.fleet = Fleet(self.clock, self.random, capacities, zones=zones)
         self.klass, self.plan = settings.classes[0].name, settings.plans[0].name
         count = len(rates)
         self.ledger = Ledger(TERMS, 0, 1, count, 0.0) if planner else None
-        self.moved = 0.0  # the most ever borrowed of a thing
+        self.moved = 0.0  # largest share ever borrowed of a resource
         self.entrances: list[Entrance] = []
         self.holders: list[Holder] = []
         self.demand_estimates: list[Demands] = []
         self.gates: list[Gateway] = []
         for n in range(count):
-            numbered = settings.number is not None  # then each has its own
+            numbered = settings.number is not None  # then each gateway gets its own number
             gateway = Gateway(replace(settings, number=n) if numbered else settings, seed * 100 + n, 0.0)
             self.gates.append(gateway)
             self.entrances.append(Entrance(self.fleet, gateway.handle, settings, f"f{n}"))
@@ -63,7 +63,7 @@
             self.holders.append(holder)
             self.demand_estimates.append(Demands(0.0))
             self.clock.after(self.random.expovariate(self.rates[n]), self._submit, n)
-        self.sent: list[tuple[float, str, float]] = []  # when, where, seconds of work
+        self.sent: list[tuple[float, str, float]] = []  # time, worker, seconds of work
         self.fleet.arrived = lambda now, name, work, done: self.sent.append((now, name, work))
         self.fleet.tell(whole=True)
         self.clock.after(EXCHANGE_INTERVAL_SECONDS, self._exchange)
@@ -95,15 +95,15 @@
         self.clock.after(EXCHANGE_INTERVAL_SECONDS, self._exchange)
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
-        """A worker is replaced by a cold one."""
+        """Replace a worker by a newly started one."""
         self.fleet.restart(name, capacity)
 
     def become(self, name: str, capacity: Capacity) -> None:
-        """A worker's capacity changes while it runs, unannounced."""
+        """Change a worker's capacity while it runs, without an update to the gateways."""
         self.fleet.places[name].load.capacity = capacity
 
     def served(self, start: float, end: float) -> float:
-        """Run on to the end: the share of what has ended between two times that was served in its aim."""
+        """Run until `end`; return the share of the requests ended since `start` that met the latency objective."""
         self.clock.run(start)
         before = self.ends
         self.clock.run(end)
@@ -113,5 +113,5 @@
 
     @property
     def ends(self) -> Counter[str]:
-        """How all requests so far have ended."""
+        """Number of ended requests by result."""
         return self.fleet.ends
--- a/rig/crash_recovery.py
+++ b/rig/crash_recovery.py
@@ -1,7 +1,7 @@
-"""Schedules of gatekeepers that spend a customer's ceiling, write marks ahead to disks and crash, from a seed.
+"""Random schedules of gatekeepers that spend ceilings, persist high-water marks and crash.
 
-The truth is kept beside them: what all have sent on, against one store of the plan's rate and depth. Counted are
-schedules in which that was overspent. `Variant` leaves a rule out; each has to be found by the count.
+The units admitted by all gatekeepers together are compared with one token bucket of the plan's ceiling. `Variant`
+leaves out one rule of the write-ahead protocol; tests and benchmarks check that some schedule of each overspends.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Variant(Enum):
-    """A rule that is left out."""
+    """A rule of the write-ahead protocol that is left out."""
 
     NONE = "none"
     NOT_AHEAD = "accounts are spent without waiting for their mark"
@@ -33,7 +33,7 @@
 
 @dataclass
 class Disk:
-    """What outlives a gatekeeper's life: what was synced before it ended."""
+    """State that survives a crash: the marks that were synced, and when the previous incarnation started."""
 
     marks: dict[str, Mark] = field(default_factory=dict)
     previous_start: float | None = None
@@ -49,10 +49,10 @@
         if variant is not Variant.LAST_LIFE or disk.previous_start is None:
             disk.previous_start = now
         self.full_after_crash = variant is Variant.FULL
-        self.pending_writes: list[tuple[float, list[Mark]]] = []  # when they will be on disk
+        self.pending_writes: list[tuple[float, list[Mark]]] = []  # marks with the time at which they are on disk
 
     def admit(self, now: float, customer: str, units: float, count: int) -> bool:
-        """A customer's try: whether it is sent on."""
+        """Return whether a request of a customer is admitted."""
         account = self.quotas.account(now, customer, PLAN, count)
         if self.full_after_crash and account.ceiling_balance < PLAN.ceiling_capacity / count and not account.demand:
             account.ceiling_balance = PLAN.ceiling_capacity / count
@@ -66,14 +66,14 @@
         return True
 
     def write(self, now: float, sync_seconds: float) -> None:
-        """What is due goes to the disk, and is there after some time."""
+        """Start to write the marks that are due; they are on disk after `sync_seconds`."""
         if marks := self.marks.make(now):
             if self.variant is Variant.EARLY:
                 self.marks.written(marks, self.quotas.accounts.get)
             self.pending_writes.append((now + sync_seconds, marks))
 
     def complete_writes(self, now: float) -> None:
-        """What is on disk by now is."""
+        """Complete the writes whose time has come."""
         for when, marks in [entry for entry in self.pending_writes if entry[0] <= now]:
             self.pending_writes.remove((when, marks))
             self.disk.marks.update({mark.key: mark for mark in marks})
@@ -82,7 +82,7 @@
 
 @dataclass
 class ScheduleResult:
-    """What became of a schedule."""
+    """Result of a schedule."""
 
     sent: int = 0
     refused: int = 0
@@ -91,7 +91,7 @@
 
 
 def play(seed: int, variant: Variant = Variant.NONE, seconds: float = 30.0, count: int = 3) -> ScheduleResult:
-    """One schedule: customers at the edge of their ceiling and below, slow and quick disks, crashes at any time."""
+    """Run a schedule: customers near or below their ceiling, slow or fast disks, crashes at any time."""
     random, result, now, incarnations = Random(seed), ScheduleResult(), 100.0, 0
     disks = [Disk() for _ in range(count)]
     gatekeepers: list[Incarnation | None] = []
@@ -126,7 +126,7 @@
         elif random.random() < crash_probability:
             result.crashes += 1
             gatekeepers[n] = None
-            if random.random() < 0.3:  # all at once
+            if random.random() < 0.3:  # all gatekeepers crash at the same time
                 result.crashes += sum(other is not None for other in gatekeepers)
                 gatekeepers = [None] * count
         else:
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -1,9 +1,9 @@
-"""Customers over gatekeepers that hold parts of their quotas: what is lost because the parts are parts.
+"""Simulates customers whose quotas are split over gatekeepers, and measures what the split costs.
 
-Plays first tries and clients' repeats against real `Quotas`, one for each gatekeeper, with a meter that tells
-late, and holds what they let in against one store that sees all, in units. Workers are no matter here: each attempt is
-answered, unless `lost` of them, whose answers are written and never come: their gatekeeper counts them as out up to the
-aim. Times in seconds.
+First requests and client retries go to real `Quotas`, one for each gatekeeper, with a meter that reports late. The
+units that they admit are compared with one token bucket that sees all requests. Workers are not simulated: each attempt
+gets a response, but for the share `lost`, whose responses are written and never arrive; their gatekeeper counts them as
+in flight until the latency objective has passed. Times are in seconds.
 
     python -m rig.customers [--gateways N] [--seeds N]
 """
@@ -22,7 +22,7 @@
 from micagate.quotas import Quotas
 from rig.traffic import PlanShape, Store
 
-KIND_SHARES = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # shares of the customers
+KIND_SHARES = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # share of customers by kind of load
 PLANS = (
     interface.Plan("small", rate=1.7, burst=7.0, excess_cost=0.8),
     interface.Plan("middle", rate=4.1, burst=14.0, concurrency_limit=2.0, excess_cost=1.2),
@@ -30,63 +30,65 @@
         "large", rate=10.0, burst=18.0, ceiling_rate=25.0, ceiling_capacity=41.0, ceiling_slack=4.0, excess_cost=0.8
     ),
 )
-PLAN_INDEXES = (0,) * 12 + (1,) * 5 + (2,)  # of eighteen customers in a row
+PLAN_INDEXES = (0,) * 12 + (1,) * 5 + (2,)  # index in the plans, for each of eighteen customers in turn
 AIM_SECONDS, DEADLINE_SECONDS = 0.33, 1.76
-RESPONSE_LOST, ATTEMPT_EXPIRED = -1, -2  # for an attempt's number: its answer was written and lost; it counts no more
+RESPONSE_LOST, ATTEMPT_EXPIRED = -1, -2  # in place of an attempt's number: lost, and no longer in flight
 
 
 @dataclass(frozen=True)
 class Day:
-    """What a day is like."""
+    """Parameters of a simulated day; times are in seconds, the rest shares and counts."""
 
     gateways: int = 4
     customers: int = 90
     seconds: float = 22.0
-    skew: float = 1.0  # of a customer's weights on its gatekeepers: 0 is even
-    moves: float = 12.0  # between changes of those weights
-    patient: float = 0.3  # share of the refusals whose advice is followed; the others repeat at once
-    elsewhere: float = 0.03  # share of the repeats that go to another gatekeeper of the set
-    late: float = 0.8  # from the end of the meter's period to its first reading
-    period: float = 0.5  # of the meter
-    lost: float = 0.0  # share of the attempts whose answers never come
+    skew: float = 1.0  # exponent of a customer's weights of its gatekeepers; 0: even weights
+    moves: float = 12.0  # mean time between changes of those weights
+    patient: float = 0.3  # share of rejections whose retry advice is followed; the others retry at once
+    elsewhere: float = 0.03  # share of retries that go to another gatekeeper of the customer
+    late: float = 0.8  # from the end of a meter period to the first reading of it
+    period: float = 0.5  # length of a meter period
+    lost: float = 0.0  # share of attempts whose responses never arrive
     plans: tuple[interface.Plan, ...] = PLANS
-    units: int = 1  # the most that a try counts; all up to it are as frequent
-    marked: bool = True  # whether repeats are marked
-    wait: float = 0.002  # before a repeat, beside what was advised
-    tries: int = 3
-    meter: bool = True  # without one, parts of quotas decide alone
-    # In place of the gatekeepers' own decisions: each sees the whole store as it was so long ago, and its own sends.
+    units: int = 1  # maximum units of a request; uniform from 1
+    marked: bool = True  # whether retries are marked as such
+    wait: float = 0.002  # delay of a client retry, beside the advised delay
+    tries: int = 3  # maximum number of times that a client sends a request
+    meter: bool = True  # without one, local shares of quotas decide alone
+    # If set, replaces the decisions of `Quotas`: each gatekeeper sees the true balance of so many seconds ago, and what
+    # it admitted itself since then.
     sees: float | None = None
     mix: tuple[tuple[str, float], ...] = tuple(KIND_SHARES.items())
 
 
 def wide(gateways: int) -> Day:
-    """A day of so many gatekeepers, with customers for them."""
+    """Return a day with so many gatekeepers, and enough customers for them."""
     return Day(gateways=gateways, customers=max(90, 18 * gateways))
 
 
 @dataclass
 class Customer:
-    """One customer, with the store that sees all its tries and the meter's counts by period."""
+    """A customer, with the token bucket that sees all its requests, and the meter's counts by period."""
 
     name: str
     kind: str
     plan: interface.Plan
     first_gateway: int
-    weights: list[tuple[float, list[float]]]  # from when on
+    weights: list[tuple[float, list[float]]]  # weights of its gatekeepers, with the time from which they hold
     bucket: Store
     in_flight: int = 0
-    history: list[tuple[float, float, int]] = field(default_factory=list)  # after each send or end: store, and out
-    sent: list[tuple[float, int, int]] = field(default_factory=list)  # sends: when, from where, units
+    # Time, balance and attempts in flight after each change.
+    history: list[tuple[float, float, int]] = field(default_factory=list)
+    sent: list[tuple[float, int, int]] = field(default_factory=list)  # time, gateway, units
     metered_units: dict[int, int] = field(default_factory=lambda: defaultdict(int))
 
     def gateway(self, now: float, random: Random, gateways: int) -> int:
-        """Where a try goes."""
+        """Choose the gateway of a request."""
         weights = next(w for since, w in reversed(self.weights) if since <= now)
         return (self.first_gateway + random.choices(range(len(weights)), weights)[0]) % gateways
 
     def appears_to_have_room(self, now: float, delay: float, gateway: int, units: int) -> bool:
-        """Whether it would seem to have room at a gateway that sees what was true so long ago, and its own sends."""
+        """Whether the quota has room by the view of a gateway that knows an old state and its own attempts since."""
         seen_at = now - delay
         updated_at, level, in_flight = next(
             (p for p in reversed(self.history) if p[0] <= seen_at), (0.0, self.plan.burst, 0)
@@ -98,11 +100,11 @@
         )
 
     def record_state(self, now: float) -> None:
-        """Keep what is true now for those that see it later."""
+        """Record the current state for gateways that see it with a delay."""
         self.history.append((now, self.bucket.fill(now), self.in_flight))
 
     def has_room(self, now: float, units: int) -> bool:
-        """Whether the whole quota has room for one more try of so many units now."""
+        """Whether the whole quota has room for a request of so many units now."""
         return self.bucket.fill(now) >= units and (
             not self.plan.concurrency_limit or self.in_flight < self.plan.concurrency_limit
         )
@@ -110,25 +112,25 @@
 
 @dataclass
 class KindTotals:
-    """What became of one kind's tries, in units."""
-
-    offered: int = 0  # first tries that one store that sees them all lets in
-    served: int = 0  # inside the whole quota, within the aim
-    over_quota: int = 0  # let in beyond the whole quota
-    worth: float = 0.0  # of what is offered, and of what is served, by the plans' prices
-    earned: float = 0.0
-    cost: float = 0.0  # of what is let in beyond the quota, less what that earns
+    """Totals of one kind of customer, in units or in the plans' prices."""
+
+    offered: int = 0  # first requests that one bucket that sees them all admits
+    served: int = 0  # within the whole quota and the latency objective
+    over_quota: int = 0  # admitted beyond the whole quota
+    worth: float = 0.0  # price of the offered units
+    earned: float = 0.0  # price of the served units
+    cost: float = 0.0  # excess cost of the units admitted beyond the quota, less their revenue
     units_requested: int = 0
-    refused_with_room: int = 0  # with half of the whole store or more unused
+    refused_with_room: int = 0  # units rejected while the whole bucket was at least half full
 
 
 def full_bucket(plan: interface.Plan) -> Store:
-    """A full store of the whole quota."""
+    """Return a full token bucket of the whole quota."""
     return Store(PlanShape(plan.rate, plan.burst), 0.0)
 
 
 def arrivals(random: Random, scenario: Day, kind: str, rate: float) -> list[float]:
-    """The times of a customer's first tries: steady, or with spikes."""
+    """Return the times of a customer's first requests: a steady Poisson process, or one with spikes."""
     low, high = {"calm": (0.16, 0.36), "full": (0.8, 1.0), "heavy": (1.9, 4.3), "spiky": (0.16, 0.36)}[kind]
     base_load, spikes, at = random.uniform(low, high), [], random.uniform(0.0, 18.0)
     while kind == "spiky" and at < scenario.seconds:
@@ -147,7 +149,7 @@
 
 
 def play(scenario: Day, seed: int) -> dict[str, KindTotals]:
-    """Play a day; what became of the tries, by kind of customer."""
+    """Simulate a day; return the totals by kind of customer."""
     random = Random(seed)
     quotas_by_gateway = [
         Quotas(-60.0, period=scenario.period if scenario.meter else 0.0) for _ in range(scenario.gateways)
@@ -191,7 +193,7 @@
         now, _, customer, started, attempt, gateway_index, account, within_quota, units = heapq.heappop(queue)
         kind_totals, quotas, sequence = totals[customer.kind], quotas_by_gateway[gateway_index], sequence + 1
         spread = len(customer.weights[0][1])
-        if account is not None:  # an answer, or the end of waiting for one
+        if account is not None:  # a response, or the end of the wait for one
             customer.in_flight -= attempt != ATTEMPT_EXPIRED
             if scenario.sees is not None:
                 customer.record_state(now)
@@ -294,7 +296,7 @@
 
 
 def total(days: list[dict[str, KindTotals]], *kinds: str) -> dict[str, float]:
-    """Served and over as shares of what was offered, and refused with room as a share of the tries."""
+    """Return shares: served and over-quota units of those offered, units refused with room of those requested."""
     selected = [day_totals[kind] for day_totals in days for kind in kinds or KIND_SHARES]
     offered = max(1, sum(k.offered for k in selected))
     return {
@@ -306,10 +308,10 @@
 
 
 def main() -> None:
-    """Print what parts lose, by kind of customer."""
+    """Print what splitting the quotas costs, by kind of customer."""
     parser = argparse.ArgumentParser(prog="python -m rig.customers", description=main.__doc__)
     parser.add_argument("--gateways", type=int, default=4, help="gatekeepers (default %(default)s)")
-    parser.add_argument("--seeds", type=int, default=8, help="days played (default %(default)s)")
+    parser.add_argument("--seeds", type=int, default=8, help="days simulated (default %(default)s)")
     options = parser.parse_args()
     days = [play(wide(options.gateways), seed) for seed in range(options.seeds)]
     for kinds in (*((kind,) for kind in KIND_SHARES), ()):
--- a/rig/driver.py
+++ b/rig/driver.py
@@ -1,4 +1,4 @@
-"""Hand-driving a gateway: a short way to write events and to read what was decided."""
+"""Drives a gateway in tests: short ways to send events and to read the actions."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def workers(count: int = 6, **changes: Any) -> interface.WorkerList:
-    """A whole list: workers w0, w1, ... in the zones a, b, c by turns."""
+    """Return a whole worker list: workers w0, w1, ... in the zones a, b, c in turn."""
     return interface.WorkerList(
         tuple(interface.WorkerEntry(f"w{n}", zone="abc"[n % 3], cell=n // 2, **changes) for n in range(count)),
         whole=True,
@@ -51,7 +51,7 @@
 
 
 class Driver:
-    """A gateway with six warm workers, a clock, and counters of what it did."""
+    """A gateway with a clock, `count` warm workers, its pending timers, and its latest attempt number by request."""
 
     def __init__(self, count: int = 6, **changes: Any) -> None:
         self.gateway = Gateway(interface.Settings(**{**SETTINGS, **changes}), seed=7, now=0.0)
@@ -62,7 +62,7 @@
         self.give(workers(count))
 
     def give(self, event: interface.Event, after: float = 0.0) -> list[interface.Action]:
-        """Hand an event over, `after` seconds later; the actions other than timers."""
+        """Pass an event to the gateway, `after` seconds later; return the actions other than timers."""
         self.now += after
         actions = self.gateway.handle(self.now, event)
         for action in actions:
@@ -83,7 +83,7 @@
         after: float = 0.0,
         repeat: bool = False,
     ) -> tuple[str, list[interface.Action]]:
-        """A new request: its id and what came of it."""
+        """Send a new request; return its id and the actions."""
         self.made += 1
         name = f"r{self.made}"
         request = interface.Request(name, klass, plan, customer, time_left, units, spread, repeat)
@@ -101,13 +101,13 @@
         terminal: bool | None = None,
         **more: Any,
     ) -> list[interface.Action]:
-        """The outcome of a request's latest attempt (or the named one)."""
+        """Report the outcome of a request's latest attempt, or of the given one; return the actions."""
         number = self.shots[name] if attempt is None else attempt
         done = status == interface.SUCCESS if terminal is None else terminal
         return self.give(interface.Outcome(name, number, worker, status, done, took, **more), after)
 
     def pass_time(self, seconds: float) -> list[interface.Action]:
-        """Let time go by, firing the timers that fall due."""
+        """Let time pass and fire the timers that are due; return the actions."""
         end, actions = self.now + seconds, []
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
@@ -118,12 +118,12 @@
 
 
 def sends(actions: list[interface.Action]) -> list[str]:
-    """The workers that attempts were sent to."""
+    """Return the workers that attempts were sent to."""
     return [action.worker for action in actions if isinstance(action, interface.Send)]
 
 
 def answered(driver: Driver, count: int) -> list[str]:
-    """Reads one after another, each answered; where they went."""
+    """Send `count` requests one after another, each answered; return the workers that they went to."""
     workers_used: list[str] = []
     for _ in range(count):
         name, actions = driver.ask(after=0.01)
@@ -133,6 +133,6 @@
 
 
 def losing(driver: Driver, count: int = 6) -> None:
-    """So many attempts have just passed their aims in silence, though their workers answered what came later."""
+    """Record `count` attempts that just missed their latency objective though their workers answered later attempts."""
     for _ in range(count):
         driver.gateway.fleet.tails.missed(driver.now)
--- a/rig/engines.py
+++ b/rig/engines.py
@@ -1,7 +1,7 @@
-"""Ways to keep records on disk, measured on one machine: a log of one's own, SQLite, LMDB.
+"""Measures storage engines for persisted records: the project's own log, SQLite and LMDB.
 
-Each appends batches of records, every batch on disk before the next, then is read back whole. What a power cut leaves
-of what was not synced is tried on the log alone (`rig/disks.py`): the others' files can't be put on a disk of ours.
+Each appends batches of records, syncing every batch before the next, and is then read back whole. Only the log is
+tested for what a power loss leaves of unsynced writes (`rig/disks.py`): the others cannot write to a simulated disk.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
 
 
 def compare() -> dict[str, dict[str, float]]:
-    """By engine: milliseconds of a batch on disk (median, and of a hundred the worst), of reading all back, and kB."""
+    """Return by engine: milliseconds of a batch (median, and worst of a hundred) and of reading all back, and kB."""
     results = {}
     for name, open_engine in (("log", _open_log), ("sqlite", _open_sqlite), ("lmdb", _open_lmdb)):
         with tempfile.TemporaryDirectory() as folder:
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -1,4 +1,4 @@
-"""Decisions against modelled workers in simulated time: one gateway or several, the same for each seed."""
+"""Gateways against simulated workers in simulated time; a run is reproducible from its seed."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from rig.simulation import Clock
 
 Handle = Callable[[float, interface.Event], list[interface.Action]]
-UNIT_CORE_SECONDS = 0.02  # seconds of a core that a unit takes, on average
+UNIT_CORE_SECONDS = 0.02  # mean core time of one unit, in seconds
 
 
 @dataclass(slots=True)
 class SimulatedWorker:
-    """A worker of the fleet: its model, where it stands, and what befalls the way to it."""
+    """A worker of the fleet: its load, its zone, and the faults injected between it and the gateways."""
 
     load: Load
     zone: str = "a"
-    lost: float = 0.0  # share of the answers that get lost on the way back
-    hung: bool = False  # takes requests and never answers
-    refuses_connections: bool = False  # connections are refused
-    up: bool = True
+    lost: float = 0.0  # probability that a response is lost on the way back
+    hung: bool = False  # accepts requests and never responds
+    refuses_connections: bool = False
+    up: bool = True  # False: draining
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """How requests ended."""
+    """Number of requests received, and of requests by result."""
 
     received: int = 0
     ends: Counter[str] = field(default_factory=Counter)
 
 
 class Fleet:
-    """Workers, and one entrance for each gateway's `handle`.
+    """Simulated workers, and one `Entrance` for each gateway's `handle`.
 
-    A gateway's events come through `Entrance.hand`; sends are served by the modelled workers, timers and
+    A gateway receives its events through `Entrance.hand`. The simulated workers serve its attempts, timers and
     deadlines fire, and each attempt has one outcome.
     """
 
@@ -57,19 +57,19 @@
             for n, (name, capacity) in enumerate(sorted(capacities.items()))
         }
         self.entrances: list[Entrance] = []
-        # Told of all that comes to a worker: when, where, seconds of work, and when it is done or None if full.
+        # Called for each attempt that reaches a worker: time, worker, seconds of work, end (None: the queue is full).
         self.arrived: Callable[[float, str, float, float | None], object] = lambda *_: None
 
     @property
     def ends(self) -> Counter[str]:
-        """How all requests so far have ended, at all entrances."""
+        """Number of ended requests by result, over all gateways."""
         total: Counter[str] = Counter()
         for entrance in self.entrances:
             total.update(entrance.counts.ends)
         return total
 
     def entry(self, name: str) -> interface.WorkerEntry:
-        """A worker's line of the list."""
+        """Return a worker's entry in the worker list."""
         worker = self.places[name]
         return interface.WorkerEntry(
             name,
@@ -80,35 +80,36 @@
         )
 
     def tell(self, *names: str, whole: bool = False) -> None:
-        """All gateways hear of these workers."""
+        """Send an update with these workers (all if none is named) to all gateways."""
         update = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
         for entrance in self.entrances:
             entrance.hand(update, "")
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
-        """A worker is replaced by a cold one; what it held is lost without an answer."""
+        """Replace a worker by a newly started one; the requests that it held get no response."""
         worker = self.places[name]
         worker.load = Load(capacity or worker.load.capacity, started=self.clock.now)
         self.tell(name)
 
 
 class Entrance:
-    """One gateway's way to the fleet."""
+    """Connects one gateway to the fleet: submits client requests and carries out the gateway's actions."""
 
     def __init__(self, fleet: Fleet, handle: Handle, settings: interface.Settings, name: str = "g") -> None:
         self.fleet, self.handle, self.settings, self.name = fleet, handle, settings, name
         self.counts = RequestCounts()
-        self.units_served: dict[tuple[str, str], float] = {}  # units served in their aim, by customer and plan
-        self._open_requests: dict[str, tuple[interface.Request, float]] = {}  # open: the request and its deadline
-        self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker while it is out, or ""
+        # Units served within the latency objective, by customer and plan.
+        self.units_served: dict[tuple[str, str], float] = {}
+        self._open_requests: dict[str, tuple[interface.Request, float]] = {}  # request and its deadline, by request id
+        self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker, "" once the attempt has ended
         self._request_count = 0
-        self.used: Callable[[str], float | None] = lambda customer: None  # what the meter says
+        self.used: Callable[[str], float | None] = lambda customer: None  # the meter's reading
         fleet.entrances.append(self)
 
     def ask(
         self, klass: str, plan: str, customer: str, units: float = 1.0, spread: int = 1, time_left: float | None = None
     ) -> None:
-        """A client's try."""
+        """Submit a client's request to the gateway."""
         self._request_count += 1
         self.counts.received += 1
         request_class = next(c for c in self.settings.classes if c.name == klass)
@@ -121,7 +122,7 @@
         self.hand(request, request.request)
 
     def hand(self, event: interface.Event, request_id: str) -> None:
-        """Let the gateway handle an event, and carry out what it decides."""
+        """Pass an event to the gateway and carry out its actions."""
         clock = self.fleet.clock
         for action in self.handle(clock.now, event):
             match action:
@@ -164,13 +165,13 @@
         attempts = self._attempts.get(name)
         if attempts is None or not attempts[number]:
             return
-        if self.fleet.places[attempts[number]].load is load:  # else it was restarted meanwhile
+        if self.fleet.places[attempts[number]].load is load:  # otherwise the worker was restarted meanwhile
             self._outcome(name, number, interface.SUCCESS, sent)
 
     def _outcome(self, name: str, number: int, status: str, sent: float) -> None:
         attempts = self._attempts.get(name)
         if attempts is None or not attempts[number]:
-            return  # it has had its outcome
+            return  # the attempt already has its outcome
         worker, attempts[number] = attempts[number], ""
         now, used = self.fleet.clock.now, None
         open_request = self._open_requests.get(name)
--- a/rig/fleet_restart.py
+++ b/rig/fleet_restart.py
@@ -1,7 +1,7 @@
-"""A loss of power of a whole fleet in simulated time: gateways before modelled workers, and what each second serves.
+"""Simulates a power loss of a whole fleet: gateways and simulated workers, and what is served each second.
 
-`remember` makes the memory that a gateway of the next life begins with out of one of the last; None: it begins with
-nothing. Several ways can be compared on the same seed.
+`remember` persists the state of a gateway at the power loss and returns the function that restores it in the gateway's
+next incarnation; without it gateways start without state. Variants can be compared on the same seed.
 """
 
 from __future__ import annotations
@@ -21,11 +21,15 @@
     interface.RequestClass("write", 0.6, 2.0, interface.SIDE_EFFECT, importance=3.0),
 )
 PLAN = interface.Plan("team", rate=30.0, burst=60.0, ceiling_rate=40.0, ceiling_capacity=80.0, excess_cost=0.5)
-TICK_SECONDS = 0.1  # seconds between looks of a gateway that came back
+TICK_SECONDS = 0.1  # between two calls of `follow` for a restored gateway
 
 
 class Return:
-    """`count` gateways and `workers` that can do `room` times what is asked, cold for `ramp` seconds after the loss."""
+    """`count` gateways and `workers` workers that start slowly for `ramp` seconds after the power loss.
+
+    `rate` is in requests per second; the warm workers can serve `room` times that. `follow` is called periodically
+    for each restored gateway.
+    """
 
     def __init__(
         self,
@@ -45,7 +49,7 @@
         self.clock, self.random, self.seed = Clock(), Random(seed), seed
         self.count, self.rate, self.outage_seconds, self.boot_seconds = count, rate, outage_seconds, boot_seconds
         self.remember, self.follow, self.insist = remember, follow, insist
-        speed = rate * room * UNIT_CORE_SECONDS / (2 * workers)  # of each of two cores
+        speed = rate * room * UNIT_CORE_SECONDS / (2 * workers)  # of each of the two cores
         self.capacity = Capacity(cores=2, queue=24, speed=speed, cold_from=cold_from, ramp=ramp, thrash=0.05)
         self.fleet = Fleet(self.clock, self.random, {f"w{n}": self.capacity for n in range(workers)})
         self.settings = interface.Settings(
@@ -60,7 +64,7 @@
             slow_start_duration=ramp,
         )
         self.life = 0
-        self.front = list(range(count))  # the gateways that clients come to
+        self.front = list(range(count))  # gateways that clients connect to
         self.counts_by_second: dict[int, Counter[str]] = {}
         self.refusals_by_second: dict[int, Counter[str]] = {}
         self.gates: list[Gateway] = []
@@ -105,7 +109,7 @@
             ] += 1
 
     def lose(self) -> None:
-        """All power goes, and comes back `off` seconds later; gateways serve `boot` seconds after that."""
+        """Cut the power for `outage_seconds`; the gateways serve again `boot_seconds` after it is back."""
         restore_functions = [
             self.remember(gate, self.clock.now) if self.remember is not None else None for gate in self.gates
         ]
@@ -117,7 +121,7 @@
         self._start_gateways(restore_functions)
 
     def served(self, seconds: float) -> list[int]:
-        """Run on: what each tenth of a second of the time served in its aim."""
+        """Run for `seconds`; return the number of requests served within the objective in each tenth of a second."""
         served = []
         for _ in range(round(seconds * 10)):
             before = self.fleet.ends["served"]
@@ -127,5 +131,5 @@
 
 
 def by_second(tenths: Sequence[int]) -> list[int]:
-    """Sums of ten."""
+    """Sum counts per tenth of a second to counts per second."""
     return [sum(tenths[n : n + 10]) for n in range(0, len(tenths), 10)]
--- a/rig/gossip.py
+++ b/rig/gossip.py
@@ -1,7 +1,7 @@
-"""A fleet of members on the simulated clock: links like TCP connections, which stall, pass one way, or break.
+"""A fleet of members in simulated time: links like TCP connections, which stall, work in one direction only, or break.
 
-A link keeps its messages in their order; while a way is cut they wait, as TCP would send them again, and go on once it
-heals, unless the link was given up.
+A link delivers its messages in order. While a direction is blocked they wait, as TCP would retransmit them, and are
+delivered once it heals, unless the link was closed.
 """
 
 from __future__ import annotations
@@ -16,29 +16,34 @@
 from micagate.membership.messages import Fact, Heartbeat, StateSummary
 from rig.simulation import Clock
 
-TICK_INTERVAL_SECONDS = 0.05  # seconds between a member's looks
-CONNECT_TIMEOUT_SECONDS = 0.5  # seconds after which a connection that does not come up is given up
+TICK_INTERVAL_SECONDS = 0.05  # between two ticks of a member
+CONNECT_TIMEOUT_SECONDS = 0.5  # after which a connection attempt fails
 
 
 @dataclass
 class Node:
-    """A member's machine: what survives its lives, and the life it has, if any."""
+    """A member's machine: the state that survives its incarnations, and the running member, if any."""
 
     name: str
-    boot: int = 0
+    boot: int = 0  # incarnation number
     life: Members | None = None
-    run_number: int = 0  # of the life, for what is still under way to an earlier one
+    run_number: int = 0  # of the incarnation; calls and messages meant for an earlier one are dropped
     paused: bool = False
-    queued_messages: list[tuple[Any, ...]] = field(default_factory=list)  # what came while it slept
-    wall: float = 0.0  # its wall clock less the true one
-    slow: float = 0.0  # seconds that each of its messages takes more
-    kept: list[Fact] = field(default_factory=list)  # what its memory has
-    news: list[tuple[float, News]] = field(default_factory=list)
-    stopped_at: float | None = None  # when its last life ended
+    # Messages received while paused: source, message.
+    queued_messages: list[tuple[Any, ...]] = field(default_factory=list)
+    wall: float = 0.0  # offset of its wall clock from the true time, in seconds
+    slow: float = 0.0  # additional delay of each message that it sends, in seconds
+    kept: list[Fact] = field(default_factory=list)  # facts persisted at its last stop
+    news: list[tuple[float, News]] = field(default_factory=list)  # the member's updates, with their times
+    stopped_at: float | None = None  # when its last incarnation ended
 
 
 class Gossip:
-    """The fleet. `digests` False leaves the comparing out: a variant that has to be found."""
+    """A fleet of members. `network_delay` is the mean delay of a message in seconds.
+
+    With `digests` False members do not compare summaries of their state, and with `boots` False every incarnation has
+    the same number: faulty variants that tests and benchmarks must detect.
+    """
 
     def __init__(
         self,
@@ -54,20 +59,21 @@
         self.terms, self.network_delay, self.digests, self.boots = terms or Terms(), network_delay, digests, boots
         self.names = list(names) or [f"g{n:03d}" for n in range(count)]
         self.nodes = {name: Node(name) for name in self.names}
-        self.blocked_links: set[tuple[str, str]] = set()  # ways that pass nothing
-        self.loss = 0.0  # share of messages that TCP has to send again
-        self.lost = 0.0  # share that a link breaks at
-        self._links: dict[frozenset[str], tuple[int, int]] = {}  # by pair: the serials of both lives, in name order
+        self.blocked_links: set[tuple[str, str]] = set()  # blocked directions: source, target
+        self.loss = 0.0  # probability that TCP has to retransmit a message
+        self.lost = 0.0  # probability per message that its link breaks
+        # By pair: the run numbers of both members, in name order.
+        self._links: dict[frozenset[str], tuple[int, int]] = {}
         self._queues: dict[tuple[str, str], list[tuple[float, Any]]] = {}
         self.sent: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
 
     def wall(self, node: Node) -> float:
-        """What a member's wall clock reads."""
+        """Return the reading of a member's wall clock, in seconds since the epoch."""
         return 1.7e9 + self.clock.now + node.wall
 
     def start(self, name: str, **attributes: Any) -> Members:
-        """A life begins, under a number that was never used, or with `boots` False under the same again."""
+        """Start a member, under a new incarnation number (with `boots` False always under the same)."""
         node = self.nodes[name]
         node.boot = max(node.boot + 1, int(self.wall(node))) if self.boots else 1
         node.run_number += 1
@@ -80,7 +86,7 @@
         return member
 
     def stop(self, name: str) -> None:
-        """A life ends, with no word: its machine is there, and refuses."""
+        """Stop a member without a message to its peers; its machine stays up and refuses connections."""
         node = self.nodes[name]
         if node.life is not None:
             node.kept = list(node.life.facts)
@@ -96,7 +102,7 @@
                 )
 
     def sleep(self, name: str, seconds: float) -> None:
-        """A life is stopped, and goes on later: what came meanwhile is there then."""
+        """Pause a member for `seconds`; messages that arrive meanwhile are handled when it resumes."""
         node = self.nodes[name]
         node.paused = True
         self.clock.after(seconds, self._resume, name, node.run_number)
@@ -173,7 +179,7 @@
         node = self.nodes[name]
         if node.run_number == run_number and node.life is not None and not node.paused:
             if refused and self.nodes[peer].life is not None and peer in node.life.links:
-                return  # it has come back meanwhile
+                return  # the peer restarted meanwhile
             node.life.link_closed(self.clock.now, peer, refused)
             self._links.pop(frozenset((name, peer)), None)
 
@@ -188,14 +194,14 @@
         pair = frozenset((name, peer))
         if pair not in self._links:
             return
-        if self.random.random() < self.lost:  # the connection breaks: what was on the way is lost
+        if self.random.random() < self.lost:  # the connection breaks and its messages in transit are lost
             del self._links[pair]
             for source, target in ((name, peer), (peer, name)):
                 self._connection_failed(source, self.nodes[source].run_number, target, False)
             return
         delay = self.network_delay * (0.5 + self.random.random()) + self.nodes[name].slow
         if self.random.random() < self.loss:
-            delay += 0.2  # sent again
+            delay += 0.2  # retransmission
         queue = self._queues[name, peer]
         due = max(self.clock.now + delay, queue[-1][0] if queue else 0.0)
         queue.append((due, message))
@@ -224,14 +230,14 @@
             self._send(name, peer, reply)
         self._record_updates(node)
 
-    # What is asked of it.
+    # Operations for tests and benchmarks.
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time by `seconds`."""
         self.clock.run(self.clock.now + seconds)
 
     def cut(self, sources: Sequence[str], targets: Sequence[str], both: bool = True) -> None:
-        """Ways from the first to the second pass nothing, nor back unless `both` is False."""
+        """Block messages from sources to targets, and back unless `both` is False."""
         for source in sources:
             for target in targets:
                 self.blocked_links.add((source, target))
@@ -239,15 +245,15 @@
                     self.blocked_links.add((target, source))
 
     def heal(self) -> None:
-        """All ways pass."""
+        """Unblock all directions."""
         self.blocked_links.clear()
 
     def running(self) -> list[str]:
-        """Those that have a life."""
+        """Names of the members that run."""
         return [name for name, node in self.nodes.items() if node.life is not None]
 
     def agree(self) -> bool:
-        """Whether all that live see the same lives, with just those that live there, and have the same facts."""
+        """Whether all running members see exactly the running incarnations, and have the same facts."""
         running = set(self.running())
         members = [member for node in self.nodes.values() if (member := node.life) is not None]
         for member in members:
@@ -259,7 +265,7 @@
         return len({member.facts.sum for member in members}) <= 1
 
     def settled(self, within: float) -> float | None:
-        """Seconds until all agree; None where they don't within so many."""
+        """Run until the members agree; return the seconds that it took, or None after `within` seconds."""
         started = self.clock.now
         while self.clock.now - started < within:
             if self.agree():
--- a/rig/memory.py
+++ b/rig/memory.py
@@ -1,4 +1,4 @@
-"""What a process holds in memory."""
+"""Measures the resident memory of a process."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def resident(pid: int | str = "self") -> int:
-    """Bytes of memory that a process has resident; its own, if none is named."""
+    """Return the resident memory of a process in bytes, by default this one's."""
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
 async def highest(pid: int, work: Awaitable[None]) -> int:
-    """The most that a process had resident while some work was done, in bytes."""
+    """Return the peak resident memory of a process, in bytes, while `work` runs (sampled every 20 ms)."""
     peak, task = 0, asyncio.ensure_future(work)
     while not task.done():
         peak = max(peak, resident(pid))
--- a/rig/overload.py
+++ b/rig/overload.py
@@ -1,10 +1,11 @@
-"""Classes of unlike worth before a pressed fleet, in simulated time: what is served of it, wasted and broken.
-
-Gatekeepers that know nothing of each other, workers that are released one by one (told as draining, then replaced
-by a cold one), a rush beyond what all can do, and a spell in which every worker is slower. Held against a bound from
-the true state: in each span of time the work that is worth most for its cost, as far as the capacity of all workers,
-warm and never away, goes; nothing is carried from one span to the next. Clients don't repeat and no plan has a quota:
-`rig/customers.py` is for those. Times in seconds, work in seconds of a core.
+"""Simulates an overloaded fleet with request classes of different importance: worth served, waste and violations.
+
+A day has gatekeepers without knowledge of each other, a rolling release (each worker is draining, then replaced by a
+newly started one), a rush above the capacity of all workers, and a period in which every worker is slower. The worth
+served is compared with an upper bound from the true state: in each span of time, the requests with the highest worth
+for their cost, up to the capacity of all workers if they were always warm and in service; nothing is carried from one
+span to the next. Clients do not retry and plans have no quotas; `rig/customers.py` simulates those. Times are in
+seconds, work is in seconds of a core.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from rig.fleet import UNIT_CORE_SECONDS, Entrance, Fleet
 from rig.simulation import Clock
 
-BOUND_SPAN_SECONDS = 2.0  # in which the bound may move work about
+BOUND_SPAN_SECONDS = 2.0  # within which the bound may reorder work
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A deployment: its classes with their share of requests and units, its workers, and the rules' figures."""
+    """A deployment: its classes with their shares of requests and units per request, its workers, and its limits."""
 
     classes: tuple[tuple[interface.RequestClass, float, float], ...]
     gateways: int
@@ -32,13 +33,13 @@
     overload_factor: float
     fall_time: float
     seconds: float = 40.0
-    load: float = 0.55  # of the capacity, outside the rush
+    load: float = 0.55  # as a share of the capacity, outside the rush
     rush: tuple[float, float, float] = (10.0, 20.0, 1.3)  # from, to, load
-    slow: tuple[float, float, float] = (26.0, 32.0, 0.5)  # from, to, every worker's speed
-    release: tuple[float, float] = (3.0, 4.0)  # the first worker's drain, and between two of them
+    slow: tuple[float, float, float] = (26.0, 32.0, 0.5)  # from, to, speed of every worker
+    release: tuple[float, float] = (3.0, 4.0)  # start of the first worker's drain, and interval between drains
 
     def settings(self, alike: bool) -> interface.Settings:
-        """A gateway's settings; `alike`: no class is told to be worth more than another."""
+        """Return a gateway's settings; with `alike` all classes have the same importance."""
         classes = tuple(replace(klass, importance=1.0) if alike else klass for klass, _, _ in self.classes)
         return interface.Settings(
             classes,
@@ -56,17 +57,21 @@
 
 @dataclass(frozen=True)
 class DayResult:
-    """What became of a day. Shares are of the bound's worth, of attempts begun, and counts of broken rules."""
+    """Result of a day.
+
+    `worth` is a share of the bound, `wasted` the share of attempts without a request served in time. `cold_falls`
+    counts newly started workers that were overloaded, `drain_breaks` attempts sent to draining workers.
+    """
 
     worth: float
     wasted: float
     cold_falls: int
     drain_breaks: int
-    by_class: dict[str, float]  # share of each class's requests served in their aim
+    by_class: dict[str, float]  # share of requests served within the objective, by class
 
 
 def arrivals(deployment: Kind, random: Random) -> list[tuple[float, int, int]]:
-    """When, of which class and at which gateway."""
+    """Return the requests of a day: time, index of the class, index of the gateway."""
     work = sum(share * units * UNIT_CORE_SECONDS for _, share, units in deployment.classes)
     base_rate = deployment.load * deployment.workers * deployment.capacity.cores / work
     begin, end, factor = deployment.rush
@@ -81,7 +86,7 @@
 
 
 def worth_bound(deployment: Kind, requests: list[tuple[float, int, int]]) -> float:
-    """The worth that the true capacity has room for, span by span; all workers count as warm and never away."""
+    """Return the worth that the true capacity can serve, span by span, with all workers always warm and in service."""
     total, counts = 0.0, Counter((int(at / BOUND_SPAN_SECONDS), class_index) for at, class_index, _ in requests)
     by_value = sorted(
         range(len(deployment.classes)), key=lambda n: -deployment.classes[n][0].importance / deployment.classes[n][2]
@@ -102,17 +107,18 @@
     return total
 
 
-def play(kind: Kind, seed: int, alike: bool = False) -> DayResult:
-    """One day; the same arrivals for each seed, whatever the decisions."""
+def play(deployment: Kind, seed: int, alike: bool = False) -> DayResult:
+    """Simulate one day; the arrivals depend on the seed alone, not on the decisions."""
     random, clock = Random(seed), Clock()
-    requests = arrivals(kind, random)
-    names = [f"w{n:02}" for n in range(kind.workers)]
-    fleet = Fleet(clock, Random(seed + 1), dict.fromkeys(names, kind.capacity))
-    settings = kind.settings(alike)
+    requests = arrivals(deployment, random)
+    names = [f"w{n:02}" for n in range(deployment.workers)]
+    fleet = Fleet(clock, Random(seed + 1), dict.fromkeys(names, deployment.capacity))
+    settings = deployment.settings(alike)
     entrances = [
-        Entrance(fleet, Gateway(settings, seed * 100 + n, 0.0).handle, settings, f"g{n}") for n in range(kind.gateways)
+        Entrance(fleet, Gateway(settings, seed * 100 + n, 0.0).handle, settings, f"g{n}")
+        for n in range(deployment.gateways)
     ]
-    attempts: list[tuple[float, str, float]] = []  # when, where, work
+    attempts: list[tuple[float, str, float]] = []  # time, worker, work
     drain_violations = 0
     drain_times: dict[str, float] = {}
 
@@ -137,8 +143,8 @@
         fleet.restart(name, current_capacity())
 
     def current_capacity() -> Capacity:
-        slow = kind.slow[0] <= clock.now < kind.slow[1]
-        return replace(kind.capacity, speed=kind.slow[2] if slow else 1.0)
+        slow = deployment.slow[0] <= clock.now < deployment.slow[1]
+        return replace(deployment.capacity, speed=deployment.slow[2] if slow else 1.0)
 
     def update_capacities() -> None:
         for place in fleet.places.values():
@@ -146,42 +152,41 @@
 
     fleet.arrived = record_arrival
     for n, name in enumerate(names):
-        if (at := kind.release[0] + n * kind.release[1]) < kind.seconds - 2.0:
+        if (at := deployment.release[0] + n * deployment.release[1]) < deployment.seconds - 2.0:
             clock.at(at, drain, name)
-    for at in kind.slow[:2]:
+    for at in deployment.slow[:2]:
         clock.at(at, update_capacities)
     for at, class_index, gateway in requests:
-        klass, _, units = kind.classes[class_index]
+        klass, _, units = deployment.classes[class_index]
         clock.at(at, entrances[gateway].ask, klass.name, "free", klass.name, units)
     fleet.tell(whole=True)
-    clock.run(kind.seconds + max(klass.deadline for klass, _, _ in kind.classes) + 1.0)
+    clock.run(deployment.seconds + max(klass.deadline for klass, _, _ in deployment.classes) + 1.0)
 
     worth, served, shares = 0.0, 0.0, {}
-    for n, (klass, _, units) in enumerate(kind.classes):
+    for n, (klass, _, units) in enumerate(deployment.classes):
         count = sum(entrance.units_served.get((klass.name, "free"), 0.0) for entrance in entrances) / units
         worth += count * klass.importance
         served += count
         shares[klass.name] = count / max(1, sum(class_index == n for _, class_index, _ in requests))
     return DayResult(
-        worth / worth_bound(kind, requests),
+        worth / worth_bound(deployment, requests),
         1 - served / max(1, len(attempts)),
-        sum(was_overloaded(kind, attempts, name, at) for name, at in cold_starts),
+        sum(was_overloaded(deployment, attempts, name, at) for name, at in cold_starts),
         drain_violations,
         shares,
     )
 
 
 def was_overloaded(deployment: Kind, attempts: list[tuple[float, str, float]], name: str, started: float) -> bool:
-    """Whether a cold worker got more than `overload_factor` times what it could do, for all of a fall's span."""
+    """Whether a newly started worker got over `overload_factor` times its capacity during some `fall_time` seconds."""
     capacity = deployment.capacity
     arrivals = [(at, work) for at, where, work in attempts if where == name and started <= at < started + capacity.ramp]
     for end, _ in arrivals:
         start = end - deployment.fall_time
         if start < started:
             continue
-        work_limit = (
-            deployment.overload_factor * capacity.cores * Load(capacity, started).warmth(end)
-        )  # within the span
+        # Work per second; the warm-up factor at the end is the highest within the span.
+        work_limit = deployment.overload_factor * capacity.cores * Load(capacity, started).warmth(end)
         if sum(work for at, work in arrivals if start < at <= end) > work_limit * deployment.fall_time:
             return True
     return False
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -1,8 +1,8 @@
 """Forwarders and planners in simulated time, under schedules of faults drawn from a seed.
 
-Anyone may own a shard at any time here, or believe so: what must never happen may not depend on the store.
-Clocks run at unequal speed; messages get lost, late, twice and out of order; links are cut one way or both;
-planners and forwarders are paused, killed and started anew under their old names.
+Any planner may own a shard, or believe that it does, at any time: the safety of shares must not depend on the store
+that elects owners. Clocks run at different rates; messages are lost, delayed, duplicated and reordered; links are
+blocked in one or both directions; planners and forwarders are paused, killed and restarted under their old names.
 """
 
 from __future__ import annotations
@@ -21,39 +21,41 @@
 from micagate.share_transfers import apply_share_update
 from rig.simulation import Clock, Link, LocalClock, Network
 
-TICK_SECONDS = 0.05  # seconds between looks at what is due, at forwarders and planners
+TICK_SECONDS = 0.05  # longest interval between two ticks of a forwarder or planner
 PLAN = interface.Plan("plan", rate=40.0, burst=40.0, ceiling_rate=40.0, ceiling_capacity=60.0)
 PLANS = {PLAN.name: PLAN}
 
 
 @dataclass(slots=True)
 class OwnershipAnnouncement:
-    """A planner's word that it owns a shard."""
+    """A planner's message that it owns a shard."""
 
     shard: int
     epoch: int
 
 
 class Node:
-    """A process on a machine with a clock of its own; while it is paused, what comes waits."""
+    """A process on a machine with its own clock; messages wait while it is paused."""
 
-    def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
+    def __init__(self, simulation: World, name: str) -> None:
+        self.simulation, self.name = simulation, name
         self.clock = LocalClock(
-            world.clock, world.random.uniform(-world.drift, world.drift), world.random.uniform(0.0, 1e6)
+            simulation.clock,
+            simulation.random.uniform(-simulation.drift, simulation.drift),
+            simulation.random.uniform(0.0, 1e6),
         )
         self.up, self.paused = True, False
         self._queued_messages: list[tuple[str, object]] = []
-        world.network.register(name, self.receive)
-        world.clock.after(TICK_SECONDS, self._loop)
+        simulation.network.register(name, self.receive)
+        simulation.clock.after(TICK_SECONDS, self._loop)
 
     def _loop(self) -> None:
         if self.up and not self.paused:
             self.tick()
-        self.world.clock.after(TICK_SECONDS * self.world.random.uniform(0.5, 1.0), self._loop)
+        self.simulation.clock.after(TICK_SECONDS * self.simulation.random.uniform(0.5, 1.0), self._loop)
 
     def receive(self, source: str, message: object) -> None:
-        """A message has come."""
+        """Receive a message: handle it, queue it while paused, or lose it while down."""
         if not self.up:
             return
         if self.paused:
@@ -62,67 +64,73 @@
             self.handle_message(source, message)
 
     def pause(self, seconds: float) -> None:
-        """Stop, and go on later as if nothing had been."""
+        """Pause the process; it resumes with its state unchanged."""
         self.paused = True
-        self.world.clock.after(seconds, self.resume)
+        self.simulation.clock.after(seconds, self.resume)
 
     def resume(self) -> None:
-        """Go on: what came meanwhile is read first, as from a socket."""
+        """Resume; messages that arrived meanwhile are handled first, as from a socket buffer."""
         self.paused = False
         queued_messages, self._queued_messages = self._queued_messages, []
         for source, message in queued_messages:
             self.handle_message(source, message)
 
     def kill(self, seconds: float) -> None:
-        """Die, and start anew with nothing."""
+        """Kill the process and restart it after `seconds` without its state."""
         self.up, self._queued_messages = False, []
-        self.world.clock.after(seconds, self.start)
+        self.simulation.clock.after(seconds, self.start)
 
     def start(self) -> None:
-        """Start with nothing but the name."""
+        """Start without any state but the name."""
         self.up, self.paused = True, False
-        self.clock.restart(self.world.random.uniform(0.0, 1e6))
+        self.clock.restart(self.simulation.random.uniform(0.0, 1e6))
         self.reset()
 
     def reset(self) -> None:
-        """Make what a fresh process has."""
+        """Set up the state of a new process."""
 
     def handle_message(self, source: str, message: object) -> None:
         """Handle a message."""
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Do the work that is due."""
 
 
 class Forwarder(Node):
-    """A forwarder: its holder, and needs that the world sets."""
+    """A forwarder: a share holder, and needs that the simulation sets."""
 
-    def __init__(self, world: World, index: int) -> None:
+    def __init__(self, simulation: World, index: int) -> None:
         self.index = index
         self.incarnations = 0
         self.needs: dict[str, float] = {}
-        super().__init__(world, f"f{index}")
+        super().__init__(simulation, f"f{index}")
         self.reset(first=True)
 
     def reset(self, first: bool = False) -> None:
-        """A fresh holder; the very first has had no earlier life."""
+        """Create a new holder; `first` means that there is no earlier incarnation whose shares could still count."""
         self.incarnations += 1
         now = self.clock.now
         started = now - 1e6 if first else now
         self.quotas = Quotas(started)
-        self.holder = self.world.holder(
-            self.world.terms, self.index, self.world.count, started, 1_000_000 * self.index + 10_000 * self.incarnations
+        self.holder = self.simulation.holder(
+            self.simulation.terms,
+            self.index,
+            self.simulation.count,
+            started,
+            1_000_000 * self.index + 10_000 * self.incarnations,
         )
         self.want(self.needs)
 
     def want(self, needs: dict[str, float]) -> None:
-        """Set what it needs."""
+        """Set its needs: the share needed, by customer key."""
         self.needs = needs
         if self.up and not self.paused:
-            self.holder.demand(self.clock.now, [Demand(key, 0, self.world.count, need) for key, need in needs.items()])
+            self.holder.demand(
+                self.clock.now, [Demand(key, 0, self.simulation.count, need) for key, need in needs.items()]
+            )
 
     def handle_message(self, source: str, message: object) -> None:
-        """A planner has said something."""
+        """Handle a planner's message."""
         now = self.clock.now
         match message:
             case OwnershipAnnouncement(shard, epoch):
@@ -134,82 +142,82 @@
         self.tick()
 
     def tick(self) -> None:
-        """Carry shares to the stores, send what is due, and spend what is asked."""
+        """Apply changed shares to the quotas, send the reports that are due, and spend units as needed."""
         now = self.clock.now
         for event in [*self.holder.share_updates(now), *self.holder.expired_sessions(now)]:
             self.holder.record_released(event.session, apply_share_update(self.quotas, now, event, PLANS))
         for planner, report in self.holder.reports(now):
-            self.world.network.send(self.name, planner, report)
+            self.simulation.network.send(self.name, planner, report)
         if self.holder.ready(now):
             for key, need in self.needs.items():
-                account = self.quotas.account(now, key.rpartition("/")[2], PLAN, self.world.count)
-                wanted = self.world.random.random() * 2 * need * PLAN.ceiling_rate * TICK_SECONDS
+                account = self.quotas.account(now, key.rpartition("/")[2], PLAN, self.simulation.count)
+                wanted = self.simulation.random.random() * 2 * need * PLAN.ceiling_rate * TICK_SECONDS
                 while wanted >= 1 and self.quotas.ceiling_allows(account, 1.0, False):
                     self.quotas.spend(account, 1.0, False)
-                    self.world.record_spent(key)
+                    self.simulation.record_spent(key)
                     wanted -= 1
 
     def share(self, key: str) -> float:
-        """What it may spend now."""
-        return self.holder.share(self.clock.now, key, self.world.count) if self.up else 0.0
+        """Return the share that it may use now."""
+        return self.holder.share(self.clock.now, key, self.simulation.count) if self.up else 0.0
 
 
 class Planner(Node):
-    """A planner: a ledger while it believes that it owns the shard."""
+    """A planner: has a ledger while it believes that it owns the shard."""
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, simulation: World, name: str) -> None:
         self.ledger: Ledger | None = None
-        super().__init__(world, name)
+        super().__init__(simulation, name)
 
     def own(self, epoch: int) -> None:
-        """Own the shard from now on."""
-        self.ledger = self.world.ledger(self.world.terms, 0, epoch, self.world.count, self.clock.now)
+        """Own the shard from now on, with a new ledger."""
+        self.ledger = self.simulation.ledger(self.simulation.terms, 0, epoch, self.simulation.count, self.clock.now)
         self.announce()
 
     def announce(self) -> None:
-        """Tell the forwarders, again and again."""
+        """Announce the ownership to all forwarders."""
         if self.ledger is not None and self.up and not self.paused:
-            for forwarder in self.world.forwarders:
-                self.world.network.send(self.name, forwarder.name, OwnershipAnnouncement(0, self.ledger.epoch))
+            for forwarder in self.simulation.forwarders:
+                self.simulation.network.send(self.name, forwarder.name, OwnershipAnnouncement(0, self.ledger.epoch))
 
     def reset(self) -> None:
-        """A fresh one owns nothing."""
+        """Own nothing."""
         self.ledger = None
 
     def handle_message(self, source: str, message: object) -> None:
-        """A forwarder has reported."""
+        """Handle a forwarder's report."""
         if self.ledger is None or not isinstance(message, Report):
             return
         index = int(source[1:])
         restart_session = self.ledger.report(self.clock.now, source, index, message)
         if restart_session is not None:
-            self.world.network.send(self.name, source, restart_session)
+            self.simulation.network.send(self.name, source, restart_session)
 
     def tick(self) -> None:
-        """Decide, and tell."""
+        """Send the updates that are due to the forwarders."""
         if self.ledger is None:
             return
         for name, update in self.ledger.pending_updates(self.clock.now):
-            self.world.network.send(self.name, name, update)
-        if self.world.random.random() < 0.05:
+            self.simulation.network.send(self.name, name, update)
+        if self.simulation.random.random() < 0.05:
             self.announce()
 
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What a schedule showed."""
+    """Result of a simulated schedule."""
 
     steps: int = 0
-    excess: float = 0.0  # the most by which shares of a thing ever were over the whole
-    when: float = 0.0
-    moved: float = 0.0  # the most ever borrowed of a thing
-    spent: int = 0
-    overspent: float = 0.0  # the most units by which all together ever were over a ceiling
+    excess: float = 0.0  # largest excess over 1 of the sum of a customer's shares
+    when: float = 0.0  # time of that excess
+    moved: float = 0.0  # largest share that a forwarder had beyond its equal part
+    spent: int = 0  # units
+    overspent: float = 0.0  # largest number of units by which all forwarders together exceeded a ceiling
     faults: list[str] = field(default_factory=list)
 
 
 class World:
-    """Some forwarders, planners and things under a drawn schedule; `run` checks at every step."""
+    """Forwarders, planners and customers under a random schedule; `run` checks the shares at every step."""
 
     def __init__(
         self,
@@ -244,7 +252,7 @@
         self.network = Network(self.clock, self.random, default_link)
         self.customer_keys = [customer_key(PLAN.name, f"c{n}") for n in range(customers)]
         self.result = SimulationResult()
-        # What one gateway that saw all would have in the ceiling's store, by the fastest clock.
+        # Time and balance of each ceiling's token bucket if one gateway saw all requests, by the fastest clock.
         self._ideal_balances = dict.fromkeys(self.customer_keys, (0.0, PLAN.ceiling_capacity))
         self.epoch = 0
         self.forwarders: list[Forwarder] = []
@@ -252,7 +260,7 @@
         self.planners = [Planner(self, f"p{n}") for n in range(planners)]
 
     def run(self, seconds: float) -> SimulationResult:
-        """Play the schedule."""
+        """Run the schedule for `seconds`; return what was observed."""
         self._change_needs()
         self.planners[0].own(self._next())
         if not self.calm:
@@ -264,7 +272,7 @@
         return self.result
 
     def check(self) -> None:
-        """No thing may be handed out twice."""
+        """Record by how much the shares of each customer exceed the whole; they never may."""
         self.result.steps += 1
         for key in self.customer_keys:
             shares = [forwarder.share(key) for forwarder in self.forwarders]
@@ -274,7 +282,7 @@
             self.result.moved = max(self.result.moved, max(shares) - 1.0 / self.count)
 
     def record_spent(self, key: str) -> None:
-        """A forwarder has spent a unit of a thing."""
+        """Record that a forwarder spent one unit of a customer."""
         updated_at, level = self._ideal_balances[key]
         now = self.clock.now
         level = min(PLAN.ceiling_capacity, level + (now - updated_at) * PLAN.ceiling_rate * (1 + self.drift)) - 1
@@ -287,7 +295,7 @@
         return self.epoch
 
     def _change_needs(self) -> None:
-        """Needs move between forwarders."""
+        """Draw new needs for all forwarders, periodically."""
         for forwarder in self.forwarders:
             forwarder.want({key: self.random.choice((0.0, 0.0, 0.1, 0.6, 1.0)) for key in self.customer_keys})
         self.clock.after(self.random.uniform(0.3, 3.0), self._change_needs)
@@ -313,7 +321,7 @@
             )
         )
         self.result.faults.append(f"{self.clock.now:.2f} {fault} {seconds:.2f}")
-        if fault == "change":  # the old owner may go on believing
+        if fault == "change":  # the old owner may still believe that it owns the shard
             owners = [planner for planner in self.planners if planner.ledger is not None]
             new_owner = random.choice(self.planners)
             if new_owner.up and not new_owner.paused:
--- a/rig/schedules.py
+++ b/rig/schedules.py
@@ -1,4 +1,4 @@
-"""Counting without sockets: many gateways on one counter that bears little, and ceilings while it fails."""
+"""Simulates counting without sockets: many gateways on one slow counter, and ceilings while the counter fails."""
 
 from __future__ import annotations
 
@@ -12,10 +12,7 @@
 from micagate.counting.counting import Counting
 from rig.counting import Service
 
-CALL_TIMEOUT_SECONDS, ROUND_TRIP_SECONDS = (
-    0.03,
-    0.004,
-)  # seconds: how long a call is waited for, and the way there and back
+CALL_TIMEOUT_SECONDS, ROUND_TRIP_SECONDS = 0.03, 0.004  # of a call to the counter
 READ_CLASS = interface.RequestClass("read", aim=0.4, deadline=1.0)
 HELD = interface.Plan(
     "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_capacity=10.0, ceiling_slack=1.0
@@ -24,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterLoadResult:
-    """What became of the calls of a fleet: those made and answered in time after it had settled, and when it had."""
+    """Calls of all gateways in the second half of a run, those answered in time, and when the fleet settled."""
 
     asked: int
     answered: int
@@ -34,11 +31,14 @@
 def crowd(
     rate: float, request_rate: float = 400.0, gateways: int = 40, seconds: float = 20.0, seed: int = 3
 ) -> CounterLoadResult:
-    """All begin in one instant, `tries` a second over all; the level says which of them are asked of a counter that
-    works `rate` calls a second off. Settled: the first second from which nine in ten are answered in it."""
+    """Simulate gateways that all start at once, with `request_rate` requests per second over all of them.
+
+    Each gateway's budget level decides which requests are counted by a counter that processes `rate` calls per second.
+    The fleet has settled at the first second in which at least 90% of the calls are answered in time.
+    """
     service, random = Service(rate, queue=2 * CALL_TIMEOUT_SECONDS), Random(seed)
     budgets = [Budget(0.0, 2.0, CALL_TIMEOUT_SECONDS, Random(n)) for n in range(gateways)]
-    waiting: list[tuple[float, int, float, bool, Budget]] = []  # when it is heard of, and how
+    waiting: list[tuple[float, int, float, bool, Budget]] = []  # when the result is known, and which
     calls, answered = [0] * int(seconds), [0] * int(seconds)
     for n in range(int(request_rate * seconds)):
         now = n / request_rate
@@ -68,8 +68,10 @@
 
 
 def ceiling(seed: int, gateways: int, seconds: float = 30.0, before: bool = True) -> float:
-    """How far below nothing a ceiling's store goes, in units, for a customer that asks without end, while the counter
-    leaves calls unanswered or forgets. `before` false: tries are sent on before they are counted."""
+    """Return by how many units a customer exceeds its ceiling while the counter fails to answer or loses its totals.
+
+    The customer sends without pause. `before` False: requests are sent to workers before they are counted.
+    """
     random, service = Random(seed), Service()
     plan = replace(HELD, ceiling_capacity=2 * HELD.burst + gateways)
     counters = [
--- a/rig/simulation.py
+++ b/rig/simulation.py
@@ -1,4 +1,4 @@
-"""A simulated clock and network, on which modules without I/O run by the thousand, the same for each seed."""
+"""A simulated clock and network for modules without I/O; a run is reproducible from its seed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Timer:
-    """A call that is due on a `Clock`."""
+    """A call scheduled on a `Clock`."""
 
     __slots__ = ("call", "args", "cancelled")
 
@@ -19,12 +19,12 @@
         self.call, self.args, self.cancelled = call, args, False
 
     def cancel(self) -> None:
-        """Never make the call."""
+        """Prevent the call."""
         self.cancelled = True
 
 
 class Clock:
-    """True simulated time in seconds; calls that fall due together are made in the order they were asked."""
+    """True simulated time in seconds; calls due at the same time run in the order in which they were scheduled."""
 
     def __init__(self, now: float = 0.0) -> None:
         self.now = now
@@ -32,17 +32,17 @@
         self._sequence = itertools.count()
 
     def at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Make a call at a time; at once, but after what is already due, where that has passed."""
+        """Schedule a call at a time; a time in the past means now, after the calls that are already due."""
         timer = Timer(call, args)
         heapq.heappush(self._due, (max(when, self.now), next(self._sequence), timer))
         return timer
 
     def after(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Make a call after a delay."""
+        """Schedule a call after a delay in seconds."""
         return self.at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """Let time pass, up to and with `until`."""
+        """Advance the time to `until` and run every call due by then, including those due at `until`."""
         while self._due and self._due[0][0] <= until:
             self.now, _, timer = heapq.heappop(self._due)
             if not timer.cancelled:
@@ -51,9 +51,9 @@
 
 
 class LocalClock:
-    """One machine's monotonic clock: its zero means nothing, and its speed is off by `drift` (0.01: 1% fast).
+    """One machine's monotonic clock, with an arbitrary zero and a rate that is off by `drift` (0.01: 1% fast).
 
-    `restart` gives it another zero, as a reboot does.
+    `restart` sets another zero, as a reboot does.
     """
 
     def __init__(self, clock: Clock, drift: float = 0.0, zero: float = 0.0) -> None:
@@ -61,34 +61,34 @@
 
     @property
     def now(self) -> float:
-        """What this machine reads."""
+        """Current reading of this machine's clock, in seconds."""
         return self._zero + self._clock.now * self.rate
 
     def after(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Make a call after a delay as this machine measures it."""
+        """Schedule a call after a delay in seconds of this machine's clock."""
         return self._clock.after(delay / self.rate, call, *args)
 
     def restart(self, zero: float) -> None:
-        """The machine starts anew and reads `zero` now."""
+        """Restart the machine, so that its clock reads `zero` now."""
         self._zero = zero - self._clock.now * self.rate
 
 
 @dataclass(slots=True)
 class Link:
-    """How messages fare one way between two names; times are seconds, shares from 0 to 1."""
+    """Properties of one direction of a link; delays are in seconds, `loss` and `duplication` are probabilities."""
 
     min_delay: float = 0.001
     max_delay: float = 0.005
     loss: float = 0.0
-    duplication: float = 0.0  # share that arrives twice
+    duplication: float = 0.0  # probability that a message arrives twice
     blocked: bool = False
 
 
 class Network:
-    """Carries messages between named peers; each direction of each link can be cut, slowed and healed.
+    """Carries messages between named peers; each direction of each link can be blocked, slowed and healed.
 
-    Messages may overtake each other where `least` and `most` differ. What was under way when a link was cut
-    still arrives, as on a real network; `drop` loses it.
+    Messages may overtake each other where `min_delay` and `max_delay` differ. Messages in transit when a link is
+    blocked still arrive, as on a real network; `drop_in_transit` loses them.
     """
 
     def __init__(self, clock: Clock, random: Random, default_link: Link | None = None) -> None:
@@ -99,15 +99,15 @@
         self.delivered = self.lost = 0
 
     def register(self, name: str, receive: Callable[[str, Any], object]) -> None:
-        """`receive` gets the sender's name and the message; a second join replaces the first."""
+        """Register the peer `name`; `receive` gets the sender's name and the message, and replaces an earlier one."""
         self._peers[name] = receive
 
     def unregister(self, name: str) -> None:
-        """What comes for this name from now on is lost."""
+        """Remove a peer; messages that arrive for it from now on are lost."""
         self._peers.pop(name, None)
 
     def link(self, source: str, target: str) -> Link:
-        """The link one way, to be changed in place."""
+        """Return the link from source to target, which the caller may change in place."""
         return self._links.setdefault(
             (source, target),
             Link(
@@ -119,7 +119,7 @@
         )
 
     def block(self, sources: list[str], targets: list[str], both: bool = True) -> None:
-        """Silence all links from the first to the second names, and back unless `both` is False."""
+        """Block all links from sources to targets, and back unless `both` is False."""
         for source in sources:
             for target in targets:
                 self.link(source, target).blocked = True
@@ -127,20 +127,20 @@
                     self.link(target, source).blocked = True
 
     def heal(self) -> None:
-        """All links carry again, as usual."""
+        """Reset all links to the default."""
         self._links.clear()
 
     def drop_in_transit(self) -> None:
-        """Lose all that is under way."""
+        """Lose all messages in transit."""
         for timer in self._in_transit:
             timer.cancel()
         self._in_transit.clear()
 
     def send(self, source: str, target: str, message: Any) -> None:
-        """Send a message; nothing tells the sender what became of it."""
+        """Send a message; the sender does not learn whether it arrived."""
         link = self.link(source, target)
-        copies = 2 if self._random.random() < link.duplication else 1
-        for _ in range(copies):
+        copy_count = 2 if self._random.random() < link.duplication else 1
+        for _ in range(copy_count):
             if link.blocked or self._random.random() < link.loss:
                 self.lost += 1
                 continue
--- a/rig/subsets.py
+++ b/rig/subsets.py
@@ -1,8 +1,8 @@
-"""Which workers each of many gateways keeps to: how even that is, and what it costs when workers come and go.
+"""Compares algorithms for worker subsets: how evenly gateways cover the workers, and the churn when workers change.
 
     python -m rig.subsets [--workers N] [--gateways N] [--size N]
 
-`module` asks the decision module itself; the others are what was weighed beside it.
+`module` is the algorithm of micagate's `Fleet`; the others are alternatives for comparison.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def fleet(names: Sequence[str], gateway: int, gateways: int, numbered: bool = True) -> Fleet:
-    """One of the gateways as it sees its workers; not numbered, it does not know its number."""
+    """Return a gateway's `Fleet` with these workers; with `numbered` False the gateway does not know its number."""
     settings = interface.Settings(CLASSES, PLANS, gateways=gateways, number=gateway if numbered else None)
     result = Fleet(settings, Random(gateway), 0.0, Shares())
     result.update(0.0, interface.WorkerList(tuple(map(interface.WorkerEntry, names)), whole=True))
@@ -30,17 +30,17 @@
 
 
 def gateway_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
-    """The arc of a numbered gateway."""
+    """Return the subset that a numbered gateway uses (a section of the ring)."""
     return [worker.entry.worker for worker in fleet(names, gateway, gateways).subset.members(size)]
 
 
 def random_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
-    """The least of numbers that each gateway draws for each worker once."""
+    """Random subset: the workers with the lowest of the random numbers that the gateway draws, one for each worker."""
     return sorted(names, key=lambda name: _random_rank(name, gateway))[:size]
 
 
 def rendezvous_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
-    """Each worker goes to the gateways of the highest hashes of both, as many as it needs (highest random weight)."""
+    """Rendezvous hashing (highest random weight): each worker picks the gateways with the highest hash of both."""
     gateways_per_worker = max(1, round(size * gateways / max(1, len(names))))
     return [
         name
@@ -50,7 +50,7 @@
 
 
 def round_based_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
-    """Deterministic subsetting (Site Reliability Engineering, 2016, chapter 20): a shuffle for each round."""
+    """Deterministic subsetting (Site Reliability Engineering, 2016, chapter 20): one shuffle per round."""
     rounds = max(1, len(names) // size)
     order = sorted(names)
     Random(gateway // rounds).shuffle(order)
@@ -72,7 +72,7 @@
 
 
 def imbalance(subsets: Sequence[Sequence[str]], names: Sequence[str]) -> float:
-    """The most loaded worker over the mean, if each gateway deals the same traffic evenly over its subset."""
+    """Return the highest load of a worker over the mean, if each gateway spreads the same traffic over its subset."""
     load: Counter[str] = Counter()
     for subset in subsets:
         for name in subset:
@@ -81,19 +81,19 @@
 
 
 def min_gateways_per_worker(subsets: Sequence[Sequence[str]], names: Sequence[str]) -> int:
-    """How many gateways the worker has that has fewest."""
+    """Return the number of gateways of the worker that has the fewest."""
     count = Counter(name for subset in subsets for name in subset)
     return min(count[name] for name in names)
 
 
 def churn(before: Sequence[Sequence[str]], after: Sequence[Sequence[str]]) -> float:
-    """New members of the subsets over all members: connections that have to be made."""
+    """Return new members of the subsets over all members: the share of connections that have to be opened."""
     new = sum(len(set(b) - set(a)) for a, b in zip(before, after, strict=False))
     return new / max(1, sum(map(len, after)))
 
 
 def measure(algorithm: str, workers: int, gateways: int, size: int) -> dict[str, float]:
-    """Imbalance, and churn for each event; least churn possible is about the share of workers that are new."""
+    """Return imbalance, and churn for each event; the minimum churn is about the share of workers that are new."""
     subset = ALGORITHMS[algorithm]
     names = [f"w{n:04}" for n in range(workers)]
 
@@ -118,7 +118,7 @@
 
 
 def main() -> None:
-    """Print imbalance and churn of each kind."""
+    """Print imbalance and churn of each algorithm."""
     parser = argparse.ArgumentParser(prog="python -m rig.subsets", description=main.__doc__)
     parser.add_argument("--workers", type=int, default=1000, help="workers (default %(default)s)")
     parser.add_argument("--gateways", type=int, default=50, help="gatekeepers (default %(default)s)")
--- a/rig/traces.py
+++ b/rig/traces.py
@@ -1,7 +1,7 @@
-"""Records traces of events: `python -m rig.traces NAME FILE` plays a day on the modelled fleet and writes it.
+"""Records traces of events: `python -m rig.traces NAME FILE` simulates a day and writes its trace.
 
-A trace is recorded once and kept; tests then hold today's decisions against it. Record anew only where a
-change of the decisions is meant, and say so in the commit.
+A trace is recorded once and committed; tests compare current decisions with it. Record it again only where a change of
+the decisions is intended, and say so in the commit.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 def record_day(name: str, write: object) -> Entrance:
-    """Play a day and record what one gateway of it met; troubles come one after another."""
+    """Simulate a day with a series of faults and record the events and actions of its gateway."""
     scenario = SCENARIOS[name]
     random, clock = Random(scenario["seed"]), Clock()
     settings = interface.Settings(
@@ -139,13 +139,13 @@
 
 
 def lines(path: str) -> Iterator[str]:
-    """The lines of a kept trace."""
+    """Yield the lines of a recorded trace."""
     with gzip.open(path, "rt", encoding="utf-8") as file:
         yield from file
 
 
 def main() -> int:
-    """Record."""
+    """Record the trace named on the command line; return the exit status."""
     if len(sys.argv) != 3 or sys.argv[1] not in SCENARIOS:
         print(f"usage: python -m rig.traces {'|'.join(SCENARIOS)} FILE.gz", file=sys.stderr)
         return 2
--- a/rig/upgrades.py
+++ b/rig/upgrades.py
@@ -1,10 +1,10 @@
-"""Schedules of upgrades on the decisions alone: two processes, calls, lists and kills in any order, from a seed.
+"""Random schedules of hot restarts without I/O: two gateways, operator calls, worker lists and kills in any order.
 
-The truth is kept beside them: who is out for maintenance, what each customer has let in and has out. Counted are sends
-to workers that are out, units and places granted beyond what one process would have granted, and requests that never
-end.
-`news=False` leaves out what the old process still begins and ends after it has given its state: the fault that
-the counts have to show.
+The schedule tracks the true state beside the gateways: which workers are in maintenance, and the units admitted and the
+attempts in flight of each customer. It counts attempts sent to workers in maintenance, units and concurrency slots
+granted beyond what one process would have granted, and requests that never end.
+`news=False` does not forward the attempts that the predecessor starts and ends after it handed its state over: a fault
+that the counts must show.
 """
 
 from __future__ import annotations
@@ -30,33 +30,34 @@
 
 @dataclass(slots=True)
 class ScheduleResult:
-    """What went wrong, over some schedules."""
+    """Number of schedules, hot restarts and violations."""
 
     schedules: int = 0
     upgrades: int = 0
-    bans_broken: int = 0
-    granted_twice: int = 0
-    lost: int = 0
+    bans_broken: int = 0  # attempts sent to workers in maintenance
+    granted_twice: int = 0  # units and concurrency slots granted beyond the plan
+    lost: int = 0  # requests and attempts that never ended
 
     def add(self, other: ScheduleResult) -> None:
-        """Add up."""
+        """Add the counts of another result."""
         for name in ("schedules", "upgrades", "bans_broken", "granted_twice", "lost"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
 
 @dataclass(slots=True)
 class Process:
-    """One process: its decisions, and what it has out and owes."""
+    """A process: its gateway, its attempts in flight, its unanswered requests and its timers."""
 
     gateway: Gateway
-    in_flight: dict[tuple[str, int], tuple[str, str]] = field(default_factory=dict)  # worker and customer
+    # Worker and customer, by request and attempt number.
+    in_flight: dict[tuple[str, int], tuple[str, str]] = field(default_factory=dict)
     unanswered: set[str] = field(default_factory=set)
     timers: list[tuple[float, int]] = field(default_factory=list)
     successor: Process | None = None
 
 
 class Schedule:
-    """One schedule; `play` goes through it."""
+    """A random schedule; `play` runs it."""
 
     def __init__(self, seed: int, news: bool = True) -> None:
         self.random, self.news, self.now = Random(seed), news, 0.0
@@ -65,8 +66,8 @@
         self.in_maintenance: set[str] = set()
         self.worker_entries = {name: interface.WorkerEntry(name) for name in WORKERS}
         self.quota_started_at = {n: 0.0 for n in range(CUSTOMERS)}
-        self.units_granted = {n: 0.0 for n in range(CUSTOMERS)}  # units of the rated plan since then
-        self.slot_holders: dict[tuple[str, int], int] = {}  # attempts of the placed plan, by customer
+        self.units_granted = {n: 0.0 for n in range(CUSTOMERS)}  # units of the quota plan since then
+        self.slot_holders: dict[tuple[str, int], int] = {}  # customer by attempt of the concurrency plan
         self.serving = self._process()
         self.predecessor: Process | None = None
 
@@ -91,7 +92,7 @@
                             holder == int(customer_number, 16) and self._holds_slot(key)
                             for key, holder in self.slot_holders.items()
                         )
-                        # A further attempt keeps its request's place: it is not asked again, in one process either.
+                        # A further attempt keeps its request's slot and is not checked again, as in a single process.
                         self.result.granted_twice += key[1] == 0 and slots_held > CONCURRENCY_PLAN.concurrency_limit
                     elif key[1] == 0:
                         self._grant(int(customer_number, 16))
@@ -104,7 +105,7 @@
                     process.timers.append((self.now + delay, ref))
 
     def _holds_slot(self, key: tuple[str, int]) -> bool:
-        """Whether an attempt still holds its place: one whose answer is taken to be lost has given it back."""
+        """Whether an attempt still holds its concurrency slot; one whose response counts as lost has released it."""
         return any(
             key in process.in_flight and process.gateway.in_flight[key].holds_slot
             for process in (self.serving, self.predecessor)
@@ -117,7 +118,7 @@
         self.result.granted_twice += self.units_granted[customer_number] > allowed + TOLERANCE
 
     def send_request(self) -> None:
-        """A client asks the process that serves: connections go over before their next request."""
+        """Send a request to the serving process; clients reconnect to it before their next request."""
         process = self.serving
         self.count += 1
         plan, customer_number = (
@@ -131,7 +132,7 @@
         self._carry_out(process, process.gateway.handle(self.now, event), f"{plan}/{customer}")
 
     def finish_attempt(self) -> None:
-        """An attempt ends, at either process."""
+        """End a random attempt, at either process."""
         process = (
             self.predecessor
             if self.predecessor is not None and self.predecessor.in_flight and self.random.random() < 0.5
@@ -154,34 +155,34 @@
             )
 
     def record_outcome(self, process: Process, key: tuple[str, int], status: str) -> None:
-        """The outcome of an attempt; what the old process has out is told to the new one."""
+        """Report the outcome of an attempt; the predecessor's outcomes are forwarded to its successor."""
         worker, customer = process.in_flight.pop(key)
         self.slot_holders.pop(key, None)
         if status == interface.SUCCESS:
             process.unanswered.discard(key[0])
         outcome = interface.Outcome(*key, worker, status, terminal=status == interface.SUCCESS, took=0.1)
-        # The new process hears of it no sooner than the old one has drawn its consequences.
+        # The successor learns of an outcome no sooner than the predecessor has acted on it: both happen in one step.
         if process.successor is not None and self.news:
             process.successor.gateway.handle(self.now, outcome)
         self._carry_out(process, process.gateway.handle(self.now, outcome), customer)
 
     def set_maintenance(self) -> None:
-        """An operator takes a worker out, or puts it back, at the process that serves; at times twice."""
+        """Let an operator take a worker out for maintenance or put it back, sometimes twice, at either process."""
         worker, out = self.random.choice(WORKERS), self.random.random() < 0.6
         if out and len(self.in_maintenance | {worker}) == len(WORKERS):
             return
         for _ in range(self.random.choice((1, 1, 2))):
             process = self.predecessor if self.predecessor is not None and self.random.random() < 0.3 else self.serving
             actions = process.gateway.handle(self.now, interface.SetMaintenance(worker, out))
-            if process is self.predecessor and process.successor is not None:  # calls are passed on
+            if process is self.predecessor and process.successor is not None:  # operator calls are forwarded
                 process.successor.gateway.handle(self.now, interface.SetMaintenance(worker, out))
             if any(isinstance(action, interface.MaintenanceResult) and action.known for action in actions):
                 self.in_maintenance.add(worker) if out else self.in_maintenance.discard(worker)
-        if self.predecessor is not None:  # its further attempts keep to it as well
+        if self.predecessor is not None:  # the predecessor's further attempts respect it as well
             self.predecessor.gateway.handle(self.now, interface.SetMaintenance(worker, out))
 
     def update_worker_list(self) -> None:
-        """The list tells something: a restart, a drain, all of it."""
+        """Send an update of the worker list: a restart or a drain of one worker, or the whole list."""
         name = self.random.choice(WORKERS)
         draining = self.random.random() < 0.3
         entry = interface.WorkerEntry(
@@ -196,7 +197,7 @@
             process.gateway.handle(self.now, update)
 
     def upgrade(self) -> None:
-        """A new process takes over; at times it dies before it accepts, and the old one goes on."""
+        """Start a successor; sometimes it dies before it accepts, and the predecessor continues."""
         if self.predecessor is not None:
             return
         successor, predecessor = self._process(), self.serving
@@ -219,18 +220,18 @@
         predecessor.successor, self.serving, self.predecessor = successor, successor, predecessor
 
     def stop_predecessor(self) -> None:
-        """The old process ends: by itself once nothing is out, or it is killed."""
+        """End the predecessor: by itself once it has no attempt in flight, or by a kill."""
         if self.predecessor is None or self.predecessor.in_flight and self.random.random() < 0.7:
             return
         unfinished = set(self.predecessor.in_flight)
         for key in unfinished:
-            self.slot_holders.pop(key, None)  # its connections are closed
+            self.slot_holders.pop(key, None)  # the predecessor's connections are closed
         for outcome in state.left_out(self.serving.gateway, unfinished):
             self.serving.gateway.handle(self.now, outcome)
         self.predecessor = None
 
     def kill(self) -> None:
-        """The process that serves is killed with no one to take over: what comes next knows nothing."""
+        """Kill the serving process without a successor; the next one starts without state."""
         if self.predecessor is not None or self.random.random() < 0.9:
             return
         for key in self.serving.in_flight:
@@ -241,7 +242,7 @@
         self.serving = self._process()
 
     def tick(self) -> None:
-        """Time passes, and timers fire."""
+        """Let time pass and fire the timers that are due."""
         self.now += self.random.random() * 0.3
         for process in filter(None, (self.serving, self.predecessor)):
             due = [timer for timer in process.timers if timer[0] <= self.now]
@@ -250,7 +251,7 @@
                 self._carry_out(process, process.gateway.handle(self.now, interface.TimerFired(ref)), "")
 
     def play(self, steps: int = 120) -> ScheduleResult:
-        """Go through it, let all end, and tell."""
+        """Run `steps` random steps, let every attempt end, and return the counts."""
         steps_by_weight: list[Any] = (
             [self.send_request] * 8
             + [self.finish_attempt] * 6
@@ -272,7 +273,7 @@
 
 
 def play(seeds: range, news: bool = True) -> ScheduleResult:
-    """Some schedules, added up."""
+    """Run the schedules of these seeds and return their sum."""
     result = ScheduleResult()
     for seed in seeds:
         result.add(Schedule(seed, news).play())
--- a/rig/worker_selection.py
+++ b/rig/worker_selection.py
@@ -1,8 +1,8 @@
-"""Choices of a worker on a simulated fleet: the decision module beside others, one of which sees all true queues.
+"""Compares worker selection on a simulated fleet: the gateway, and baselines, one of which knows all true queues.
 
-    python -m rig.worker_selection [--workers N] [--gateways N] [--load SHARE] [--seconds S] [--seed N]
+    python -m rig.worker_selection [--workers N] [--gateways N] [--load SHARE] [--seconds S] [--seeds N]
 
-Workers have one core and a queue each. A part of them is slow, and some lose answers; nobody is told which.
+Each worker has one core and a queue. Some are slow; only the baselines that need it know which.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 CLASSES = (interface.RequestClass("fetch", aim=0.8, deadline=2.0),)
 PLANS = (interface.Plan("free"),)
-REQUEST_UNITS, MEAN_SERVICE_SECONDS = 8.0, 0.16  # of a request, and the seconds that it takes on a worker of speed 1
+REQUEST_UNITS, MEAN_SERVICE_SECONDS = 8.0, 0.16  # units of a request, and its mean time on a worker of speed 1
 
 
 @dataclass(frozen=True)
@@ -29,18 +29,18 @@
 
     workers: int = 1000
     gateways: int = 1
-    load: float = 0.8  # share of what all workers together can do
+    load: float = 0.8  # as a share of the capacity of all workers
     seconds: float = 6.0
-    warm_up: float = 3.0  # not counted
+    warm_up: float = 3.0  # seconds before requests are counted
     slow: float = 0.2  # share of the workers that are slow
-    numbered: bool = True  # gateways know their numbers, so that subsets are dealt out evenly
+    numbered: bool = True  # gateways know their numbers, so that subsets cover the workers evenly
 
 
 SelectWorker = Callable[[float, "BaselineGateway"], str]
 
 
 class BaselineGateway:
-    """Takes a gateway's place: sends each request once, to the worker that `choose` names."""
+    """Replaces a gateway: sends each request once, to the worker that `select` returns."""
 
     def __init__(self, fleet: Fleet, random: Random, select: SelectWorker) -> None:
         self.fleet, self.random, self.select = fleet, random, select
@@ -50,7 +50,7 @@
         self.credits = dict.fromkeys(self.names, 0.0)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """Send what comes; count what is out."""
+        """Send each request; count the attempts in flight."""
         if isinstance(event, interface.Request):
             worker = self.select(now, self)
             self.in_flight[worker] += 1
@@ -61,7 +61,7 @@
 
 
 def shortest_true_queue(now: float, gateway: BaselineGateway) -> str:
-    """The worker that would be done first, by its true queue and speed."""
+    """Select the worker that would finish first, by its true queue and speed."""
 
     def done(name: str) -> float:
         load = gateway.fleet.places[name].load
@@ -71,17 +71,17 @@
 
 
 def two_random_choices(now: float, gateway: BaselineGateway) -> str:
-    """The one of two drawn by chance where less of the own is out."""
+    """Power of two choices: the one of two random workers with fewer own attempts in flight."""
     return min(gateway.random.sample(gateway.names, 2), key=lambda name: gateway.in_flight[name])
 
 
 def random_worker(now: float, gateway: BaselineGateway) -> str:
-    """Any."""
+    """Select a worker at random."""
     return gateway.random.choice(gateway.names)
 
 
 def weighted_round_robin(now: float, gateway: BaselineGateway) -> str:
-    """Weighted round robin by the true speeds, which a real one would have to learn."""
+    """Weighted round robin by the true speeds, which a real gateway would have to learn."""
     while True:
         name = gateway.names[gateway.next_index % len(gateway.names)]
         gateway.next_index += 1
@@ -100,7 +100,7 @@
 
 
 def served(selection: str, scenario: Field, seed: int) -> float:
-    """The share of the requests that are answered in their aim; `how` is `module` or one of `OTHERS`."""
+    """Return the share of requests served in time; `selection` is `module` or a key of `BASELINES`."""
     random, clock = Random(seed), Clock()
     slow = round(scenario.workers * scenario.slow)
     capacities = {
@@ -141,21 +141,23 @@
 
 
 def main() -> None:
-    """Print the share served in time by each choice, over the share of the one that sees all."""
+    """Print the share served in time by each selection, relative to the one that knows all queues."""
     parser = argparse.ArgumentParser(prog="python -m rig.worker_selection", description=main.__doc__)
     parser.add_argument("--workers", type=int, default=1000, help="workers (default %(default)s)")
     parser.add_argument("--gateways", type=int, default=1, help="gatekeepers (default %(default)s)")
-    parser.add_argument("--load", type=float, default=0.8, help="of what all can do (default %(default)s)")
-    parser.add_argument("--seconds", type=float, default=6.0, help="counted (default %(default)s)")
-    parser.add_argument("--seeds", type=int, default=1, help="fields played (default %(default)s)")
+    parser.add_argument(
+        "--load", type=float, default=0.8, help="share of the capacity of all workers (default %(default)s)"
+    )
+    parser.add_argument("--seconds", type=float, default=6.0, help="seconds counted (default %(default)s)")
+    parser.add_argument("--seeds", type=int, default=1, help="seeds simulated (default %(default)s)")
     options = parser.parse_args()
     scenario = Field(options.workers, options.gateways, options.load, options.seconds)
     ideal = [served("sees_all", scenario, seed) for seed in range(options.seeds)]
     print(f"sees_all   {statistics.median(ideal):.3f}")
     for selection in ("module", *BASELINES):
         if selection != "sees_all":
-            share = [served(selection, scenario, seed) / best for seed, best in enumerate(ideal)]
-            print(f"{selection:10} {statistics.median(share):.3f} of that", flush=True)
+            ratios = [served(selection, scenario, seed) / best for seed, best in enumerate(ideal)]
+            print(f"{selection:10} {statistics.median(ratios):.3f} of that", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Makes hypothesis give the same verdict at every run, and passes over the failures that KNOWN-RED.txt lists.
+"""Makes hypothesis deterministic, and deselects the known failures that KNOWN-RED.txt lists.
 
-`--run-known-red` runs the listed tests as well.
+With `--run-known-red` the listed tests run as well.
 """
 
 from pathlib import Path
@@ -12,31 +12,31 @@
 settings.load_profile("fixed")
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def known_red():
-    """The listed lines: a test's id without parameters, its cause and its issue, split by bars."""
+    """Return the lines of KNOWN-RED.txt: a test id without parameters, its cause and its issue, separated by " | "."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return [line for line in lines if line.strip()]
 
 
 def pytest_addoption(parser):
-    """Add the option that runs what is listed."""
+    """Add the option that runs the listed tests."""
     parser.addoption("--run-known-red", action="store_true", help="run the tests that KNOWN-RED.txt lists, too")
 
 
 def is_installation(item):
-    """Whether a test starts an installation of planners, or a fleet, in processes of its own."""
+    """Whether a test starts an installation of planners, or a fleet, in separate processes."""
     folder, name = item.path.parent, item.path.name
     return folder.name == "planners" or folder.name == "fleet" and "process" in name
 
 
 def pytest_collection_modifyitems(config, items):
-    """Let installations run one after another, and leave out what is listed.
+    """Run installations one after another, and deselect the listed tests.
 
-    They measure what is served under load, and kill processes whose ports the next one to start may get: two at a time
-    were seen to answer each other's clients.
+    Installations measure what is served under load, and kill processes whose ports another installation may then get:
+    two that ran at the same time answered each other's clients.
     """
     for item in items:
         if is_installation(item):
@@ -44,14 +44,14 @@
     if config.getoption("--run-known-red"):
         return
     listed = {line.split(" | ")[0] for line in known_red()}
-    passed_over = [item for item in items if item.nodeid.partition("[")[0] in listed]
-    config.hook.pytest_deselected(items=passed_over)
-    items[:] = [item for item in items if item not in passed_over]
+    deselected = [item for item in items if item.nodeid.partition("[")[0] in listed]
+    config.hook.pytest_deselected(items=deselected)
+    items[:] = [item for item in items if item not in deselected]
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Name what is listed at every run."""
+    """Print the listed tests at every run."""
     for line in known_red():
         terminalreporter.write_line(f"known red, passed over: {line}")
-    if len(known_red()) > MOST_KNOWN_RED:
-        terminalreporter.write_line(f"KNOWN-RED.txt lists more than {MOST_KNOWN_RED}")
+    if len(known_red()) > MAX_KNOWN_RED:
+        terminalreporter.write_line(f"KNOWN-RED.txt lists more than {MAX_KNOWN_RED}")
--- a/tests/project/test_clocks.py
+++ b/tests/project/test_clocks.py
@@ -1,12 +1,12 @@
-"""Spans are measured on the monotonic clock; who reads the wall clock is named here."""
+"""Durations are measured on the monotonic clock; the only modules that read the wall clock are listed here."""
 
 import ast
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
 WALL_CLOCK_READERS = {
-    "oliveloft/gatekeeper/process.py": 1,  # once at the start, to read the starts of endpoints
-    "oliveloft/fleet/member.py": 1,  # heartbeats tell it, so that a stepped clock is noticed
+    "oliveloft/gatekeeper/process.py": 1,  # once at the start, to convert the start times of endpoints
+    "oliveloft/fleet/member.py": 1,  # heartbeats carry it, so that a stepped clock is detected
 }
 WALL_CLOCK = {
     ("time", "time"),
@@ -20,8 +20,8 @@
 }
 
 
-def reads_of_the_wall_clock(path):
-    """How often a module names a call that reads it."""
+def count_wall_clock_reads(path):
+    """Return how many references to calls that read the wall clock a module has."""
     tree = ast.parse(path.read_text())
     found = 0
     for node in ast.walk(tree):
@@ -32,10 +32,10 @@
     return found
 
 
-def test_only_the_named_modules_read_the_wall_clock():
+def test_only_the_listed_modules_read_the_wall_clock():
     found = {}
     for package in ("micagate", "oliveloft"):
         for path in (ROOT / package).rglob("*.py"):
-            if reads := reads_of_the_wall_clock(path):
+            if reads := count_wall_clock_reads(path):
                 found[str(path.relative_to(ROOT))] = reads
     assert found == WALL_CLOCK_READERS
--- a/tests/rig/test_simulation.py
+++ b/tests/rig/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated clock, network and workers that other tests trust."""
+"""The simulated clock, network and workers on which other tests rely."""
 
 from random import Random
 
@@ -9,19 +9,19 @@
 from rig.simulation import Clock, LocalClock, Network
 
 
-def test_calls_are_made_in_the_order_of_their_times_and_of_asking():
-    clock, seen = Clock(), []
-    clock.after(2.0, seen.append, "c")
-    clock.after(1.0, seen.append, "a")
-    clock.after(1.0, seen.append, "b")
-    clock.after(1.5, seen.append, "never").cancel()
+def test_calls_run_in_order_of_time_and_then_of_scheduling():
+    clock, called = Clock(), []
+    clock.after(2.0, called.append, "c")
+    clock.after(1.0, called.append, "a")
+    clock.after(1.0, called.append, "b")
+    clock.after(1.5, called.append, "never").cancel()
     clock.run(1.0)
-    assert seen == ["a", "b"] and clock.now == 1.0
+    assert called == ["a", "b"] and clock.now == 1.0
     clock.run(5.0)
-    assert seen == ["a", "b", "c"] and clock.now == 5.0
+    assert called == ["a", "b", "c"] and clock.now == 5.0
 
 
-def test_a_local_clock_runs_at_its_own_speed_and_from_its_own_zero():
+def test_a_local_clock_has_its_own_rate_and_zero():
     clock = Clock()
     fast = LocalClock(clock, drift=0.01, zero=500.0)
     fired = []
@@ -33,51 +33,51 @@
     assert fast.now == pytest.approx(104.0)
 
 
-def network(**usual):
+def network(**link_settings):
     clock = Clock()
-    net = Network(clock, Random(1))
-    for name, value in usual.items():
-        setattr(net.default_link, name, value)
-    got = []
+    simulated_network = Network(clock, Random(1))
+    for name, value in link_settings.items():
+        setattr(simulated_network.default_link, name, value)
+    received = []
     for name in "ab":
-        net.register(name, lambda source, message, name=name: got.append((source, name, message)))
-    return clock, net, got
+        simulated_network.register(name, lambda source, message, name=name: received.append((source, name, message)))
+    return clock, simulated_network, received
 
 
-def test_a_cut_one_way_silences_that_way_alone_until_it_heals():
-    clock, net, got = network()
-    net.block(["a"], ["b"], both=False)
-    net.send("a", "b", 1)
-    net.send("b", "a", 2)
+def test_a_block_of_one_direction_stops_that_direction_alone_until_healed():
+    clock, simulated_network, received = network()
+    simulated_network.block(["a"], ["b"], both=False)
+    simulated_network.send("a", "b", 1)
+    simulated_network.send("b", "a", 2)
     clock.run(1.0)
-    assert got == [("b", "a", 2)] and net.lost == 1
-    net.heal()
-    net.send("a", "b", 3)
+    assert received == [("b", "a", 2)] and simulated_network.lost == 1
+    simulated_network.heal()
+    simulated_network.send("a", "b", 3)
     clock.run(2.0)
-    assert got[-1] == ("a", "b", 3)
+    assert received[-1] == ("a", "b", 3)
 
 
-def test_messages_get_lost_repeated_and_overtake_each_other_as_told():
-    clock, net, got = network(min_delay=0.0, max_delay=1.0, loss=0.3, duplication=0.3)
+def test_messages_are_lost_duplicated_and_reordered_as_configured():
+    clock, simulated_network, received = network(min_delay=0.0, max_delay=1.0, loss=0.3, duplication=0.3)
     for n in range(500):
-        net.send("a", "b", n)
+        simulated_network.send("a", "b", n)
     clock.run(10.0)
-    numbers = [message for _, _, message in got]
+    numbers = [message for _, _, message in received]
     assert numbers != sorted(numbers)
     assert 0.55 < len(set(numbers)) / 500 < 0.9 and len(numbers) > len(set(numbers))
 
 
-def test_what_is_under_way_can_be_lost_and_who_has_left_gets_nothing():
-    clock, net, got = network()
-    net.send("a", "b", 1)
-    net.drop_in_transit()
-    net.send("a", "b", 2)
-    net.unregister("b")
+def test_messages_in_transit_can_be_dropped_and_unregistered_peers_receive_none():
+    clock, simulated_network, received = network()
+    simulated_network.send("a", "b", 1)
+    simulated_network.drop_in_transit()
+    simulated_network.send("a", "b", 2)
+    simulated_network.unregister("b")
     clock.run(1.0)
-    assert got == []
+    assert received == []
 
 
-def test_a_worker_turns_away_what_its_queue_cannot_hold():
+def test_a_worker_rejects_requests_beyond_its_queue():
     load = Load(Capacity(cores=2, queue=3))
     ends = [load.arrive(0.0, 1.0) for _ in range(6)]
     assert ends == [1.0, 1.0, 2.0, 2.0, 3.0, None]
@@ -85,7 +85,7 @@
     assert load.arrive(1.0, 1.0) == 3.0
 
 
-def test_a_cold_worker_is_slow_at_first_and_thrash_slows_a_deep_queue():
+def test_a_starting_worker_is_slow_and_thrash_slows_a_long_queue():
     cold = Capacity(cores=1, cold_from=0.25, ramp=10.0)
     assert Load(cold, started=0.0).arrive(0.0, 1.0) == 4.0
     assert Load(cold, started=0.0).arrive(10.0, 1.0) == 11.0
@@ -94,9 +94,9 @@
 
 
 def test_a_recorded_day_is_the_same_for_the_same_seed():
-    days = []
+    recordings = []
     for _ in range(2):
         lines = []
         tally = traces.record_day("many", lines.append).counts
-        days.append((lines, tally.ends))
-    assert days[0] == days[1] and days[0][1]["served"] > 1000
+        recordings.append((lines, tally.ends))
+    assert recordings[0] == recordings[1] and recordings[0][1]["served"] > 1000
