--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -1,4 +1,4 @@
-"""What a worker can take: cores, a bounded queue, and slowness while it is cold. No I/O, the time is told."""
+"""Model of a worker's capacity: cores, a bounded queue and slow start. No I/O; the time is an argument."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """A worker's model; times are seconds.
+    """Parameters of a worker's model; times are in seconds.
 
-    `cores` requests are worked on at once and `queue` more wait, the next is turned away. Work takes
-    1/`speed` of its time on a warm worker. One that starts has the share `cold_from` of its speed, which
-    rises evenly to the whole over `ramp`. `thrash` slows work by that share for each request waiting a core:
-    a worker with a deep queue gets less done, so that overload feeds on itself.
+    `cores` requests are processed in parallel, up to `queue` more wait, and any further one is rejected. A warm worker
+    takes 1/`speed` of a request's nominal time. A worker that starts has the fraction `cold_from` of its speed, which
+    rises linearly to 1 over `ramp`. `thrash` is the fraction by which each request waiting per core slows new work:
+    a worker with a long queue gets less done, so that overload reinforces itself.
     """
 
     cores: int = 2
@@ -26,44 +26,44 @@
 
 
 class Load:
-    """What is at a worker: the first come is served first, by the core that is free first."""
+    """Requests at a worker, served in order of arrival, each by the first core that becomes free."""
 
     def __init__(self, capacity: Capacity, started: float | None = None) -> None:
         self.capacity, self.started = capacity, started
-        self._free = [0.0] * capacity.cores
-        self._starts: deque[float] = deque()
-        self.served = self.turned_away = 0
-        self.longest = 0  # the longest queue yet
+        self._core_free_times = [0.0] * capacity.cores
+        self._queued_start_times: deque[float] = deque()
+        self.served = self.rejected = 0
+        self.max_queue_length = 0  # longest queue so far
 
     def warmth(self, now: float) -> float:
-        """The share of its speed that it has."""
-        c = self.capacity
-        if self.started is None or now - self.started >= c.ramp:
+        """Return the warm-up factor: the fraction of its full speed that the worker has, up to 1."""
+        capacity = self.capacity
+        if self.started is None or now - self.started >= capacity.ramp:
             return 1.0
-        return c.cold_from + (1 - c.cold_from) * max(0.0, now - self.started) / c.ramp
+        return capacity.cold_from + (1 - capacity.cold_from) * max(0.0, now - self.started) / capacity.ramp
 
     def waiting(self, now: float) -> int:
-        """How many wait for a core."""
-        while self._starts and self._starts[0] <= now:
-            self._starts.popleft()
-        return len(self._starts)
+        """Return the number of requests that wait for a core."""
+        while self._queued_start_times and self._queued_start_times[0] <= now:
+            self._queued_start_times.popleft()
+        return len(self._queued_start_times)
 
     def free(self, now: float) -> float:
-        """When the next core is free."""
-        return max(now, self._free[0])
+        """Return when the next core is free."""
+        return max(now, self._core_free_times[0])
 
     def arrive(self, now: float, work: float) -> float | None:
-        """A request that would take `work` seconds of an idle warm core: when it is done, or None if full."""
+        """Add a request of `work` seconds of a warm core at speed 1; return its end, or None if the queue is full."""
         waiting = self.waiting(now)
         start = self.free(now)
         if start > now and waiting >= self.capacity.queue:
-            self.turned_away += 1
+            self.rejected += 1
             return None
-        slow = 1.0 + self.capacity.thrash * waiting / self.capacity.cores
-        done = start + work * slow / (self.capacity.speed * self.warmth(now))
-        heapq.heapreplace(self._free, done)
+        slowdown = 1.0 + self.capacity.thrash * waiting / self.capacity.cores
+        done = start + work * slowdown / (self.capacity.speed * self.warmth(now))
+        heapq.heapreplace(self._core_free_times, done)
         if start > now:
-            self._starts.append(start)
-            self.longest = max(self.longest, waiting + 1)
+            self._queued_start_times.append(start)
+            self.max_queue_length = max(self.max_queue_length, waiting + 1)
         self.served += 1
         return done
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -1,4 +1,4 @@
-"""Decisions against modelled workers in simulated time: one gateway or several, the same for each seed."""
+"""Gateways against simulated workers in simulated time; a run is reproducible from its seed."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from rig.simulation import Clock
 
 Handle = Callable[[float, interface.Event], list[interface.Action]]
-UNIT = 0.02  # seconds of a core that a unit takes, on average
+UNIT_CORE_SECONDS = 0.02  # mean core time of one unit, in seconds
 
 
 @dataclass(slots=True)
-class Place:
-    """A worker of the fleet: its model, where it stands, and what befalls the way to it."""
+class SimulatedWorker:
+    """A worker of the fleet: its load, its zone, and the faults injected between it and the gateways."""
 
     load: Load
     zone: str = "a"
-    lost: float = 0.0  # share of the answers that get lost on the way back
-    hung: bool = False  # takes requests and never answers
-    dead: bool = False  # connections are refused
-    up: bool = True
+    lost: float = 0.0  # probability that a response is lost on the way back
+    hung: bool = False  # accepts requests and never responds
+    refuses_connections: bool = False
+    up: bool = True  # False: draining
 
 
 @dataclass(slots=True)
-class Tally:
-    """How requests ended."""
+class RequestCounts:
+    """Number of requests received, and of requests by result."""
 
-    asked: int = 0
+    received: int = 0
     ends: Counter[str] = field(default_factory=Counter)
 
 
 class Fleet:
-    """Workers, and one entrance for each gateway's `handle`.
+    """Simulated workers, and one `Entrance` for each gateway's `handle`.
 
-    A gateway's events come through `Entrance.hand`; sends are served by the modelled workers, timers and
+    A gateway receives its events through `Entrance.hand`. The simulated workers serve its attempts, timers and
     deadlines fire, and each attempt has one outcome.
     """
 
@@ -48,83 +48,86 @@
         random: Random,
         capacities: dict[str, Capacity],
         zones: str = "abc",
-        way: float = 0.0005,
+        network_delay: float = 0.0005,
         work_cv: float = 0.5,
     ) -> None:
-        self.clock, self.random, self.way, self.work_cv = clock, random, way, work_cv
+        self.clock, self.random, self.network_delay, self.work_cv = clock, random, network_delay, work_cv
         self.places = {
-            name: Place(Load(capacity), zones[n % len(zones)])
+            name: SimulatedWorker(Load(capacity), zones[n % len(zones)])
             for n, (name, capacity) in enumerate(sorted(capacities.items()))
         }
         self.entrances: list[Entrance] = []
-        # Told of all that comes to a worker: when, where, seconds of work, and when it is done or None if full.
+        # Called for each attempt that reaches a worker: time, worker, seconds of work, end (None: the queue is full).
         self.arrived: Callable[[float, str, float, float | None], object] = lambda *_: None
 
     @property
     def ends(self) -> Counter[str]:
-        """How all requests so far have ended, at all entrances."""
+        """Number of ended requests by result, over all gateways."""
         total: Counter[str] = Counter()
         for entrance in self.entrances:
-            total.update(entrance.tally.ends)
+            total.update(entrance.counts.ends)
         return total
 
     def entry(self, name: str) -> interface.WorkerEntry:
-        """A worker's line of the list."""
-        place = self.places[name]
+        """Return a worker's entry in the worker list."""
+        worker = self.places[name]
         return interface.WorkerEntry(
             name,
-            zone=place.zone,
+            zone=worker.zone,
             cell=sorted(self.places).index(name) // 2,
-            state=interface.HEALTHY if place.up else interface.DRAINING,
-            started=place.load.started,
+            state=interface.HEALTHY if worker.up else interface.DRAINING,
+            started=worker.load.started,
         )
 
     def tell(self, *names: str, whole: bool = False) -> None:
-        """All gateways hear of these workers."""
-        news = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
+        """Send an update with these workers (all if none is named) to all gateways."""
+        update = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
         for entrance in self.entrances:
-            entrance.hand(news, "")
+            entrance.hand(update, "")
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
-        """A worker is replaced by a cold one; what it held is lost without an answer."""
-        place = self.places[name]
-        place.load = Load(capacity or place.load.capacity, started=self.clock.now)
+        """Replace a worker by a newly started one; the requests that it held get no response."""
+        worker = self.places[name]
+        worker.load = Load(capacity or worker.load.capacity, started=self.clock.now)
         self.tell(name)
 
 
 class Entrance:
-    """One gateway's way to the fleet."""
+    """Connects one gateway to the fleet: submits client requests and carries out the gateway's actions."""
 
     def __init__(self, fleet: Fleet, handle: Handle, settings: interface.Settings, name: str = "g") -> None:
         self.fleet, self.handle, self.settings, self.name = fleet, handle, settings, name
-        self.tally = Tally()
-        self.served: dict[tuple[str, str], float] = {}  # units served in their aim, by customer and plan
-        self._asked: dict[str, tuple[interface.Request, float]] = {}  # open: the request and its deadline
-        self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker while it is out, or ""
-        self._made = 0
-        self.used: Callable[[str], float | None] = lambda customer: None  # what the meter says
+        self.counts = RequestCounts()
+        # Units served within the latency objective, by customer and plan.
+        self.units_served: dict[tuple[str, str], float] = {}
+        self._open_requests: dict[str, tuple[interface.Request, float]] = {}  # request and its deadline, by request id
+        self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker, "" once the attempt has ended
+        self._request_count = 0
+        self.used: Callable[[str], float | None] = lambda customer: None  # the meter's reading
         fleet.entrances.append(self)
 
     def ask(
         self, klass: str, plan: str, customer: str, units: float = 1.0, spread: int = 1, time_left: float | None = None
     ) -> None:
-        """A client's try."""
-        self._made += 1
-        self.tally.asked += 1
-        kind = next(c for c in self.settings.classes if c.name == klass)
-        left = kind.deadline if time_left is None else time_left
-        request = interface.Request(f"{self.name}-{self._made}", klass, plan, customer, left, units, spread)
-        self._asked[request.request] = request, self.fleet.clock.now + left
-        self.fleet.clock.after(left, self._expired, request.request)
+        """Submit a client's request to the gateway."""
+        self._request_count += 1
+        self.counts.received += 1
+        request_class = next(c for c in self.settings.classes if c.name == klass)
+        time_left_seconds = request_class.deadline if time_left is None else time_left
+        request = interface.Request(
+            f"{self.name}-{self._request_count}", klass, plan, customer, time_left_seconds, units, spread
+        )
+        self._open_requests[request.request] = request, self.fleet.clock.now + time_left_seconds
+        self.fleet.clock.after(time_left_seconds, self._expired, request.request)
         self.hand(request, request.request)
 
-    def hand(self, event: interface.Event, about: str) -> None:
-        """Let the gateway handle an event, and carry out what it decides."""
+    def hand(self, event: interface.Event, request_id: str) -> None:
+        """Pass an event to the gateway and carry out its actions."""
         clock = self.fleet.clock
         for action in self.handle(clock.now, event):
             match action:
                 case interface.SetTimer(delay, ref):
-                    clock.after(delay, self.hand, interface.TimerFired(ref), about)
+                    clock.after(delay, self.hand, interface.TimerFired(ref), request_id)
                 case interface.Send(name, worker):
                     self._send(name, worker)
                 case interface.Refuse(name):
@@ -141,37 +144,37 @@
         attempts = self._attempts.setdefault(name, [])
         number = len(attempts)
         attempts.append(worker)
-        if name not in self._asked:
+        if name not in self._open_requests:
             fleet.clock.after(0.0, self._outcome, name, number, interface.NOT_SENT, now)
             return
-        place = fleet.places[worker]
-        if place.dead:
-            fleet.clock.after(fleet.way, self._outcome, name, number, interface.UNREACHABLE, now)
+        simulated_worker = fleet.places[worker]
+        if simulated_worker.refuses_connections:
+            fleet.clock.after(fleet.network_delay, self._outcome, name, number, interface.UNREACHABLE, now)
             return
-        request, deadline = self._asked[name]
-        work = fleet.random.gammavariate(1 / fleet.work_cv**2, fleet.work_cv**2) * UNIT * request.units
-        done = place.load.arrive(now + fleet.way, work)
-        fleet.arrived(now + fleet.way, worker, work, done)
+        request, deadline = self._open_requests[name]
+        work = fleet.random.gammavariate(1 / fleet.work_cv**2, fleet.work_cv**2) * UNIT_CORE_SECONDS * request.units
+        done = simulated_worker.load.arrive(now + fleet.network_delay, work)
+        fleet.arrived(now + fleet.network_delay, worker, work, done)
         if done is None:
-            fleet.clock.after(2 * fleet.way, self._outcome, name, number, interface.OVERLOADED, now)
-        elif not place.hung and fleet.random.random() >= place.lost:
-            fleet.clock.at(done + fleet.way, self._answered, name, number, now, place.load)
+            fleet.clock.after(2 * fleet.network_delay, self._outcome, name, number, interface.OVERLOADED, now)
+        elif not simulated_worker.hung and fleet.random.random() >= simulated_worker.lost:
+            fleet.clock.at(done + fleet.network_delay, self._answered, name, number, now, simulated_worker.load)
         fleet.clock.at(deadline, self._outcome, name, number, interface.TIMED_OUT, now)
 
     def _answered(self, name: str, number: int, sent: float, load: Load) -> None:
         attempts = self._attempts.get(name)
         if attempts is None or not attempts[number]:
             return
-        if self.fleet.places[attempts[number]].load is load:  # else it was restarted meanwhile
+        if self.fleet.places[attempts[number]].load is load:  # otherwise the worker was restarted meanwhile
             self._outcome(name, number, interface.SUCCESS, sent)
 
     def _outcome(self, name: str, number: int, status: str, sent: float) -> None:
         attempts = self._attempts.get(name)
         if attempts is None or not attempts[number]:
-            return  # it has had its outcome
+            return  # the attempt already has its outcome
         worker, attempts[number] = attempts[number], ""
         now, used = self.fleet.clock.now, None
-        open_request = self._asked.get(name)
+        open_request = self._open_requests.get(name)
         if open_request is not None and status == interface.SUCCESS:
             request = open_request[0]
             klass = next(c for c in self.settings.classes if c.name == request.klass)
@@ -179,18 +182,18 @@
             self._end(name, "served" if in_aim else "late")
             if in_aim:
                 key = request.customer, request.plan
-                self.served[key] = self.served.get(key, 0.0) + request.units
+                self.units_served[key] = self.units_served.get(key, 0.0) + request.units
             used = self.used(request.customer)
-        ended = name not in self._asked
+        ended = name not in self._open_requests
         if ended and not any(attempts):
             del self._attempts[name]
         self.hand(interface.Outcome(name, number, worker, status, ended, now - sent, used), name)
 
-    def _end(self, name: str, how: str) -> None:
-        if self._asked.pop(name, None) is not None:
-            self.tally.ends[how] += 1
+    def _end(self, name: str, result: str) -> None:
+        if self._open_requests.pop(name, None) is not None:
+            self.counts.ends[result] += 1
 
     def _expired(self, name: str) -> None:
-        if name in self._asked:
+        if name in self._open_requests:
             self._end(name, "lost")
             self.hand(interface.ClientDisconnected(name), name)
