--- a/rig/agent.py
+++ b/rig/agent.py
@@ -37,7 +37,7 @@
         self.faults = AgentFaults()
         self.calls: list[str] = []
         self._history: list[tuple[int, dict[str, Any]]] = []
-        self._first = index  # the earliest version that deltas go on from
+        self._first_index = index  # the earliest version that deltas go on from
         self._changed = asyncio.Event()  # of the present version; the next one has its own
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -78,13 +78,17 @@
         writer.close()
 
     async def _compose(self, path: str) -> bytes:
-        held = int(path.partition("index=")[2].partition("&")[0] or -1)
+        known_index = int(path.partition("index=")[2].partition("&")[0] or -1)
         wait_seconds = int(path.rpartition("wait=")[2]) / 1000 if "wait=" in path else 0.0
-        if held == self.index:
+        if known_index == self.index:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._changed.wait(), wait_seconds)
-        snapshot = self.faults.always_snapshot or not self._first <= held <= self.index
-        entries = list(self.entries.values()) if snapshot else [entry for index, entry in self._history if index > held]
+        snapshot = self.faults.always_snapshot or not self._first_index <= known_index <= self.index
+        entries = (
+            list(self.entries.values())
+            if snapshot
+            else [entry for index, entry in self._history if index > known_index]
+        )
         return json.dumps({"index": self.index, "snapshot": snapshot, "endpoints": entries}).encode()
 
     async def _write(self, writer: asyncio.StreamWriter, body: bytes) -> None:
--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -14,57 +14,59 @@
 
 from rig.fake_servers import Listener, Message
 
-BLOCK = 4096
+BLOCK_BYTES = 4096
 
 
-def block(name: str, number: int) -> bytes:
+def make_block(name: str, number: int) -> bytes:
     """Block `number` of a body."""
-    return f"{name}:{number}|".encode().ljust(BLOCK, b".")
+    return f"{name}:{number}|".encode().ljust(BLOCK_BYTES, b".")
 
 
-def piece(name: str, first: int, size: int) -> bytes:
+def body_slice(name: str, first: int, size: int) -> bytes:
     """`size` bytes of a body from `first` on."""
-    start, end = first // BLOCK, -(-(first + size) // BLOCK)
-    whole = b"".join(block(name, number) for number in range(start, end))
-    return whole[first - start * BLOCK : first - start * BLOCK + size]
+    start, end = first // BLOCK_BYTES, -(-(first + size) // BLOCK_BYTES)
+    whole = b"".join(make_block(name, number) for number in range(start, end))
+    return whole[first - start * BLOCK_BYTES : first - start * BLOCK_BYTES + size]
 
 
 def check(name: str, size: int) -> int:
     """The checksum of a body."""
-    total = 0
+    checksum = 0
     for first in range(0, size, 1 << 20):
-        total = zlib.crc32(piece(name, first, min(1 << 20, size - first)), total)
-    return total
+        checksum = zlib.crc32(body_slice(name, first, min(1 << 20, size - first)), checksum)
+    return checksum
 
 
-async def take(reader: asyncio.StreamReader, headers: dict[str, str], pace: float = 0.0) -> tuple[int, int, bool]:
+async def read_body(
+    reader: asyncio.StreamReader, headers: dict[str, str], bytes_per_second: float = 0.0
+) -> tuple[int, int, bool]:
     """Read a body off, at most `pace` bytes a second if that is set: its size and checksum, and whether it is whole."""
-    size = total = 0
+    size = checksum = 0
     chunked = "chunked" in headers.get("transfer-encoding", "")
-    left = int(headers["content-length"]) if "content-length" in headers else None
+    body_size = int(headers["content-length"]) if "content-length" in headers else None
     try:
         while True:
             if chunked:
                 length = int((await reader.readuntil(b"\r\n")).split(b";")[0], 16)
                 if not length:
                     await reader.readuntil(b"\r\n")
-                    return size, total, True
+                    return size, checksum, True
                 data = await reader.readexactly(length)
                 await reader.readexactly(2)
             else:
-                if left is not None and size >= left:
-                    return size, total, True
-                data = await reader.read(65536 if left is None else min(65536, left - size))
+                if body_size is not None and size >= body_size:
+                    return size, checksum, True
+                data = await reader.read(65536 if body_size is None else min(65536, body_size - size))
                 if not data:
-                    return size, total, left is None
-            size, total = size + len(data), zlib.crc32(data, total)
-            if pace:
-                await asyncio.sleep(len(data) / pace)
+                    return size, checksum, body_size is None
+            size, checksum = size + len(data), zlib.crc32(data, checksum)
+            if bytes_per_second:
+                await asyncio.sleep(len(data) / bytes_per_second)
     except (asyncio.IncompleteReadError, ConnectionError):
-        return size, total, False
+        return size, checksum, False
 
 
-async def head(reader: asyncio.StreamReader) -> Message | None:
+async def read_head(reader: asyncio.StreamReader) -> Message | None:
     """The next message's head, or None at the end of the connection."""
     try:
         text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -81,7 +83,7 @@
     `framing` length, chunked or close; `stall` or `break` after so many bytes; `read` the pace of its reading;
     `turn=N` turns away its first N tries, `cut=N` breaks them in the middle of the request."""
 
-    _tries: dict[str, int] = {}  # of each request, at all workers
+    _attempts: dict[str, int] = {}  # of each request, at all workers
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -114,35 +116,41 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         with contextlib.suppress(asyncio.CancelledError, ConnectionError):
-            while (request := await head(reader)) is not None:
-                if not await self._one(request, reader, writer):
+            while (request := await read_head(reader)) is not None:
+                if not await self._handle_request(request, reader, writer):
                     break
         writer.close()
 
-    async def _one(self, request: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _handle_request(
+        self, request: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         query = dict(part.partition("=")[::2] for part in request.first.split(" ")[1].partition("?")[2].split("&"))
         name = request.headers["x-request-id"]
-        number = self._tries[name] = self._tries.get(name, 0) + 1
-        if number <= int(query.get("cut", 0)):
+        attempt = self._attempts[name] = self._attempts.get(name, 0) + 1
+        if attempt <= int(query.get("cut", 0)):
             await reader.read(100_000)
             writer.transport.abort()
             return False
         framed = "content-length" in request.headers or "transfer-encoding" in request.headers
-        size, total, whole = await take(
+        size, checksum, is_complete = await read_body(
             reader, request.headers if framed else {"content-length": "0"}, float(query.get("read", 0))
         )
-        self.took.append((name, size, total, whole))
-        if not whole:
+        self.took.append((name, size, checksum, is_complete))
+        if not is_complete:
             return False
-        if number <= int(query.get("turn", 0)):
+        if attempt <= int(query.get("turn", 0)):
             writer.write(b"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
             return True
-        return await give(writer, name, query)
+        return await write_response(writer, name, query)
 
 
-async def give(writer: asyncio.StreamWriter, name: str, query: dict[str, str]) -> bool:
+async def write_response(writer: asyncio.StreamWriter, name: str, query: dict[str, str]) -> bool:
     """Write an answer as a query wants it; whether the connection goes on."""
-    size, pace, framing = int(query.get("give", 4)), float(query.get("pace", 0)), query.get("framing", "length")
+    size, bytes_per_second, framing = (
+        int(query.get("give", 4)),
+        float(query.get("pace", 0)),
+        query.get("framing", "length"),
+    )
     stop = int(query.get("stall", query.get("break", size)))
     writer.write(
         b"HTTP/1.1 200 OK\r\n"
@@ -155,11 +163,11 @@
     )
     step = int(query.get("step", 65536))
     for first in range(0, stop, step):
-        data = piece(name, first, min(step, stop - first))
+        data = body_slice(name, first, min(step, stop - first))
         writer.write(b"%x\r\n%b\r\n" % (len(data), data) if framing == "chunked" else data)
         await writer.drain()
-        if pace:
-            await asyncio.sleep(len(data) / pace)
+        if bytes_per_second:
+            await asyncio.sleep(len(data) / bytes_per_second)
     if "stall" in query:
         await asyncio.sleep(60)
     if "break" in query:
@@ -214,23 +222,23 @@
         )
         sending = asyncio.create_task(self._send(name, size, chunked, pace, step, size if stop is None else stop))
         try:
-            answer = await head(self.reader)
+            answer = await read_head(self.reader)
             if answer is None:
                 return 0, name, 0, 0, False
-            got, total, whole = await take(self.reader, answer.headers, read)
-            return answer.status, name, got, total, whole
+            size_received, checksum, is_complete = await read_body(self.reader, answer.headers, read)
+            return answer.status, name, size_received, checksum, is_complete
         finally:
             sending.cancel()
             with contextlib.suppress(asyncio.CancelledError, ConnectionError):
                 await sending
 
-    async def _send(self, name: str, size: int, chunked: bool, pace: float, step: int, stop: int) -> None:
+    async def _send(self, name: str, size: int, chunked: bool, bytes_per_second: float, step: int, stop: int) -> None:
         for first in range(0, stop, step):
-            data = piece(name, first, min(step, stop - first))
+            data = body_slice(name, first, min(step, stop - first))
             self.writer.write(b"%x\r\n%b\r\n" % (len(data), data) if chunked else data)
             await self.writer.drain()
-            if pace:
-                await asyncio.sleep(len(data) / pace)
+            if bytes_per_second:
+                await asyncio.sleep(len(data) / bytes_per_second)
         if chunked and stop == size:
             self.writer.write(b"0\r\n\r\n")
             await self.writer.drain()
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -13,15 +13,15 @@
 from rig.installation import Installation
 from rig.traffic import Customer, PlanShape, Traffic
 
-SERVICE = 0.02  # seconds of a core that a unit takes
+SERVICE_SECONDS = 0.02  # seconds of a core that a unit takes
 
 
-def customers(rate: float, plans: dict[str, PlanShape], gatekeepers: int, seed: int) -> list[Customer]:
+def make_customers(rate: float, plans: dict[str, PlanShape], gatekeepers: int, seed: int) -> list[Customer]:
     """Some thirty customers, together at this rate; one in six asks for far more than its plan grants."""
     random = Random(seed)
     count = 30
     weights = [random.uniform(0.3, 1.0) * (4.0 if n % 6 == 0 else 1.0) for n in range(count)]
-    made = []
+    created = []
     for n, weight in enumerate(weights):
         mean = rate * weight / sum(weights)
         name = list(plans)[n % len(plans)]
@@ -33,7 +33,7 @@
         def steady(at: float, mean: float = mean) -> float:
             return mean
 
-        made.append(
+        created.append(
             Customer(
                 f"{n + 1:016x}",
                 name,
@@ -44,74 +44,80 @@
                 klass="write" if n % 3 == 2 else "read",
             )
         )
-    return made
+    return created
 
 
-async def play(
+async def run_demo(
     workers: int,
     gatekeepers: int,
     rate: float,
     seconds: float | None,
     seed: int,
     planners: int,
-    say: Callable[[str], None],
+    write_line: Callable[[str], None],
 ) -> dict[str, int]:
     """Run the demo until it is told to stop or the seconds are over; how many requests ended how."""
-    fleet = Installation(gatekeepers, planners, workers, service=SERVICE, seed=seed, terms=Terms())
+    installation = Installation(gatekeepers, planners, workers, service=SERVICE_SECONDS, seed=seed, terms=Terms())
     if planners:
-        say(f"starting; gatekeepers that follow planners wait {fleet.terms.term:g} s before they serve")
-    async with fleet:
-        say(
-            f"{workers} workers at {', '.join(str(w.port) for w in fleet.workers)}; discovery at "
-            f"{fleet.discovery.port}; gatekeepers at {', '.join(f'127.0.0.1:{p}' for p in fleet.ports)}"
+        write_line(f"starting; gatekeepers that follow planners wait {installation.terms.term:g} s before they serve")
+    async with installation:
+        write_line(
+            f"{workers} workers at {', '.join(str(w.port) for w in installation.workers)}; discovery at "
+            f"{installation.discovery.port}; gatekeepers at {', '.join(f'127.0.0.1:{p}' for p in installation.ports)}"
         )
         if planners:
-            endpoint = fleet.store.endpoint if fleet.store else ""
-            file = fleet.planners_file(fleet.planner_ports, endpoint, "demo")
-            say(
-                f"planners at {', '.join(map(str, fleet.planner_ports.values()))}; look at them with: "
+            endpoint = installation.store.endpoint if installation.store else ""
+            file = installation.planners_file(installation.planner_ports, endpoint, "demo")
+            write_line(
+                f"planners at {', '.join(map(str, installation.planner_ports.values()))}; look at them with: "
                 f"python -m oliveloft planners status --config {file}"
             )
-        say(
+        write_line(
             "ask it yourself: curl -i -H 'X-Request-ID: me1' -H 'X-Priority-Class: read' -H 'X-Tariff: solo' "
             "-H 'X-Timeout: 1.0' -H 'X-Weight: units=1,spread=1,first=0' "
-            f"'http://127.0.0.1:{fleet.ports[0]}/read?customer=00000000000000ff'"
+            f"'http://127.0.0.1:{installation.ports[0]}/read?customer=00000000000000ff'"
         )
-        load = Traffic(
-            fleet.ports, customers(rate, fleet.plans, gatekeepers, seed), fleet.plans, seed, timeout=1.5, aim=0.4
+        traffic = Traffic(
+            installation.ports,
+            make_customers(rate, installation.plans, gatekeepers, seed),
+            installation.plans,
+            seed,
+            timeout=1.5,
+            aim=0.4,
         )
         loop, stop = asyncio.get_running_loop(), asyncio.Event()
-        for sign in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(sign, stop.set)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, stop.set)
         totals = dict.fromkeys(("served", "late", "refused", "failed"), 0)
-        say(f"{'second':>7} {'served':>7} {'late':>6} {'refused':>8} {'failed':>7} {'median':>9}   in all")
-        began, number = loop.time(), 0
-        while not stop.is_set() and (seconds is None or loop.time() - began < seconds):
-            left = 1.0 if seconds is None else min(1.0, seconds - (loop.time() - began))
-            load.report.waits.clear()
+        write_line(f"{'second':>7} {'served':>7} {'late':>6} {'refused':>8} {'failed':>7} {'median':>9}   in all")
+        started_at, number = loop.time(), 0
+        while not stop.is_set() and (seconds is None or loop.time() - started_at < seconds):
+            left = 1.0 if seconds is None else min(1.0, seconds - (loop.time() - started_at))
+            traffic.report.waits.clear()
             # Piece by piece: nothing is drawn that is never sent, and Ctrl-C acts within a second.
-            await load.run(max(0.05, left), settle=False)
+            await traffic.run(max(0.05, left), settle=False)
             number += 1
-            ends, load.latest = load.latest, type(load.latest)()
-            for how in totals:
-                totals[how] += ends[how]
-            median = f"{1000 * statistics.median(load.report.waits):.0f} ms" if load.report.waits else "-"
-            say(
-                f"{number:7} {ends['served']:7} {ends['late']:6} {ends['refused']:8} {ends['failed']:7} "
+            outcomes, traffic.recent_outcomes = traffic.recent_outcomes, type(traffic.recent_outcomes)()
+            for outcome in totals:
+                totals[outcome] += outcomes[outcome]
+            median = f"{1000 * statistics.median(traffic.report.waits):.0f} ms" if traffic.report.waits else "-"
+            write_line(
+                f"{number:7} {outcomes['served']:7} {outcomes['late']:6} {outcomes['refused']:8} "
+                f"{outcomes['failed']:7} "
                 f"{median:>9}   {sum(totals.values())} ended; twice begun "
-                f"{sum(n > 1 for n in fleet.record.begun.values())}"
+                f"{sum(n > 1 for n in installation.record.begun.values())}"
             )
-        await load.settle()
-        for how in totals:
-            totals[how] += load.latest[how]
-        say("in all: " + ", ".join(f"{count} {how}" for how, count in totals.items()))
+        await traffic.settle()
+        for outcome in totals:
+            totals[outcome] += traffic.recent_outcomes[outcome]
+        write_line("in all: " + ", ".join(f"{count} {outcome}" for outcome, count in totals.items()))
         return totals
 
 
 def main(workers: int, gatekeepers: int, rate: float, seconds: float | None, seed: int, planners: int) -> int:
     """Run the demo; 1 where a part of it did not start."""
     try:
-        asyncio.run(play(workers, gatekeepers, rate, seconds, seed, planners, lambda line: print(line, flush=True)))
+        asyncio.run(run_demo(workers, gatekeepers, rate, seconds, seed, planners, lambda line: print(line, flush=True)))
     except (OSError, RuntimeError) as error:
         print(f"demo: {error}", file=sys.stderr)
         return 1
--- a/rig/disks.py
+++ b/rig/disks.py
@@ -28,7 +28,7 @@
     machine: str = "machine 1, boot 1"
 
 
-class Knobbed:
+class DiskFaultsFile:
     """Knobs in a JSON file, which may not be there."""
 
     def __init__(self, path: str) -> None:
@@ -41,10 +41,10 @@
         return Knobs()
 
 
-def turn(path: str, **knobs: object) -> None:
+def write_disk_faults(path: str, **faults: object) -> None:
     """Set the knobs of a process that reads them from this file."""
     with open(path + ".new", "w") as file:
-        json.dump(knobs, file)
+        json.dump(faults, file)
     os.replace(path + ".new", path)
 
 
@@ -65,7 +65,7 @@
             self.files[name] = bytearray()
         elif name not in self.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return _Held(self.files[name])
+        return _MemoryFile(self.files[name])
 
     def rename(self, old: str, new: str) -> None:
         """Rename."""
@@ -88,7 +88,7 @@
         return "machine 1, boot 1"
 
 
-class _Held:
+class _MemoryFile:
     def __init__(self, data: bytearray) -> None:
         self._data = data
 
@@ -108,17 +108,17 @@
         pass
 
 
-class BrokenFile:
+class FaultyFile:
     """A file whose writes reach the one below only by a sync."""
 
-    def __init__(self, disk: Broken, below: File) -> None:
-        self._disk, self._below = disk, below
-        self.waiting: list[tuple[bool, bytes]] = []  # whether in place, and what
+    def __init__(self, disk: Broken, underlying: File) -> None:
+        self._disk, self._underlying = disk, underlying
+        self.unsynced: list[tuple[bool, bytes]] = []  # whether in place, and what
 
     def read(self) -> bytes:
         """All of it, as its process sees it."""
-        data = bytearray(self._below.read())
-        for in_place, piece in self.waiting:
+        data = bytearray(self._underlying.read())
+        for in_place, piece in self.unsynced:
             if in_place:
                 data[: len(piece)] = piece
             else:
@@ -127,62 +127,62 @@
 
     def append(self, data: bytes) -> None:
         """Write, as far as there is room."""
-        self._disk.writes(len(data))
-        self.waiting.append((False, data))
+        self._disk.check_write(len(data))
+        self.unsynced.append((False, data))
 
     def put(self, data: bytes) -> None:
         """Write in place: needs no room."""
-        self._disk.writes(0)
-        self.waiting.append((True, data))
+        self._disk.check_write(0)
+        self.unsynced.append((True, data))
 
     def sync(self) -> None:
         """What waits goes to the file below."""
-        knobs = self._disk.knobs()
-        if knobs.sync_takes:
-            time.sleep(knobs.sync_takes)
-        if knobs.sync_fails:
+        faults = self._disk.knobs()
+        if faults.sync_takes:
+            time.sleep(faults.sync_takes)
+        if faults.sync_fails:
             raise OSError(errno.EIO, "a sync that failed")
         self.flush()
-        self._below.sync()
+        self._underlying.sync()
 
-    def flush(self, most: int = 1 << 62) -> None:
+    def flush(self, max_bytes: int = 1 << 62) -> None:
         """What waits reaches the file below, up to so many bytes."""
-        for in_place, piece in self.waiting:
+        for in_place, piece in self.unsynced:
             if in_place:
-                self._below.put(piece)
+                self._underlying.put(piece)
             else:
-                self._below.append(piece[:most])
-            most -= len(piece)
-            if most <= 0:
+                self._underlying.append(piece[:max_bytes])
+            max_bytes -= len(piece)
+            if max_bytes <= 0:
                 break
-        self.waiting.clear()
+        self.unsynced.clear()
 
     def close(self) -> None:
         """Let it go; what waits may never reach the disk."""
-        self._below.close()
+        self._underlying.close()
 
 
 class Broken:
     """A disk over another, with knobs."""
 
-    def __init__(self, below: Disk, knobs: Knobs | Knobbed | None = None) -> None:
-        self._below, self._knobs = below, knobs or Knobs()
-        self.open_files: list[BrokenFile] = []
-        self.used = 0
+    def __init__(self, underlying: Disk, faults: Knobs | DiskFaultsFile | None = None) -> None:
+        self._underlying, self._faults = underlying, faults or Knobs()
+        self.open_files: list[FaultyFile] = []
+        self.used_bytes = 0
 
     def knobs(self) -> Knobs:
         """As they stand now."""
-        return self._knobs.now() if isinstance(self._knobs, Knobbed) else self._knobs
+        return self._faults.now() if isinstance(self._faults, DiskFaultsFile) else self._faults
 
-    def writes(self, size: int) -> None:
+    def check_write(self, size: int) -> None:
         """Guards the room."""
-        knobs = self.knobs()
-        if knobs.read_only:
+        faults = self.knobs()
+        if faults.read_only:
             raise OSError(errno.EROFS, "a disk that is read only")
-        if knobs.room >= 0 and size > knobs.room - self.used:
+        if faults.room >= 0 and size > faults.room - self.used_bytes:
             raise OSError(errno.ENOSPC, "a disk that is full")
-        if knobs.room >= 0:
-            self.used += size
+        if faults.room >= 0:
+            self.used_bytes += size
 
     def power(self, random: Random) -> None:
         """A cut: of what was not synced some bytes got there, at times, in order."""
@@ -192,34 +192,34 @@
 
     def names(self) -> list[str]:
         """The files."""
-        return self._below.names()
+        return self._underlying.names()
 
     def open(self, name: str, fresh: bool = False) -> File:
         """Open a file."""
         if fresh:
-            self.writes(0)
-        file = BrokenFile(self, self._below.open(name, fresh))
+            self.check_write(0)
+        file = FaultyFile(self, self._underlying.open(name, fresh))
         self.open_files.append(file)
         return file
 
     def rename(self, old: str, new: str) -> None:
         """Rename."""
-        self._below.rename(old, new)
+        self._underlying.rename(old, new)
 
     def remove(self, name: str) -> None:
         """Drop."""
-        self.writes(0)
-        self._below.remove(name)
+        self.check_write(0)
+        self._underlying.remove(name)
 
     def sync(self) -> None:
         """Names are synced."""
         if self.knobs().sync_fails:
             raise OSError(errno.EIO, "a sync that failed")
-        self._below.sync()
+        self._underlying.sync()
 
     def lock(self, name: str) -> bool:
         """As below."""
-        return self._below.lock(name)
+        return self._underlying.lock(name)
 
     def machine(self) -> str:
         """Which boot of which machine the knobs say this is."""
--- a/rig/etcd.py
+++ b/rig/etcd.py
@@ -16,12 +16,12 @@
 
 from aiohttp import web
 
-KEPT = 4096  # changes that a watch can begin in
-LEAST_TTL = 1
+MAX_HISTORY_EVENTS = 4096  # changes that a watch can begin in
+MIN_TTL_SECONDS = 1
 
 
 @dataclass(slots=True)
-class _Key:
+class _Entry:
     value: bytes
     created: int
     modified: int
@@ -31,8 +31,8 @@
 
 @dataclass(slots=True)
 class _Lease:
-    ttl: float
-    ends: float
+    ttl_seconds: float
+    expires_at: float
 
 
 class EtcdStandIn:
@@ -42,24 +42,24 @@
         self.port = port
         self.delay = 0.0  # seconds before each call is looked at
         self.down = False  # connections are closed unanswered
-        self._clear()
-        self._ids = itertools.count(7587_000_001)
+        self._reset_state()
+        self._lease_ids = itertools.count(7587_000_001)
         self._runner: web.AppRunner | None = None
-        self._task: asyncio.Task[None] | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
 
-    def _clear(self) -> None:
+    def _reset_state(self) -> None:
         self._revision = 1
-        self._keys: dict[bytes, _Key] = {}
+        self._keys: dict[bytes, _Entry] = {}
         self._leases: dict[int, _Lease] = {}
-        self._log: list[dict[str, Any]] = []  # changes, as a watch tells them
-        self._news = asyncio.Event()
+        self._history: list[dict[str, Any]] = []  # changes, as a watch tells them
+        self._changed = asyncio.Event()
         self._generation = getattr(self, "_generation", 0) + 1
 
     def wipe(self) -> None:
         """Come back as another, empty store: keys, leases and revisions are gone, watches end."""
-        news = self._news
-        self._clear()
-        news.set()
+        changed = self._changed
+        self._reset_state()
+        changed.set()
 
     @property
     def endpoint(self) -> str:
@@ -83,19 +83,19 @@
         site = web.TCPSite(self._runner, "127.0.0.1", self.port)
         await site.start()
         self.port = self._runner.addresses[0][1]
-        self._task = asyncio.create_task(self._expire())
+        self._expiry_task = asyncio.create_task(self._expire_leases())
         return self
 
     async def stop(self) -> None:
         """Listen no more."""
-        if self._task is not None:
-            self._task.cancel()
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     def _handler(self, call: Any) -> Any:
         async def handle(request: web.Request) -> web.Response:
-            await self._faults(request)
+            await self._apply_faults(request)
             try:
                 return web.json_response(call(await request.json()))
             except (ValueError, KeyError, TypeError) as error:
@@ -103,26 +103,26 @@
 
         return handle
 
-    async def _faults(self, request: web.Request) -> None:
+    async def _apply_faults(self, request: web.Request) -> None:
         if self.delay:
             await asyncio.sleep(self.delay)
         if self.down and request.transport is not None:
             request.transport.abort()
             raise web.HTTPServiceUnavailable
 
-    async def _expire(self) -> None:
+    async def _expire_leases(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(0.05)
-            for number in [n for n, lease in self._leases.items() if lease.ends <= loop.time()]:
-                self._end(number)
+            for number in [n for n, lease in self._leases.items() if lease.expires_at <= loop.time()]:
+                self._remove_lease(number)
 
-    def _end(self, number: int) -> None:
+    def _remove_lease(self, number: int) -> None:
         del self._leases[number]
-        gone = [key for key, held in self._keys.items() if held.lease == number]
-        if gone:
+        attached = [key for key, entry in self._keys.items() if entry.lease == number]
+        if attached:
             self._revision += 1
-            for key in gone:
+            for key in attached:
                 self._delete(key)
 
     # Calls.
@@ -130,28 +130,28 @@
     def _header(self) -> dict[str, Any]:
         return {"cluster_id": "1", "member_id": "1", "revision": str(self._revision), "raft_term": "2"}
 
-    def _told(self, key: bytes, held: _Key) -> dict[str, Any]:
+    def _encode_entry(self, key: bytes, entry: _Entry) -> dict[str, Any]:
         return {
             "key": base64.b64encode(key).decode(),
-            "value": base64.b64encode(held.value).decode(),
-            "create_revision": str(held.created),
-            "mod_revision": str(held.modified),
-            "version": str(held.version),
-            "lease": str(held.lease),
+            "value": base64.b64encode(entry.value).decode(),
+            "create_revision": str(entry.created),
+            "mod_revision": str(entry.modified),
+            "version": str(entry.version),
+            "lease": str(entry.lease),
         }
 
     def _range(self, body: dict[str, Any]) -> dict[str, Any]:
         start = base64.b64decode(body["key"])
         end = base64.b64decode(body["range_end"]) if body.get("range_end") else start + b"\0"
-        found = [self._told(key, held) for key, held in sorted(self._keys.items()) if start <= key < end]
+        found = [self._encode_entry(key, entry) for key, entry in sorted(self._keys.items()) if start <= key < end]
         return {"header": self._header(), "kvs": found, "count": str(len(found))}
 
     def _txn(self, body: dict[str, Any]) -> dict[str, Any]:
         for compare in body.get("compare", ()):
             if compare.get("target") != "MOD" or compare.get("result", "EQUAL") != "EQUAL":
                 raise ValueError("only MOD EQUAL is compared here")
-            held = self._keys.get(base64.b64decode(compare["key"]))
-            if (held.modified if held else 0) != int(compare.get("mod_revision", 0)):
+            entry = self._keys.get(base64.b64decode(compare["key"]))
+            if (entry.modified if entry else 0) != int(compare.get("mod_revision", 0)):
                 return {"header": self._header(), "succeeded": False}
         operations = body.get("success", ())
         for operation in operations:
@@ -173,32 +173,32 @@
         return {"header": self._header(), "succeeded": True}
 
     def _put(self, key: bytes, value: bytes, lease: int) -> None:
-        before = self._keys.get(key)
-        held = self._keys[key] = _Key(
+        previous = self._keys.get(key)
+        entry = self._keys[key] = _Entry(
             value,
-            before.created if before else self._revision,
+            previous.created if previous else self._revision,
             self._revision,
-            before.version + 1 if before else 1,
+            previous.version + 1 if previous else 1,
             lease,
         )
-        self._tell({"kv": self._told(key, held)}, key)
+        self._record_change({"kv": self._encode_entry(key, entry)}, key)
 
     def _delete(self, key: bytes) -> None:
         if self._keys.pop(key, None) is not None:
-            self._tell(
+            self._record_change(
                 {"type": "DELETE", "kv": {"key": base64.b64encode(key).decode(), "mod_revision": str(self._revision)}},
                 key,
             )
 
-    def _tell(self, event: dict[str, Any], key: bytes) -> None:
-        self._log.append({"revision": self._revision, "key": key, "event": event})
-        del self._log[:-KEPT]
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+    def _record_change(self, event: dict[str, Any], key: bytes) -> None:
+        self._history.append({"revision": self._revision, "key": key, "event": event})
+        del self._history[:-MAX_HISTORY_EVENTS]
+        changed, self._changed = self._changed, asyncio.Event()
+        changed.set()
 
     def _grant(self, body: dict[str, Any]) -> dict[str, Any]:
-        number = int(body.get("ID", 0)) or next(self._ids)
-        ttl = max(LEAST_TTL, int(body["TTL"]))
+        number = int(body.get("ID", 0)) or next(self._lease_ids)
+        ttl = max(MIN_TTL_SECONDS, int(body["TTL"]))
         self._leases[number] = _Lease(ttl, asyncio.get_running_loop().time() + ttl)
         return {"header": self._header(), "ID": str(number), "TTL": str(ttl)}
 
@@ -207,21 +207,21 @@
         lease = self._leases.get(number)
         if lease is None:
             return {"result": {"header": self._header(), "ID": str(number)}}
-        lease.ends = asyncio.get_running_loop().time() + lease.ttl
-        return {"result": {"header": self._header(), "ID": str(number), "TTL": str(int(lease.ttl))}}
+        lease.expires_at = asyncio.get_running_loop().time() + lease.ttl_seconds
+        return {"result": {"header": self._header(), "ID": str(number), "TTL": str(int(lease.ttl_seconds))}}
 
     def _revoke(self, body: dict[str, Any]) -> dict[str, Any]:
         number = int(body["ID"])
         if number not in self._leases:
             raise ValueError("etcdserver: requested lease not found")
-        self._end(number)
+        self._remove_lease(number)
         return {"header": self._header()}
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        await self._faults(request)
-        asked = (await request.json())["create_request"]
-        start, end = base64.b64decode(asked["key"]), base64.b64decode(asked["range_end"])
-        revision = int(asked.get("start_revision", 0)) or self._revision + 1
+        await self._apply_faults(request)
+        create_request = (await request.json())["create_request"]
+        start, end = base64.b64decode(create_request["key"]), base64.b64decode(create_request["range_end"])
+        revision = int(create_request.get("start_revision", 0)) or self._revision + 1
         response = web.StreamResponse()
         await response.prepare(request)
         generation = self._generation
@@ -231,17 +231,19 @@
             await response.write(line.encode() + b"\n")
 
         with contextlib.suppress(ConnectionError):
-            if self._log and len(self._log) >= KEPT and revision < self._log[0]["revision"]:
-                await tell({"canceled": True, "compact_revision": str(self._log[0]["revision"])})
+            if self._history and len(self._history) >= MAX_HISTORY_EVENTS and revision < self._history[0]["revision"]:
+                await tell({"canceled": True, "compact_revision": str(self._history[0]["revision"])})
                 return response
             await tell({"created": True})
             while generation == self._generation:
-                news = self._news
-                found = [entry for entry in self._log if entry["revision"] >= revision and start <= entry["key"] < end]
+                changed = self._changed
+                found = [
+                    entry for entry in self._history if entry["revision"] >= revision and start <= entry["key"] < end
+                ]
                 if found and not self.down:
                     await tell({"events": [entry["event"] for entry in found]})
                     revision = found[-1]["revision"] + 1
-                await news.wait()
+                await changed.wait()
             if request.transport is not None:
                 request.transport.abort()
         return response
--- a/rig/fake_servers.py
+++ b/rig/fake_servers.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any, Self
 
-LIMIT = 20.0
-FILES = tempfile.TemporaryDirectory()  # configurations, removed at the end of the tests
+SCENARIO_TIMEOUT_SECONDS = 20.0
+CONFIG_DIRECTORY = tempfile.TemporaryDirectory()  # configurations, removed at the end of the tests
 FACTS: dict[str, Any] = {
     "Caps": {
         "Cancel": True,
@@ -73,14 +73,14 @@
     gc.collect()
     gc.freeze()
     try:
-        asyncio.run(asyncio.wait_for(scenario, LIMIT))
+        asyncio.run(asyncio.wait_for(scenario, SCENARIO_TIMEOUT_SECONDS))
     finally:
         gc.unfreeze()  # other libraries ask the collector who refers to what
 
 
-async def until(true: Callable[[], object]) -> None:
+async def until(condition: Callable[[], object]) -> None:
     """Wait for something that no event tells of."""
-    while not true():
+    while not condition():
         await asyncio.sleep(0.005)
 
 
@@ -121,11 +121,11 @@
     return script
 
 
-def once(go: asyncio.Event, script: Script | None = None) -> Script:
+def once(event: asyncio.Event, script: Script | None = None) -> Script:
     """A script that does as another one (it answers, if none is named) once `go` is set."""
 
     async def waits(request: Message, writer: asyncio.StreamWriter) -> None:
-        await go.wait()
+        await event.wait()
         await (script or answer())(request, writer)
 
     return waits
@@ -210,7 +210,7 @@
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         super().__init__(name, script)
-        self.sock, self.plugs = socket.socket(), list[socket.socket]()
+        self.sock, self.fillers = socket.socket(), list[socket.socket]()
 
     async def start(self) -> Self:
         """Listen, and be full."""
@@ -218,7 +218,7 @@
         self.sock.listen(0)
         self.port = self.sock.getsockname()[1]
         while not self.coming:  # the queue of those that stand is full
-            self.plugs.append(plug := socket.socket())
+            self.fillers.append(plug := socket.socket())
             plug.setblocking(False)
             plug.connect_ex(("127.0.0.1", self.port))
             await asyncio.sleep(0)
@@ -231,7 +231,7 @@
 
     async def open(self) -> None:
         """Let them come up."""
-        for plug in self.plugs:
+        for plug in self.fillers:
             plug.close()
         self._server = await asyncio.start_server(self._serve, sock=self.sock)
 
@@ -304,10 +304,10 @@
     It answers a connection's first call that it takes, and leaves the watch that follows it open.
     """
 
-    def __init__(self, each: float, patience: float) -> None:
-        self.each, self.patience = each, patience
+    def __init__(self, service_seconds: float, max_wait_seconds: float) -> None:
+        self.service_seconds, self.max_wait_seconds = service_seconds, max_wait_seconds
         self.calls = self.served = 0
-        self._free = 0.0
+        self._free_at = 0.0
         self._server: asyncio.Server | None = None
 
     async def start(self) -> tuple[str, int]:
@@ -325,11 +325,11 @@
         loop = asyncio.get_running_loop()
         while await read_message(reader) is not None:
             self.calls += 1
-            begin = max(self._free, loop.time())
-            if begin - loop.time() > self.patience:
+            begin = max(self._free_at, loop.time())
+            if begin - loop.time() > self.max_wait_seconds:
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
                 continue
-            self._free = done = begin + self.each  # it also works on calls that nobody waits for
+            self._free_at = done = begin + self.service_seconds  # it also works on calls that nobody waits for
             await asyncio.sleep(done - loop.time())
             self.served += 1
             body = b'{"index": 9, "snapshot": true, "endpoints": []}'
@@ -404,10 +404,10 @@
         self.process, self.file, self.port = process, file, 0
         self.management = 0  # the operators' port
         self.log: list[str] = []
-        self._told = asyncio.Event()
-        self._reading = asyncio.create_task(self._read())
+        self._has_port = asyncio.Event()
+        self._reading = asyncio.create_task(self._read_log())
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
             self.log.append(line.decode())
@@ -415,11 +415,11 @@
                 self.management = int(found[1])
             if found := re.search(r"(?:listens|plans) at 127\.0\.0\.1:(\d+)", self.log[-1]):
                 self.port = int(found[1])
-                self._told.set()
+                self._has_port.set()
 
     async def listening(self) -> None:
         """Wait until it listens."""
-        await self._told.wait()
+        await self._has_port.wait()
 
     async def reload(self, text: str, line: str) -> None:
         """Replace its file, send SIGHUP and wait for the line that tells what came of it."""
@@ -479,9 +479,9 @@
     }
 
 
-async def launch(configuration: object, *words: str, environment: dict[str, str] | None = None) -> Gatekeeper:
+async def launch(configuration: object, *arguments: str, environment: dict[str, str] | None = None) -> Gatekeeper:
     """Start the program, with a verb and its options if any, and wait until it listens or has ended."""
-    gatekeeper = await spawn(configuration, *words, environment=environment)
+    gatekeeper = await spawn(configuration, *arguments, environment=environment)
     # It has read its file once it has told of its port or has ended.
     waiting = [asyncio.create_task(gatekeeper.listening()), asyncio.create_task(gatekeeper.process.wait())]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
@@ -491,7 +491,7 @@
 
 async def spawn(
     configuration: object,
-    *words: str,
+    *arguments: str,
     accept: socket.socket | None = None,
     folder: str = "",
     root: Path | None = None,
@@ -503,17 +503,17 @@
     `accept` is a listening socket that it inherits, `folder` its temporary folder, `root` where its text stands,
     `module` what is run in place of the program itself, `environment` what its environment has besides.
     """
-    more = {**(environment or {}), **({"TMPDIR": folder} if folder else {})}
+    extra_environment = {**(environment or {}), **({"TMPDIR": folder} if folder else {})}
     if accept is not None:
-        more["PROXY_ACCEPT_FD"] = str(accept.fileno())
-    file = Path(tempfile.mkstemp(suffix=".json", dir=FILES.name)[1])
+        extra_environment["PROXY_ACCEPT_FD"] = str(accept.fileno())
+    file = Path(tempfile.mkstemp(suffix=".json", dir=CONFIG_DIRECTORY.name)[1])
     file.write_text(configuration if isinstance(configuration, str) else json.dumps(configuration))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         module,
-        *words,
-        env={**os.environ, "PROXY_CONFIG": str(file), **more},
+        *arguments,
+        env={**os.environ, "PROXY_CONFIG": str(file), **extra_environment},
         cwd=root or Path(__file__).parents[1],
         stderr=asyncio.subprocess.PIPE,
         pass_fds=(accept.fileno(),) if accept is not None else (),
@@ -522,7 +522,9 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(*workers: Any, ends: bool = False, **how: Any) -> AsyncIterator[tuple[Gatekeeper, Discovery, Client]]:
+async def scene(
+    *workers: Any, ends: bool = False, **options: Any
+) -> AsyncIterator[tuple[Gatekeeper, Discovery, Client]]:
     """Workers, a discovery that lists them, a gatekeeper that has heard of them, and a client.
 
     `ends` says that the gatekeeper has ended by itself by then.
@@ -530,7 +532,7 @@
     for worker in workers:
         await worker.start()
     discovery = await Discovery([worker.entry() for worker in workers]).start()
-    gatekeeper = await launch(config(discovery.port, **how))
+    gatekeeper = await launch(config(discovery.port, **options))
     try:
         await discovery.watched()
         yield gatekeeper, discovery, await gatekeeper.client()
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -13,8 +13,8 @@
 import time
 from collections import deque
 
-CHUNK = 16 * 1024
-HELD = 256 * 1024  # bytes held of a direction before its sender is read no further
+CHUNK_BYTES = 16 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024  # bytes held of a direction before its sender is read no further
 
 
 class Direction:
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.delay = 0.0  # seconds added
         self.rate = 0.0  # bytes a second, 0: no bound
-        self.carried = 0
+        self.bytes_carried = 0
         self._open = asyncio.Event()
         self._open.set()
 
@@ -32,29 +32,29 @@
         """Whether nothing gets through."""
         return not self._open.is_set()
 
-    def silence(self, on: bool = True) -> None:
+    def silence(self, enabled: bool = True) -> None:
         """Hold back all bytes, with the connections left standing, or let them go on."""
-        if on:
+        if enabled:
             self._open.clear()
         else:
             self._open.set()
 
-    async def passable(self) -> None:
+    async def wait_until_open(self) -> None:
         """Wait until bytes get through."""
         await self._open.wait()
 
 
-class Pair:
+class ProxiedConnection:
     """A connection through the proxy: both its ends and what is on the way."""
 
-    def __init__(self, proxy: FaultProxy, near: asyncio.StreamWriter) -> None:
-        self.proxy, self.near = proxy, near
-        self.far: asyncio.StreamWriter | None = None
+    def __init__(self, proxy: FaultProxy, client_writer: asyncio.StreamWriter) -> None:
+        self.proxy, self.client_writer = proxy, client_writer
+        self.target_writer: asyncio.StreamWriter | None = None
         self.tasks: list[asyncio.Task[None]] = []
 
     def reset(self) -> None:
         """Break both ends with a TCP reset."""
-        for writer in (self.near, self.far):
+        for writer in (self.client_writer, self.target_writer):
             if writer is not None:
                 sock = writer.get_extra_info("socket")
                 if sock is not None:
@@ -64,53 +64,53 @@
         for task in self.tasks:
             task.cancel()
 
-    async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Direction) -> None:
+    async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction) -> None:
         """Carry one way to its end, then end the sending on the other side."""
-        held: deque[tuple[float, bytes]] = deque()
-        size, ended = 0, False
-        news, room = asyncio.Event(), asyncio.Event()
+        buffered: deque[tuple[float, bytes]] = deque()
+        buffered_bytes, ended = 0, False
+        data_available, space_available = asyncio.Event(), asyncio.Event()
 
         async def take() -> None:
-            nonlocal size, ended
+            nonlocal buffered_bytes, ended
             try:
-                while data := await reader.read(CHUNK):
-                    held.append((time.monotonic() + way.delay, data))
-                    size += len(data)
-                    news.set()
-                    while size > HELD:
-                        room.clear()
-                        await room.wait()
+                while data := await reader.read(CHUNK_BYTES):
+                    buffered.append((time.monotonic() + direction.delay, data))
+                    buffered_bytes += len(data)
+                    data_available.set()
+                    while buffered_bytes > MAX_BUFFERED_BYTES:
+                        space_available.clear()
+                        await space_available.wait()
             except ConnectionError:
                 self.proxy.loop.call_soon(self.reset)  # passed on as what it is
             ended = True
-            news.set()
+            data_available.set()
 
-        taking = asyncio.create_task(take())
+        reading = asyncio.create_task(take())
         try:
             while True:
-                while held:
-                    due, data = held.popleft()
-                    if (wait := due - time.monotonic()) > 0:
+                while buffered:
+                    due_at, data = buffered.popleft()
+                    if (wait := due_at - time.monotonic()) > 0:
                         await asyncio.sleep(wait)
-                    await way.passable()
+                    await direction.wait_until_open()
                     writer.write(data)
-                    way.carried += len(data)
+                    direction.bytes_carried += len(data)
                     await writer.drain()
-                    if way.rate > 0:
-                        await asyncio.sleep(len(data) / way.rate)
-                    size -= len(data)
-                    room.set()
+                    if direction.rate > 0:
+                        await asyncio.sleep(len(data) / direction.rate)
+                    buffered_bytes -= len(data)
+                    space_available.set()
                 if ended:
                     break
-                news.clear()
-                await news.wait()
-            await way.passable()
+                data_available.clear()
+                await data_available.wait()
+            await direction.wait_until_open()
             if writer.can_write_eof():
                 writer.write_eof()
         except ConnectionError:
             self.reset()
         finally:
-            taking.cancel()
+            reading.cancel()
 
 
 class FaultProxy:
@@ -119,16 +119,16 @@
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
         self.up, self.down = Direction(), Direction()  # from the client to the target, and back
-        self.refusing = False
+        self.resets_new_connections = False
         self.accepted = 0
         self.port = 0
-        self._pairs: set[Pair] = set()
+        self._connections: set[ProxiedConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> FaultProxy:
         """Listen."""
         self.loop = asyncio.get_running_loop()
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=CHUNK)
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=CHUNK_BYTES)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -140,7 +140,7 @@
     @property
     def open(self) -> int:
         """How many connections stand."""
-        return len(self._pairs)
+        return len(self._connections)
 
     def delay(self, up: float = 0.0, down: float = 0.0) -> None:
         """Add so many seconds each way."""
@@ -155,21 +155,21 @@
         self.up.silence(up)
         self.down.silence(down)
 
-    def refuse(self, on: bool = True) -> None:
+    def reset_new_connections(self, enabled: bool = True) -> None:
         """Reset each new connection."""
-        self.refusing = on
+        self.resets_new_connections = enabled
 
     def reset(self) -> None:
         """Break all connections that stand."""
-        for pair in list(self._pairs):
-            pair.reset()
+        for connection in list(self._connections):
+            connection.reset()
 
     def heal(self) -> None:
         """Carry all as if nothing were wrong; what was held back goes on."""
         self.delay()
         self.throttle()
         self.silence(False, False)
-        self.refuse(False)
+        self.reset_new_connections(False)
 
     async def stop(self) -> None:
         """Listen no more and break what stands."""
@@ -180,22 +180,22 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted += 1
-        pair = Pair(self, writer)
-        if self.refusing:
-            pair.reset()
+        connection = ProxiedConnection(self, writer)
+        if self.resets_new_connections:
+            connection.reset()
             return
-        self._pairs.add(pair)
+        self._connections.add(connection)
         with contextlib.suppress(asyncio.CancelledError):
             try:
-                await self.up.passable()  # as a connection through a cut would never come up
-                far_reader, pair.far = await asyncio.open_connection(*self.target, limit=CHUNK)
-                pair.tasks = [
-                    asyncio.create_task(pair.pump(reader, pair.far, self.up)),
-                    asyncio.create_task(pair.pump(far_reader, writer, self.down)),
+                await self.up.wait_until_open()  # as a connection through a cut would never come up
+                target_reader, connection.target_writer = await asyncio.open_connection(*self.target, limit=CHUNK_BYTES)
+                connection.tasks = [
+                    asyncio.create_task(connection.forward(reader, connection.target_writer, self.up)),
+                    asyncio.create_task(connection.forward(target_reader, writer, self.down)),
                 ]
-                await asyncio.gather(*pair.tasks)
-                pair.far.close()
+                await asyncio.gather(*connection.tasks)
+                connection.target_writer.close()
                 writer.close()
             except OSError:
-                pair.reset()
-        self._pairs.discard(pair)
+                connection.reset()
+        self._connections.discard(connection)
--- a/rig/installation.py
+++ b/rig/installation.py
@@ -23,11 +23,11 @@
 from rig.etcd import EtcdStandIn
 from rig.fake_servers import Discovery, Gatekeeper, spawn
 from rig.faults import FaultProxy
-from rig.limited_worker import Meter, ModelledWorker, Record
+from rig.limited_worker import LimitedWorker, Meter, WorkRecord
 from rig.traffic import PlanShape
 
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "example.json"
-PORTS, CHANCE = (12_000, 32_000), SystemRandom()
+PORT_RANGE, PORT_RANDOM = (12_000, 32_000), SystemRandom()
 QUICK = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: what takes seconds takes a third of them
 
 
@@ -37,7 +37,7 @@
     Guards against a connection that is made while a process is away, and takes the port that it is to come back to.
     """
     while True:
-        port = CHANCE.randrange(*PORTS)
+        port = PORT_RANDOM.randrange(*PORT_RANGE)
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -68,28 +68,28 @@
     ) -> None:
         self.count, self.terms, self.seed, self.proxied = forwarders, terms, seed, proxied
         self.sockets, self.session, self.paces = sockets, session, paces
-        made: dict[str, Any] = json.loads(EXAMPLE.read_text())
-        made["settings"]["NInstances"] = forwarders
+        example: dict[str, Any] = json.loads(EXAMPLE.read_text())
+        example["settings"]["NInstances"] = forwarders
         if plans is not None:
-            usual = {**made["settings"]["Plans"][0], "HardRate": 0, "CapDepth": 0}
-            made["settings"]["Plans"] = [{**usual, **plan} for plan in plans]
+            default_plan = {**example["settings"]["Plans"][0], "HardRate": 0, "CapDepth": 0}
+            example["settings"]["Plans"] = [{**default_plan, **plan} for plan in plans]
         for key, value in (settings or {}).items():
             if isinstance(value, dict):
-                made["settings"][key].update(value)
+                example["settings"][key].update(value)
             else:
-                made["settings"][key] = value
-        self.settings: dict[str, Any] = made["settings"]
-        self._example = made
+                example["settings"][key] = value
+        self.settings: dict[str, Any] = example["settings"]
+        self._example = example
         self.plans = {p["Name"]: PlanShape(p["Refill"], p["MostAtOnce"]) for p in self.settings["Plans"]}
-        self.record = Record()
+        self.record = WorkRecord()
         self.meter = Meter({name: plan.rate for name, plan in self.plans.items()})
-        model = capacity or Capacity(cores=2, queue=24, thrash=0.05)
-        models = list(capacities) if capacities is not None else [model] * workers
+        worker_capacity = capacity or Capacity(cores=2, queue=24, thrash=0.05)
+        worker_capacities = list(capacities) if capacities is not None else [worker_capacity] * workers
         self.workers = [
-            ModelledWorker(
+            LimitedWorker(
                 f"worker-{n + 1}", each, service, seed, zone="abc"[n % 3], meter=self.meter, record=self.record
             )
-            for n, each in enumerate(models)
+            for n, each in enumerate(worker_capacities)
         ]
         self.names = [f"p{n + 1}" for n in range(planners)]
         self.planner_ports = {name: free_port() for name in self.names}
@@ -98,7 +98,7 @@
         self.links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder and planner
         self.store_links: dict[str, FaultProxy] = {}  # by planner
         self.store: EtcdStandIn | None = EtcdStandIn() if planners else None
-        self._folder = tempfile.TemporaryDirectory()
+        self._directory = tempfile.TemporaryDirectory()
         self.secret = "a secret of the installation"
 
     async def __aenter__(self) -> Self:
@@ -122,7 +122,7 @@
 
     def planners_file(self, ports: dict[str, int], endpoint: str, name: str, secret: str = "") -> str:
         """Write a planners' configuration; its path."""
-        folder = Path(self._folder.name)
+        folder = Path(self._directory.name)
         (folder / f"{name}.secret").write_text(secret or self.secret)
         terms = "\n".join(
             f"{key} = {getattr(self.terms, key)}" for key in ("life", "term", "drift", "interval", "entries", "shards")
@@ -153,20 +153,20 @@
             endpoint = f"http://{self.store_links[name].address}"
         file = self.planners_file(self.planner_ports, endpoint, f"planner-{name}")
         planner = self.planners[name] = await spawn("{}", "plan", "--config", file, "--name", name)
-        await self._listening(planner)
+        await self._wait_until_listening(planner)
         return planner
 
     async def forward(self, number: int) -> Gatekeeper:
         """Start a forwarder, or start it anew under its old name; with no planners a plain gatekeeper."""
-        made = copy.deepcopy(self._example)
-        made.update(
+        configuration = copy.deepcopy(self._example)
+        configuration.update(
             name=f"f{number}",
             listen="127.0.0.1:0",
             discovery=f"127.0.0.1:{self.discovery.port}",
             seed=f"{self.seed * 1000 + number:x}",
         )
-        made["limits"]["sockets"] = self.sockets
-        words: tuple[str, ...] = ()
+        configuration["limits"]["sockets"] = self.sockets
+        arguments: tuple[str, ...] = ()
         if self.names:
             assert self.store is not None
             ports = dict(self.planner_ports)
@@ -176,28 +176,28 @@
                         self.links[number, name] = await FaultProxy(("127.0.0.1", port)).start()
                     ports[name] = self.links[number, name].port
             file = self.planners_file(ports, self.store.endpoint, f"forwarder-{number}")
-            words = ("forward", "--number", str(number), "--config", file)
-        gate = await self._spawn(number, made, words)
-        await self._listening(gate)
-        while await gate.health() != 200:
+            arguments = ("forward", "--number", str(number), "--config", file)
+        gatekeeper = await self._spawn(number, configuration, arguments)
+        await self._wait_until_listening(gatekeeper)
+        while await gatekeeper.health() != 200:
             await asyncio.sleep(0.02)
         while len(self.forwarders) <= number:
-            self.forwarders.append(gate)
-        self.forwarders[number] = gate
-        return gate
+            self.forwarders.append(gatekeeper)
+        self.forwarders[number] = gatekeeper
+        return gatekeeper
 
-    async def _spawn(self, number: int, made: dict[str, Any], words: tuple[str, ...]) -> Gatekeeper:
+    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> Gatekeeper:
         """Start the program as this forwarder."""
-        return await spawn(made, *words)
+        return await spawn(configuration, *arguments)
 
     @staticmethod
-    async def _listening(gate: Gatekeeper) -> None:
-        told, ended = asyncio.create_task(gate.listening()), asyncio.create_task(gate.process.wait())
-        await asyncio.wait({told, ended}, return_when=asyncio.FIRST_COMPLETED)
-        told.cancel()
-        if not gate.port:
+    async def _wait_until_listening(gatekeeper: Gatekeeper) -> None:
+        listening, ended = asyncio.create_task(gatekeeper.listening()), asyncio.create_task(gatekeeper.process.wait())
+        await asyncio.wait({listening, ended}, return_when=asyncio.FIRST_COMPLETED)
+        listening.cancel()
+        if not gatekeeper.port:
             await asyncio.sleep(0.05)
-            raise RuntimeError("a process did not start: " + "".join(gate.log).strip())
+            raise RuntimeError("a process did not start: " + "".join(gatekeeper.log).strip())
         ended.cancel()
 
     @property
@@ -221,4 +221,4 @@
             self.discovery.stop()
         for worker in self.workers:
             worker.stop()
-        self._folder.cleanup()
+        self._directory.cleanup()
--- a/rig/limited_worker.py
+++ b/rig/limited_worker.py
@@ -20,21 +20,25 @@
 
     def __init__(self, rates: dict[str, float], period: float = 1.0) -> None:
         self._rates, self.period = rates, period
-        self._began = 0.0
-        self._now: Counter[tuple[str, str]] = Counter()
-        self._last: Counter[tuple[str, str]] = Counter()
+        self._period_start = 0.0
+        self._current_units: Counter[tuple[str, str]] = Counter()
+        self._previous_units: Counter[tuple[str, str]] = Counter()
 
-    def used(self, now: float, customer: str, plan: str, units: float) -> float | None:
+    def record_use(self, now: float, customer: str, plan: str, units: float) -> float | None:
         """Count a request's units; the customer's use in the last period, None for a plan with no rate."""
-        if now - self._began >= self.period:
-            whole = now - self._began < 2 * self.period
-            self._last, self._now, self._began = self._now if whole else Counter(), Counter(), now
-        self._now[customer, plan] += units  # type: ignore[assignment]
+        if now - self._period_start >= self.period:
+            is_consecutive = now - self._period_start < 2 * self.period
+            self._previous_units, self._current_units, self._period_start = (
+                self._current_units if is_consecutive else Counter(),
+                Counter(),
+                now,
+            )
+        self._current_units[customer, plan] += units  # type: ignore[assignment]
         rate = self._rates.get(plan, 0.0)
-        return self._last[customer, plan] / self.period / rate if rate else None
+        return self._previous_units[customer, plan] / self.period / rate if rate else None
 
 
-class Record:
+class WorkRecord:
     """What a set of workers did, for the rules: how often each request's work was begun, and peaks."""
 
     def __init__(self) -> None:
@@ -42,26 +46,26 @@
         self.units: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by customer and plan: when, units
         self.keep_units = False
 
-    def note(self, now: float, request: str, customer: str, plan: str, units: float) -> None:
+    def record_start(self, now: float, request: str, customer: str, plan: str, units: float) -> None:
         """A worker has begun a request."""
         self.begun[request] += 1
         if self.keep_units:
             self.units.setdefault((customer, plan), []).append((now, units))
 
 
-def overspent(units: list[tuple[float, float]], rate: float, depth: float) -> float:
+def overspent(units: list[tuple[float, float]], rate: float, capacity: float) -> float:
     """By how many units at most all together were over a store of this rate and depth that began full.
 
     Below 0: they were never over it, and so many units were left at the least.
     """
-    level, at, worst = depth, 0.0, -depth
+    level, updated_at, worst = capacity, 0.0, -capacity
     for when, amount in sorted(units):
-        level = min(depth, level + (when - at) * rate) - amount if at else depth - amount
-        at, worst = when, max(worst, -level)
+        level = min(capacity, level + (when - updated_at) * rate) - amount if updated_at else capacity - amount
+        updated_at, worst = when, max(worst, -level)
     return worst
 
 
-class ModelledWorker:
+class LimitedWorker:
     """A worker whose capacity is modelled; `service` is the seconds that a unit takes of one warm core."""
 
     def __init__(
@@ -70,16 +74,16 @@
         capacity: Capacity,
         service: float,
         seed: int = 0,
-        cv: float = 0.5,
+        service_cv: float = 0.5,
         zone: str = "a",
         meter: Meter | None = None,
-        record: Record | None = None,
-        cold: bool = False,
+        record: WorkRecord | None = None,
+        slow_start: bool = False,
     ) -> None:
-        self.name, self.zone, self.service, self.cv = name, zone, service, cv
-        self.meter, self.record = meter, record or Record()
+        self.name, self.zone, self.service, self.service_cv = name, zone, service, service_cv
+        self.meter, self.record = meter, record or WorkRecord()
         self.random = Random(f"{seed} {name}")
-        self.capacity, self.cold = capacity, cold
+        self.capacity, self.cold = capacity, slow_start
         self.load = Load(capacity)
         self.frozen = False
         self.port = 0
@@ -88,7 +92,7 @@
         self._server: asyncio.Server | None = None
         self._ends: set[_Connection] = set()
 
-    async def start(self) -> ModelledWorker:
+    async def start(self) -> LimitedWorker:
         """Listen, cold if told so."""
         self.loop = asyncio.get_running_loop()
         self.load = Load(self.capacity, started=self.loop.time() if self.cold else None)
@@ -104,8 +108,8 @@
         """Die: connections are reset, new ones refused."""
         if self._server is not None:
             self._server.close()
-        for end in list(self._ends):
-            end.abort()
+        for connection in list(self._ends):
+            connection.abort()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
         """Its line in discovery's list."""
@@ -125,12 +129,12 @@
 class _Connection(asyncio.Protocol):
     """A gatekeeper's connection: one request at a time."""
 
-    def __init__(self, worker: ModelledWorker) -> None:
+    def __init__(self, worker: LimitedWorker) -> None:
         self._worker = worker
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
-        self._fields: dict[bytes, bytes] = {}
+        self._headers: dict[bytes, bytes] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -151,39 +155,39 @@
             self.abort()
 
     def on_message_begin(self) -> None:
-        self._url, self._fields = b"", {}
+        self._url, self._headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._fields[name.lower()] = value
+        self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
         worker = self._worker
         if worker.frozen:
             return
         now = worker.loop.time()
-        name = self._fields.get(b"x-request-id", b"").decode()
-        plan = self._fields.get(b"x-tariff", b"").decode()
-        weight = self._fields.get(b"x-weight", b"")
+        request_id = self._headers.get(b"x-request-id", b"").decode()
+        plan = self._headers.get(b"x-tariff", b"").decode()
+        weight = self._headers.get(b"x-weight", b"")
         units = float(next((part[6:] for part in weight.split(b",") if part.startswith(b"units=")), b"1"))
         customer = self._url.partition(b"customer=")[2].partition(b"&")[0].decode()
-        shape = 1 / worker.cv**2
+        shape = 1 / worker.service_cv**2
         work = units * worker.service * worker.random.gammavariate(shape, 1 / shape)
-        done = worker.load.arrive(now, work)
-        if done is None:
+        done_at = worker.load.arrive(now, work)
+        if done_at is None:
             self._reply(503, b"X-Not-Processed: 1\r\n", b"full\n")
             return
-        worker.peak = max(worker.peak, done - now)
-        worker.record.note(now, name, customer, plan, units)
-        used = worker.meter.used(now, customer, plan, units) if worker.meter else None
-        told = b"" if used is None else b"X-Allowance-Used: %.1f\r\n" % (100 * used)
-        worker.loop.call_at(done, self._done, worker.load, told, name)
+        worker.peak = max(worker.peak, done_at - now)
+        worker.record.record_start(now, request_id, customer, plan, units)
+        use_ratio = worker.meter.record_use(now, customer, plan, units) if worker.meter else None
+        use_header = b"" if use_ratio is None else b"X-Allowance-Used: %.1f\r\n" % (100 * use_ratio)
+        worker.loop.call_at(done_at, self._complete, worker.load, use_header, request_id)
 
-    def _done(self, load: Load, headers: bytes, name: str) -> None:
+    def _complete(self, load: Load, headers: bytes, request_id: str) -> None:
         if not self._worker.frozen and load is self._worker.load:
-            self._reply(200, headers, name.encode())
+            self._reply(200, headers, request_id.encode())
 
     def _reply(self, status: int, headers: bytes, body: bytes) -> None:
         if self._transport is not None:
--- a/rig/loops.py
+++ b/rig/loops.py
@@ -53,17 +53,17 @@
     def __init__(self, loop: SimulatedLoop, protocol: Any) -> None:
         self._loop, self.protocol = loop, protocol
         self.delivered = bytearray()
-        self._waiting = bytearray()
+        self._unflushed = bytearray()
         self.closed = self._closing = False
-        self._flushes = False
+        self._flush_scheduled = False
 
     def write(self, data: bytes) -> None:
         """Take bytes; what comes after a close is nothing."""
         if self._closing or self.closed:
             return
-        self._waiting += data
-        if not self._flushes:
-            self._flushes = True
+        self._unflushed += data
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def writelines(self, pieces: Any) -> None:
@@ -71,10 +71,10 @@
         self.write(b"".join(pieces))
 
     def _flush(self) -> None:
-        self._flushes = False
+        self._flush_scheduled = False
         if not self.closed:
-            self.delivered += self._waiting
-            self._waiting.clear()
+            self.delivered += self._unflushed
+            self._unflushed.clear()
             if self._closing:
                 self.lost()
 
@@ -91,14 +91,14 @@
         """What waits is dropped."""
         if not self.closed:
             self._closing = True
-            self._waiting.clear()
+            self._unflushed.clear()
             self._loop.call_soon(self.lost)
 
     def lost(self) -> None:
         """The connection is over, whoever ended it."""
         if not self.closed:
             self.closed = self._closing = True
-            self._waiting.clear()
+            self._unflushed.clear()
             self.protocol.connection_lost(None)
 
     def is_closing(self) -> bool:
@@ -112,7 +112,7 @@
 
     def get_write_buffer_size(self) -> int:
         """What waits."""
-        return len(self._waiting)
+        return len(self._unflushed)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """No limits here."""
--- a/rig/member.py
+++ b/rig/member.py
@@ -7,17 +7,17 @@
 from oliveloft.cli import main as verbs
 from oliveloft.fleet import member
 from oliveloft.memory.files import Disk, PlainDisk
-from rig.disks import Broken, Knobbed
+from rig.disks import Broken, DiskFaultsFile
 
 
-def main(knobs: str, words: list[str]) -> int:
+def main(faults_path: str, arguments: list[str]) -> int:
     """Run a verb on a disk with these knobs; the exit status."""
 
     def broken(folder: str) -> Disk:
-        return Broken(PlainDisk(folder), Knobbed(knobs))
+        return Broken(PlainDisk(folder), DiskFaultsFile(faults_path))
 
     member.open_disk = broken
-    return verbs(words)
+    return verbs(arguments)
 
 
 if __name__ == "__main__":
--- a/rig/members.py
+++ b/rig/members.py
@@ -14,7 +14,7 @@
 
 from oliveloft.fleet.config import FleetConfig, load
 from oliveloft.fleet.status import States, gather
-from rig.disks import turn
+from rig.disks import write_disk_faults
 from rig.fake_servers import Gatekeeper, spawn
 from rig.faults import FaultProxy
 from rig.installation import Installation, free_port
@@ -31,32 +31,32 @@
         fleet: bool = True,
         times: dict[str, float] | None = None,
         recovery: dict[str, float] | None = None,
-        **how: Any,
+        **options: Any,
     ) -> None:
-        super().__init__(forwarders, **how)
+        super().__init__(forwarders, **options)
         self.memory, self.linked, self.fleet = memory, linked, fleet
         self.times, self.recovery = times or {}, recovery or {}
         self.peer_ports = [free_port() for _ in range(forwarders)]
-        self.ways: dict[tuple[int, int], FaultProxy] = {}  # from one member to another
-        self.words: dict[int, tuple[str, ...]] = {}  # of a member that is not started as the others are
+        self.peer_links: dict[tuple[int, int], FaultProxy] = {}  # from one member to another
+        self.arguments_by_member: dict[int, tuple[str, ...]] = {}  # of a member that is not started as the others are
         self._example["management"] = "127.0.0.1:0"
 
     def folder(self, number: int) -> Path:
         """A member's disk."""
-        return Path(self._folder.name) / f"disk-{number}"
+        return Path(self._directory.name) / f"disk-{number}"
 
-    def knobs(self, number: int, **knobs: object) -> None:
+    def knobs(self, number: int, **faults: object) -> None:
         """Turn the knobs of a member's disk."""
-        turn(str(Path(self._folder.name) / f"knobs-{number}"), **knobs)
+        write_disk_faults(str(Path(self._directory.name) / f"knobs-{number}"), **faults)
 
     async def fleet_file(self, number: int, name: str = "") -> str:
         """Write a member's file; its path."""
         members = {}
         for other, port in enumerate(self.peer_ports):
             if self.linked and other != number:
-                if (number, other) not in self.ways:
-                    self.ways[number, other] = await FaultProxy(("127.0.0.1", port)).start()
-                port = self.ways[number, other].port
+                if (number, other) not in self.peer_links:
+                    self.peer_links[number, other] = await FaultProxy(("127.0.0.1", port)).start()
+                port = self.peer_links[number, other].port
             members[f"f{other}"] = f"127.0.0.1:{port}"
         tables: dict[str, dict[str, Any]] = {
             "members": members,
@@ -66,7 +66,7 @@
             "times": self.times,
             "recovery": self.recovery,
         }
-        path = Path(self._folder.name) / f"fleet-{name or number}.toml"
+        path = Path(self._directory.name) / f"fleet-{name or number}.toml"
         path.write_text(
             "\n".join(
                 f"[{table}]\n" + "\n".join(f"{key} = {json.dumps(value)}" for key, value in entries.items())
@@ -75,12 +75,14 @@
         )
         return str(path)
 
-    async def _spawn(self, number: int, made: dict[str, Any], words: tuple[str, ...]) -> Gatekeeper:
+    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> Gatekeeper:
         if not self.fleet:
-            return await spawn(made, *words)
+            return await spawn(configuration, *arguments)
         file = await self.fleet_file(number)
-        verb = (*words, "--fleet", file) if words else ("member", "--fleet", file)
-        return await spawn(made, str(Path(self._folder.name) / f"knobs-{number}"), *verb, module="rig.member")
+        command = (*arguments, "--fleet", file) if arguments else ("member", "--fleet", file)
+        return await spawn(
+            configuration, str(Path(self._directory.name) / f"knobs-{number}"), *command, module="rig.member"
+        )
 
     async def fleet_config(self) -> FleetConfig:
         """The fleet's, with no link between."""
@@ -94,16 +96,16 @@
         """What each member says of itself and the others."""
         return await gather(await self.fleet_config())
 
-    def cut(self, one: int, other: int, there: bool = True, back: bool = True) -> None:
+    def cut(self, first: int, second: int, there: bool = True, back: bool = True) -> None:
         """Nothing passes from one member to the other, and back; either way may be left open."""
-        for source, target, up, down in ((one, other, there, back), (other, one, back, there)):
-            if (source, target) in self.ways:
-                self.ways[source, target].silence(up, down)
+        for source, target, up, down in ((first, second, there, back), (second, first, back, there)):
+            if (source, target) in self.peer_links:
+                self.peer_links[source, target].silence(up, down)
 
     def heal(self) -> None:
         """All links carry again."""
-        for way in self.ways.values():
-            way.heal()
+        for link in self.peer_links.values():
+            link.heal()
 
     def kill(self, *numbers: int) -> None:
         """Members lose power, all at the same moment."""
@@ -128,23 +130,23 @@
         shutil.rmtree(self.folder(target), ignore_errors=True)
         shutil.copytree(self.folder(source), self.folder(target))
 
-    async def agree(self, up: int | None = None, within: float = 5.0) -> bool:
+    async def agree(self, alive_count: int | None = None, within: float = 5.0) -> bool:
         """Wait until all that answer have the same view, with so many there; whether they come to."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + within
-        while loop.time() < end:
+        timeout_at = loop.time() + within
+        while loop.time() < timeout_at:
             states = [state for state in (await self.states()).values() if "error" not in state]
-            there = {sum(each["status"] == "alive" for each in state["members"].values()) for state in states}
-            one = len({state["digest"] for state in states}) == 1
-            if states and one and there == {len(states) if up is None else up}:
+            alive_counts = {sum(each["status"] == "alive" for each in state["members"].values()) for state in states}
+            same_digest = len({state["digest"] for state in states}) == 1
+            if states and same_digest and alive_counts == {len(states) if alive_count is None else alive_count}:
                 return True
             await asyncio.sleep(0.05)
         return False
 
     async def __aexit__(self, *error: object) -> None:
-        for gate in self.forwarders:  # one that is stalled could not even be waited for
-            if gate.process.returncode is None:
-                gate.process.send_signal(signal.SIGCONT)
+        for gatekeeper in self.forwarders:  # one that is stalled could not even be waited for
+            if gatekeeper.process.returncode is None:
+                gatekeeper.process.send_signal(signal.SIGCONT)
         await super().__aexit__(*error)
-        for way in self.ways.values():
-            await way.stop()
+        for link in self.peer_links.values():
+            await link.stop()
--- a/rig/process_host.py
+++ b/rig/process_host.py
@@ -41,9 +41,9 @@
 
     async def process(self, ready: bool = True, root: Path | None = None, **changes: Any) -> Gatekeeper:
         """Start one more process, and wait until it says that it serves; `root` is that of another version."""
-        made = {**config(self.discovery.port, limits=self._limits), **changes}
-        made["listen"] = f"127.0.0.1:{self.port}"
-        gatekeeper = await spawn(json.dumps(made), accept=self.socket, folder=self.folder.name, root=root)
+        configuration = {**config(self.discovery.port, limits=self._limits), **changes}
+        configuration["listen"] = f"127.0.0.1:{self.port}"
+        gatekeeper = await spawn(json.dumps(configuration), accept=self.socket, folder=self.folder.name, root=root)
         self.processes.append(gatekeeper)
         if ready:
             await gatekeeper.listening()
@@ -65,15 +65,15 @@
 class Load:
     """Clients that keep their connections; each asks again as soon as it has its reply, `pause` seconds later."""
 
-    def __init__(self, port: int, count: int, pause: float = 0.002) -> None:
-        self.port, self.count, self.pause = port, count, pause
+    def __init__(self, port: int, count: int, pause_seconds: float = 0.002) -> None:
+        self.port, self.count, self.pause_seconds = port, count, pause_seconds
         self.statuses: list[int] = []
         self.times: list[float] = []  # when each reply came
-        self.broken, self.going = 0, True
+        self.broken, self.running = 0, True
 
-    async def _one(self, number: int) -> None:
+    async def _run_client(self, number: int) -> None:
         client = None
-        while self.going:
+        while self.running:
             reply = None
             try:
                 if client is None:
@@ -90,15 +90,15 @@
             self.times.append(time.monotonic())
             if reply.headers.get("connection") == "close":
                 client = None
-            await asyncio.sleep(self.pause)
+            await asyncio.sleep(self.pause_seconds)
 
     async def __aenter__(self) -> Self:
-        self.tasks = [asyncio.create_task(self._one(n)) for n in range(self.count)]
+        self.tasks = [asyncio.create_task(self._run_client(n)) for n in range(self.count)]
         await until(lambda: len(self.statuses) > 100)
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        self.going = False
+        self.running = False
         _, stuck = await asyncio.wait(self.tasks, timeout=5)
         for task in stuck:  # a reply that never comes is as broken as a connection
             task.cancel()
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-MADE = itertools.count(1)  # traffics of this process
+INSTANCE_NUMBERS = itertools.count(1)  # traffics of this process
 
 
 @dataclass(slots=True)
@@ -67,15 +67,15 @@
     """How requests ended; worth is price times units, of what was inside the quotas."""
 
     ends: Counter[str] = field(default_factory=Counter)
-    asked_inside: float = 0.0
-    served_inside: float = 0.0
+    offered_value: float = 0.0
+    served_value: float = 0.0
     waits: list[float] = field(default_factory=list)  # seconds to the answer of those served
     series: dict[int, Counter[str]] = field(default_factory=dict)  # by whole second since the start
 
     @property
     def share(self) -> float:
         """The worth served inside quotas, as a share of that asked inside them."""
-        return self.served_inside / self.asked_inside if self.asked_inside else 0.0
+        return self.served_value / self.offered_value if self.offered_value else 0.0
 
 
 class Traffic:
@@ -98,16 +98,16 @@
         self.timeout, self.aim = timeout, aim
         self.random = Random(seed)
         self.report = Report()
-        self.latest: Counter[str] = Counter()  # ends since it was last taken
+        self.recent_outcomes: Counter[str] = Counter()  # ends since it was last taken
         self._idle: list[deque[_Connection]] = [deque() for _ in ports]
-        self._asked: dict[tuple[str, str], Store] = {}
-        self._served: dict[tuple[str, str], Store] = {}
-        self._numbers = itertools.count(1)
-        self._open: set[_Connection] = set()
-        self._out = 0
+        self._offered_buckets: dict[tuple[str, str], Store] = {}
+        self._served_buckets: dict[tuple[str, str], Store] = {}
+        self._request_numbers = itertools.count(1)
+        self._connections: set[_Connection] = set()
+        self._in_flight = 0
         self._began = 0.0
         # Others may run beside this one, and take the port of a process that was killed: ids must tell them apart.
-        self._stamp = f"{seed:x}.{os.getpid():x}.{next(MADE):x}"
+        self._id_prefix = f"{seed:x}.{os.getpid():x}.{next(INSTANCE_NUMBERS):x}"
         self.filings: set[str] = set()  # ids of the requests that may never run twice
 
     async def run(self, seconds: float, settle: bool = True) -> Report:
@@ -130,7 +130,7 @@
             wait = self._began + at - loop.time()
             if wait > 0.001:
                 await asyncio.sleep(wait)
-            self._ask(at, self.customers[number])
+            self._send_request(at, self.customers[number])
         if settle:
             await self.settle()
         elif (wait := self._began + start + seconds - loop.time()) > 0:
@@ -141,88 +141,88 @@
         """Wait for what is out, and close the connections."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.timeout + 0.5
-        while self._out and loop.time() < end:
+        while self._in_flight and loop.time() < end:
             await asyncio.sleep(0.02)
-        for connection in list(self._open):
+        for connection in list(self._connections):
             connection.close()
 
-    def _ask(self, at: float, customer: Customer) -> None:
+    def _send_request(self, scheduled_at: float, customer: Customer) -> None:
         key = customer.name, customer.plan
         plan = self.plans[customer.plan]
-        if self._store(self._asked, key, plan, at).take(at, customer.units):
-            self.report.asked_inside += plan.price * customer.units
-        number = next(self._numbers)
+        if self._bucket(self._offered_buckets, key, plan, scheduled_at).take(scheduled_at, customer.units):
+            self.report.offered_value += plan.price * customer.units
+        number = next(self._request_numbers)
         if customer.klass != "read":
-            self.filings.add(f"{self._stamp}-{number}")
+            self.filings.add(f"{self._id_prefix}-{number}")
         body = b"" if customer.klass == "read" else b"a note"
         message = (
             f"{'GET' if customer.klass == 'read' else 'POST'} /{customer.klass}?customer={customer.name} "
-            f"HTTP/1.1\r\nHost: origin\r\nX-Request-ID: {self._stamp}-{number}\r\n"
+            f"HTTP/1.1\r\nHost: origin\r\nX-Request-ID: {self._id_prefix}-{number}\r\n"
             f"X-Priority-Class: {customer.klass}\r\nX-Tariff: {customer.plan}\r\n"
             f"X-Timeout: {self.timeout:.3f}\r\n"
             f"X-Weight: units={customer.units:g},spread={customer.spread},first={customer.first}\r\n"
             + (f"Content-Length: {len(body)}\r\n" if body else "")
             + "\r\n"
         ).encode() + body
-        place = customer.route(at) % len(self.ports)
-        asked = _Asked(at, key, plan, customer.units, message)
-        self._out += 1
-        idle = self._idle[place]
+        port_index = customer.route(scheduled_at) % len(self.ports)
+        pending = _PendingRequest(scheduled_at, key, plan, customer.units, message)
+        self._in_flight += 1
+        idle = self._idle[port_index]
         while idle:
             connection = idle.pop()
-            if connection.send(asked):
+            if connection.send(pending):
                 return
-        connection = _Connection(self, place)
-        self._open.add(connection)
-        self._loop.create_task(self._connect(connection, asked))
+        connection = _Connection(self, port_index)
+        self._connections.add(connection)
+        self._loop.create_task(self._connect(connection, pending))
 
-    async def _connect(self, connection: _Connection, asked: _Asked) -> None:
+    async def _connect(self, connection: _Connection, pending: _PendingRequest) -> None:
         try:
             async with asyncio.timeout(self.timeout):
-                await self._loop.create_connection(lambda: connection, "127.0.0.1", self.ports[connection.place])
-            if not connection.send(asked):
+                await self._loop.create_connection(lambda: connection, "127.0.0.1", self.ports[connection.port_index])
+            if not connection.send(pending):
                 raise ConnectionError
         except OSError:
-            self._open.discard(connection)
-            self.ended(asked, "failed")
+            self._connections.discard(connection)
+            self.ended(pending, "failed")
 
     @staticmethod
-    def _store(stores: dict[tuple[str, str], Store], key: tuple[str, str], plan: PlanShape, at: float) -> Store:
-        store = stores.get(key)
-        if store is None:
-            store = stores[key] = Store(plan, at)
-        return store
+    def _bucket(buckets: dict[tuple[str, str], Store], key: tuple[str, str], plan: PlanShape, now: float) -> Store:
+        bucket = buckets.get(key)
+        if bucket is None:
+            bucket = buckets[key] = Store(plan, now)
+        return bucket
 
-    def ended(self, asked: _Asked, how: str) -> None:
+    def ended(self, pending: _PendingRequest, outcome: str) -> None:
         """A request has its answer, or none."""
-        self._out -= 1
-        wait = self._loop.time() - self._began - asked.at
-        if how == "served" and wait > self.aim:
-            how = "late"
-        self.report.ends[how] += 1
-        self.latest[how] += 1
-        second = self.report.series.setdefault(int(asked.at), Counter())
-        second[how] += 1
-        if how == "served":
-            self.report.waits.append(wait)
-            if self._store(self._served, asked.key, asked.plan, asked.at).take(
-                max(asked.at, self._served[asked.key].at), asked.units
+        self._in_flight -= 1
+        latency = self._loop.time() - self._began - pending.scheduled_at
+        if outcome == "served" and latency > self.aim:
+            outcome = "late"
+        self.report.ends[outcome] += 1
+        self.recent_outcomes[outcome] += 1
+        second_outcomes = self.report.series.setdefault(int(pending.scheduled_at), Counter())
+        second_outcomes[outcome] += 1
+        if outcome == "served":
+            self.report.waits.append(latency)
+            if self._bucket(self._served_buckets, pending.customer_key, pending.plan, pending.scheduled_at).take(
+                max(pending.scheduled_at, self._served_buckets[pending.customer_key].at), pending.units
             ):
-                self.report.served_inside += asked.plan.price * asked.units
+                self.report.served_value += pending.plan.price * pending.units
 
-    def rests(self, connection: _Connection) -> None:
+    def connection_idle(self, connection: _Connection) -> None:
         """A connection is free again."""
-        self._idle[connection.place].append(connection)
+        self._idle[connection.port_index].append(connection)
 
-    def gone(self, connection: _Connection) -> None:
+    def connection_closed(self, connection: _Connection) -> None:
         """A connection has ended."""
-        self._open.discard(connection)
+        self._connections.discard(connection)
 
 
 @dataclass(slots=True)
-class _Asked:
-    at: float
-    key: tuple[str, str]
+class _PendingRequest:
+    scheduled_at: float
+    customer_key: tuple[str, str]
     plan: PlanShape
     units: float
     message: bytes
@@ -231,43 +231,43 @@
 class _Connection(asyncio.Protocol):
     """A client's connection: one request at a time, once more on a new one if it had been closed unread."""
 
-    def __init__(self, traffic: Traffic, place: int) -> None:
-        self._traffic, self.place = traffic, place
+    def __init__(self, traffic: Traffic, port_index: int) -> None:
+        self._traffic, self.port_index = traffic, port_index
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._asked: _Asked | None = None
+        self._pending: _PendingRequest | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
-    def send(self, asked: _Asked) -> bool:
+    def send(self, pending: _PendingRequest) -> bool:
         if self._transport is None or self._transport.is_closing():
             return False
-        self._asked = asked
-        self._transport.write(asked.message)
+        self._pending = pending
+        self._transport.write(pending.message)
         self._timer = self._traffic._loop.call_later(self._traffic.timeout + 0.2, self._expired)
         return True
 
     def _expired(self) -> None:
-        self._end("failed")
+        self._finish("failed")
         self.close()
 
     def data_received(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._end("failed")
+            self._finish("failed")
             self.close()
             return
         if self._complete:
             self._complete = False
             status = self._parser.get_status_code()
             keep = self._parser.should_keep_alive()
-            self._end("served" if status == 200 else "refused" if status in (429, 503) else "failed")
+            self._finish("served" if status == 200 else "refused" if status in (429, 503) else "failed")
             if keep:
-                self._traffic.rests(self)
+                self._traffic.connection_idle(self)
             else:
                 self.close()
 
@@ -276,16 +276,16 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._end("failed")
-        self._traffic.gone(self)
+        self._finish("failed")
+        self._traffic.connection_closed(self)
 
-    def _end(self, how: str) -> None:
-        asked, self._asked = self._asked, None
+    def _finish(self, outcome: str) -> None:
+        pending, self._pending = self._pending, None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if asked is not None:
-            self._traffic.ended(asked, how)
+        if pending is not None:
+            self._traffic.ended(pending, outcome)
 
     def close(self) -> None:
         if self._transport is not None:
--- a/tests/rig/test_demo.py
+++ b/tests/rig/test_demo.py
@@ -11,7 +11,7 @@
 from oliveloft import cli
 from rig.capacity import Capacity
 from rig.fake_servers import run
-from rig.limited_worker import Meter, ModelledWorker, Record
+from rig.limited_worker import LimitedWorker, Meter, WorkRecord
 from rig.traffic import Customer, PlanShape, Traffic
 
 ROOT = Path(__file__).parents[2]
@@ -64,9 +64,9 @@
 
 def test_clients_keep_account_of_what_was_inside_a_quota():
     async def scenario():
-        record = Record()
+        record = WorkRecord()
         meter = Meter({"free": 10.0})
-        worker = await ModelledWorker("w", Capacity(1, 2), 0.002, meter=meter, record=record).start()
+        worker = await LimitedWorker("w", Capacity(1, 2), 0.002, meter=meter, record=record).start()
         asked = Customer("00000000000000aa", "free", lambda at: 60.0, lambda at: 0, top=60.0)
         load = Traffic([worker.port], [asked], {"free": PlanShape(10.0, 5.0)}, seed=3)
         report = await load.run(2.0)
@@ -74,7 +74,7 @@
         ends = sum(report.ends.values())
         assert ends > 70 and report.ends["served"] == sum(record.begun.values())
         assert report.ends["served"] + report.ends["refused"] == ends  # a bare worker, full now and then
-        assert 20 <= report.asked_inside <= 26  # a burst of 5 and 2 s at 10
+        assert 20 <= report.offered_value <= 26  # a burst of 5 and 2 s at 10
         assert 0.8 < report.share <= 1.0
         assert max(record.begun.values()) == 1
 
@@ -83,7 +83,7 @@
 
 def test_a_frozen_worker_says_nothing_and_a_stopped_one_refuses():
     async def scenario():
-        worker = await ModelledWorker("w", Capacity(), 0.001).start()
+        worker = await LimitedWorker("w", Capacity(), 0.001).start()
         worker.frozen = True
         one = Customer("00000000000000aa", "free", lambda at: 30.0, lambda at: 0, top=30.0)
         load = Traffic([worker.port], [one], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
--- a/tests/rig/test_faults.py
+++ b/tests/rig/test_faults.py
@@ -45,7 +45,7 @@
             writer.write(message)
             writer.write_eof()
             assert await reader.read(-1) == message
-            assert proxy.up.carried == proxy.down.carried == len(message)
+            assert proxy.up.bytes_carried == proxy.down.bytes_carried == len(message)
 
     run(scenario())
 
@@ -80,7 +80,7 @@
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(1)
             await until(lambda: b"<reset>" in got)
-            proxy.refuse()
+            proxy.reset_new_connections()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 reader, writer = await dial(proxy)
                 writer.write(b"x")
