--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -1,8 +1,10 @@
-"""Stand-ins and fault injection, shared by tests, benchmarks and the demo; loopback only.
+"""Test harness: fake servers, fault injectors and simulations, shared by tests, benchmarks and the demo; loopback only.
 
-`simulation` a clock and a network that run by the thousand from a seed; `capacity` what a worker can take;
-`planning` forwarders and planners on those; `fleet` decisions against modelled workers in simulated time;
-`fake_servers` and `limited_worker` on sockets; `traffic` clients with a shape; `faults` a TCP proxy that breaks
-links on command; `etcd` a stand-in store; `installation` all of it with the real program in processes;
-`traces` records days.
+In simulated time: `simulation` provides a seeded clock and network, cheap enough to run thousands of schedules;
+`capacity` models what a worker can do; `planning` runs forwarders and planners on these; `fleet` runs the decisions
+against simulated workers; `traces` records such runs.
+
+On sockets and in processes: `fake_servers` and `limited_worker` are workers, discovery and clients; `traffic` generates
+open-loop load; `faults` is a TCP proxy that injects network faults; `etcd` is a fake etcd server; `installation` starts
+all of it together with the real program in processes of its own.
 """
--- a/rig/agent.py
+++ b/rig/agent.py
@@ -1,7 +1,7 @@
-"""A fake discovery agent that keeps every version, and fails in the ways that an agent may.
+"""A fake discovery agent that keeps the history of versions, with injectable faults.
 
-Source of the wire form: the protocol page, section Discovery. Any number of calls may be open at once; each is answered
-with what changed after the version that it names.
+It speaks the discovery protocol of the gatekeeper: HTTP long polls with JSON bodies. Any number of calls may be open at
+once; the response to each holds the changes after the version that the call names, or a snapshot if that is unknown.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 @dataclass
 class AgentFaults:
-    """What is wrong with an agent, in force for answers that are composed from now on."""
+    """The faults of an agent; they apply to responses composed from now on."""
 
-    delay_seconds: Callable[[], float] = field(default=lambda: 0.0)  # drawn for each answer, between compose and write
-    trickle_seconds: float = 0.0  # between two pieces of an answer; 0 writes it in one
-    pieces: int = 8  # of a trickled answer
-    unresponsive: bool = False  # calls that come now are never answered
+    delay_seconds: Callable[[], float] = field(default=lambda: 0.0)  # before each composed response is written
+    trickle_seconds: float = 0.0  # between two pieces of a response; 0 writes it at once
+    pieces: int = 8  # of a trickled response
+    unresponsive: bool = False  # calls received now never get a response
     close_after_answer: bool = False
     always_snapshot: bool = False
 
 
 class FakeAgent(Listener):
-    """An agent with a versioned list of endpoints."""
+    """A discovery agent with a versioned list of endpoints."""
 
     def __init__(self, entries: list[dict[str, Any]], index: int = 1) -> None:
         self.index = index
@@ -37,12 +37,12 @@
         self.faults = AgentFaults()
         self.calls: list[str] = []
         self._history: list[tuple[int, dict[str, Any]]] = []
-        self._first_index = index  # the earliest version that deltas go on from
-        self._changed = asyncio.Event()  # of the present version; the next one has its own
+        self._first_index = index  # the earliest version that a delta can start from
+        self._changed = asyncio.Event()  # set when the present version ends; each version has its own event
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def change(self, *entries: dict[str, Any]) -> None:
-        """Publish one further version in which these entries have changed."""
+        """Publish one new version in which these entries changed."""
         self.index += 1
         for entry in entries:
             self._history.append((self.index, entry))
@@ -54,12 +54,12 @@
         changed.set()
 
     def reset_connections(self) -> None:
-        """Break every connection that stands; new ones are taken."""
+        """Abort every open connection; new ones are accepted."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def stop(self) -> None:
-        """Listen no more, and break what stands."""
+        """Stop listening, and abort every open connection."""
         super().stop()
         self.reset_connections()
 
--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -1,7 +1,7 @@
-"""Long bodies for tests and benchmarks: a worker that gives and takes them at a pace, and a client that does.
+"""Long bodies for tests and benchmarks: a worker and a client that send and read them at a limited rate.
 
-A body is a run of bytes that tells where it is cut, repeated or mixed with another: each 4 KiB block holds its number
-and the body's name.
+Each 4 KiB block of a body holds its number and the body's name, so that a truncated or repeated part, or one of another
+body, changes the checksum.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 
 def make_block(name: str, number: int) -> bytes:
-    """Block `number` of a body."""
+    """Return block `number` of a body."""
     return f"{name}:{number}|".encode().ljust(BLOCK_BYTES, b".")
 
 
 def body_slice(name: str, first: int, size: int) -> bytes:
-    """`size` bytes of a body from `first` on."""
+    """Return `size` bytes of a body from offset `first`."""
     start, end = first // BLOCK_BYTES, -(-(first + size) // BLOCK_BYTES)
     whole = b"".join(make_block(name, number) for number in range(start, end))
     return whole[first - start * BLOCK_BYTES : first - start * BLOCK_BYTES + size]
 
 
 def check(name: str, size: int) -> int:
-    """The checksum of a body."""
+    """Return the CRC-32 of a whole body."""
     checksum = 0
     for first in range(0, size, 1 << 20):
         checksum = zlib.crc32(body_slice(name, first, min(1 << 20, size - first)), checksum)
@@ -40,7 +40,7 @@
 async def read_body(
     reader: asyncio.StreamReader, headers: dict[str, str], bytes_per_second: float = 0.0
 ) -> tuple[int, int, bool]:
-    """Read a body off, at most `pace` bytes a second if that is set: its size and checksum, and whether it is whole."""
+    """Read a body, limited to `bytes_per_second` if set; return its size, its checksum and whether it is complete."""
     size = checksum = 0
     chunked = "chunked" in headers.get("transfer-encoding", "")
     body_size = int(headers["content-length"]) if "content-length" in headers else None
@@ -67,7 +67,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> Message | None:
-    """The next message's head, or None at the end of the connection."""
+    """Read the head of the next message; None at the end of the connection."""
     try:
         text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -79,11 +79,14 @@
 
 
 class BulkWorker(Listener):
-    """A worker of long bodies. What a request wants of it stands in its query: `give` bytes at `pace` a second,
-    `framing` length, chunked or close; `stall` or `break` after so many bytes; `read` the pace of its reading;
-    `turn=N` turns away its first N tries, `cut=N` breaks them in the middle of the request."""
+    """A worker of long bodies, controlled by the query of each request.
 
-    _attempts: dict[str, int] = {}  # of each request, at all workers
+    `give`: size of the response body; `pace`: its bytes a second; `step`: bytes a write; `framing`: length, chunked or
+    close. `stall` or `break`: stop, or abort the connection, after so many bytes. `read`: bytes a second at which the
+    request is read. `turn=N`: respond 503 to its first N attempts; `cut=N`: abort them in the middle of the request.
+    """
+
+    _attempts: dict[str, int] = {}  # by request id, over all workers
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -91,7 +94,7 @@
         self.connections = 0
 
     async def start(self) -> Self:
-        """Listen, with little room in the system for what is not read yet: else that takes a whole body."""
+        """Start to listen with a small receive buffer; the default one could hold a whole body that nobody reads."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         sock.bind(("127.0.0.1", self.port))
@@ -100,7 +103,7 @@
         return self
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return its entry in the discovery list; `changes` override fields."""
         return {
             "name": self.name,
             "address": f"127.0.0.1:{self.port}",
@@ -145,7 +148,7 @@
 
 
 async def write_response(writer: asyncio.StreamWriter, name: str, query: dict[str, str]) -> bool:
-    """Write an answer as a query wants it; whether the connection goes on."""
+    """Write the response that a query describes; return whether the connection can carry another request."""
     size, bytes_per_second, framing = (
         int(query.get("give", 4)),
         float(query.get("pace", 0)),
@@ -179,7 +182,7 @@
 
 
 class BulkClient:
-    """A client of long bodies, over one connection."""
+    """A client of long bodies on one connection. `made` counts the requests, for unique ids."""
 
     made = 0
 
@@ -188,7 +191,7 @@
 
     @classmethod
     async def connect(cls, port: int, window: int = 0) -> BulkClient:
-        """Connect; `window` bounds what the reader takes ahead."""
+        """Connect; `window` limits the bytes that the reader buffers ahead."""
         return cls(*await asyncio.open_connection("127.0.0.1", port, **({"limit": window} if window else {})))
 
     async def ask(
@@ -204,10 +207,10 @@
         plan: str = "free",
         timeout: float = 3.0,
     ) -> tuple[int, str, int, int, bool]:
-        """Send a request and read its answer: status, id, size and checksum of the answer, and whether it is whole.
+        """Send a request; return status, request id, response size, its checksum and whether it is complete.
 
-        The body has `size` bytes, goes at `pace` bytes a second in steps, and stops after `stop`; `want` is the
-        query for the worker; the answer is read at `read` bytes a second.
+        The request body has `size` bytes, is sent in steps of `step` bytes at `pace` bytes a second, and stops after
+        `stop` bytes. `want` is the query for the worker. The response is read at `read` bytes a second.
         """
         BulkClient.made += 1
         name = f"bulk{BulkClient.made}"
@@ -222,11 +225,11 @@
         )
         sending = asyncio.create_task(self._send(name, size, chunked, pace, step, size if stop is None else stop))
         try:
-            answer = await read_head(self.reader)
-            if answer is None:
+            response = await read_head(self.reader)
+            if response is None:
                 return 0, name, 0, 0, False
-            size_received, checksum, is_complete = await read_body(self.reader, answer.headers, read)
-            return answer.status, name, size_received, checksum, is_complete
+            size_received, checksum, is_complete = await read_body(self.reader, response.headers, read)
+            return response.status, name, size_received, checksum, is_complete
         finally:
             sending.cancel()
             with contextlib.suppress(asyncio.CancelledError, ConnectionError):
@@ -244,12 +247,12 @@
             await self.writer.drain()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 async def at_once(port: int, count: int, size: int) -> None:
-    """So many long bodies at once, every other one an answer; each has to come whole."""
+    """Transfer `count` long bodies concurrently, half of them responses; assert that each arrives complete."""
 
     async def one(number: int) -> tuple[int, str, int, int, bool]:
         client = await BulkClient.connect(port)
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -1,4 +1,4 @@
-"""The demo: stand-in workers and discovery in this process, gatekeepers in their own, and real requests."""
+"""The demo: simulated workers and discovery in this process, gatekeepers in their own, and real requests over HTTP."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from rig.installation import Installation
 from rig.traffic import Customer, PlanShape, Traffic
 
-SERVICE_SECONDS = 0.02  # seconds of a core that a unit takes
+SERVICE_SECONDS = 0.02  # core seconds that a unit of work takes
 
 
 def make_customers(rate: float, plans: dict[str, PlanShape], gatekeepers: int, seed: int) -> list[Customer]:
-    """Some thirty customers, together at this rate; one in six asks for far more than its plan grants."""
+    """Return thirty customers with this rate in all; one in six has four times the weight, far above its quota."""
     random = Random(seed)
     count = 30
     weights = [random.uniform(0.3, 1.0) * (4.0 if n % 6 == 0 else 1.0) for n in range(count)]
@@ -56,10 +56,10 @@
     planners: int,
     write_line: Callable[[str], None],
 ) -> dict[str, int]:
-    """Run the demo until it is told to stop or the seconds are over; how many requests ended how."""
+    """Run the demo until SIGINT, SIGTERM or the end of the seconds; return the number of requests by outcome."""
     installation = Installation(gatekeepers, planners, workers, service=SERVICE_SECONDS, seed=seed, terms=Terms())
     if planners:
-        write_line(f"starting; gatekeepers that follow planners wait {installation.terms.term:g} s before they serve")
+        write_line(f"starting; gatekeepers with planners wait {installation.terms.term:g} s before they serve")
     async with installation:
         write_line(
             f"{workers} workers at {', '.join(str(w.port) for w in installation.workers)}; discovery at "
@@ -69,11 +69,11 @@
             endpoint = installation.store.endpoint if installation.store else ""
             file = installation.planners_file(installation.planner_ports, endpoint, "demo")
             write_line(
-                f"planners at {', '.join(map(str, installation.planner_ports.values()))}; look at them with: "
+                f"planners at {', '.join(map(str, installation.planner_ports.values()))}; show their status with: "
                 f"python -m oliveloft planners status --config {file}"
             )
         write_line(
-            "ask it yourself: curl -i -H 'X-Request-ID: me1' -H 'X-Priority-Class: read' -H 'X-Tariff: solo' "
+            "send a request: curl -i -H 'X-Request-ID: me1' -H 'X-Priority-Class: read' -H 'X-Tariff: solo' "
             "-H 'X-Timeout: 1.0' -H 'X-Weight: units=1,spread=1,first=0' "
             f"'http://127.0.0.1:{installation.ports[0]}/read?customer=00000000000000ff'"
         )
@@ -94,7 +94,7 @@
         while not stop.is_set() and (seconds is None or loop.time() - started_at < seconds):
             left = 1.0 if seconds is None else min(1.0, seconds - (loop.time() - started_at))
             traffic.report.waits.clear()
-            # Piece by piece: nothing is drawn that is never sent, and Ctrl-C acts within a second.
+            # In steps of a second: no arrival is drawn that is never sent, and Ctrl-C takes effect within a second.
             await traffic.run(max(0.05, left), settle=False)
             number += 1
             outcomes, traffic.recent_outcomes = traffic.recent_outcomes, type(traffic.recent_outcomes)()
@@ -115,7 +115,7 @@
 
 
 def main(workers: int, gatekeepers: int, rate: float, seconds: float | None, seed: int, planners: int) -> int:
-    """Run the demo; 1 where a part of it did not start."""
+    """Run the demo; return the exit status, 1 if a part of it did not start."""
     try:
         asyncio.run(run_demo(workers, gatekeepers, rate, seconds, seed, planners, lambda line: print(line, flush=True)))
     except (OSError, RuntimeError) as error:
--- a/rig/disks.py
+++ b/rig/disks.py
@@ -1,7 +1,7 @@
-"""Disks that break on command: what was not synced is dropped, syncs take long or fail, room ends, bits flip.
+"""Disks with injected faults: unsynced writes are lost, syncs are slow or fail, the disk is full or read-only.
 
-`Broken` wraps any disk of a memory's. In one process a schedule turns its knobs; in a process of its own it reads them
-from a file, again at each call, so that a test can turn them while the program runs.
+`Broken` wraps any disk that persisted state is written to. Within one process the test sets its faults directly; in a
+process of its own it reads them from a file at each operation, so that a test can change them while the program runs.
 """
 
 from __future__ import annotations
@@ -19,48 +19,48 @@
 
 @dataclass
 class Knobs:
-    """What is wrong with a disk."""
+    """The faults of a disk; also the fields of the fault file."""
 
-    room: int = -1  # bytes that may still be written; below 0: no bound
+    room: int = -1  # bytes that may be written in all; negative: no bound
     read_only: bool = False
-    sync_takes: float = 0.0  # seconds
+    sync_takes: float = 0.0  # seconds of each sync
     sync_fails: bool = False
-    machine: str = "machine 1, boot 1"
+    machine: str = "machine 1, boot 1"  # identity of the machine and its boot
 
 
 class DiskFaultsFile:
-    """Knobs in a JSON file, which may not be there."""
+    """Disk faults in a JSON file; a missing or unreadable file means no faults."""
 
     def __init__(self, path: str) -> None:
         self._path = path
 
     def now(self) -> Knobs:
-        """As they stand."""
+        """Read the present faults."""
         with contextlib.suppress(OSError, ValueError), open(self._path) as file:
             return Knobs(**json.load(file))
         return Knobs()
 
 
 def write_disk_faults(path: str, **faults: object) -> None:
-    """Set the knobs of a process that reads them from this file."""
+    """Replace the fault file that a process reads."""
     with open(path + ".new", "w") as file:
         json.dump(faults, file)
     os.replace(path + ".new", path)
 
 
 class Memory:
-    """A disk in memory: names and bytes, as they are after a power cut."""
+    """A disk in memory: the files by name, as they are after a power loss."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytearray] = {}
         self.locked = False
 
     def names(self) -> list[str]:
-        """The files."""
+        """Return the names of the files."""
         return list(self.files)
 
     def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file."""
+        """Open a file; `fresh` creates it or makes it empty."""
         if fresh:
             self.files[name] = bytearray()
         elif name not in self.files:
@@ -68,23 +68,23 @@
         return _MemoryFile(self.files[name])
 
     def rename(self, old: str, new: str) -> None:
-        """Rename."""
+        """Rename a file."""
         self.files[new] = self.files.pop(old)
 
     def remove(self, name: str) -> None:
-        """Drop."""
+        """Remove a file."""
         del self.files[name]
 
     def sync(self) -> None:
-        """Names are always there."""
+        """Do nothing: names are durable at once."""
 
     def lock(self, name: str) -> bool:
-        """One at a time."""
+        """Take the lock; return whether it was free."""
         free, self.locked = not self.locked, True
         return free
 
     def machine(self) -> str:
-        """One machine."""
+        """Return a fixed machine identity."""
         return "machine 1, boot 1"
 
 
@@ -109,14 +109,14 @@
 
 
 class FaultyFile:
-    """A file whose writes reach the one below only by a sync."""
+    """A file whose writes reach the underlying file only by a sync."""
 
     def __init__(self, disk: Broken, underlying: File) -> None:
         self._disk, self._underlying = disk, underlying
-        self.unsynced: list[tuple[bool, bytes]] = []  # whether in place, and what
+        self.unsynced: list[tuple[bool, bytes]] = []  # (whether written in place, data)
 
     def read(self) -> bytes:
-        """All of it, as its process sees it."""
+        """Return the whole content, unsynced writes included."""
         data = bytearray(self._underlying.read())
         for in_place, piece in self.unsynced:
             if in_place:
@@ -126,27 +126,27 @@
         return bytes(data)
 
     def append(self, data: bytes) -> None:
-        """Write, as far as there is room."""
+        """Append data if the disk has space."""
         self._disk.check_write(len(data))
         self.unsynced.append((False, data))
 
     def put(self, data: bytes) -> None:
-        """Write in place: needs no room."""
+        """Overwrite the beginning of the file, which needs no space."""
         self._disk.check_write(0)
         self.unsynced.append((True, data))
 
     def sync(self) -> None:
-        """What waits goes to the file below."""
+        """Write unsynced data to the underlying file and sync it, slowly or with an error if such a fault is set."""
         faults = self._disk.knobs()
         if faults.sync_takes:
             time.sleep(faults.sync_takes)
         if faults.sync_fails:
-            raise OSError(errno.EIO, "a sync that failed")
+            raise OSError(errno.EIO, "injected fault: sync failed")
         self.flush()
         self._underlying.sync()
 
     def flush(self, max_bytes: int = 1 << 62) -> None:
-        """What waits reaches the file below, up to so many bytes."""
+        """Write unsynced data to the underlying file, about `max_bytes` of it, and drop the rest."""
         for in_place, piece in self.unsynced:
             if in_place:
                 self._underlying.put(piece)
@@ -158,12 +158,12 @@
         self.unsynced.clear()
 
     def close(self) -> None:
-        """Let it go; what waits may never reach the disk."""
+        """Close the file; unsynced data is not written."""
         self._underlying.close()
 
 
 class Broken:
-    """A disk over another, with knobs."""
+    """A disk that wraps another and injects faults."""
 
     def __init__(self, underlying: Disk, faults: Knobs | DiskFaultsFile | None = None) -> None:
         self._underlying, self._faults = underlying, faults or Knobs()
@@ -171,31 +171,31 @@
         self.used_bytes = 0
 
     def knobs(self) -> Knobs:
-        """As they stand now."""
+        """Return the present faults."""
         return self._faults.now() if isinstance(self._faults, DiskFaultsFile) else self._faults
 
     def check_write(self, size: int) -> None:
-        """Guards the room."""
+        """Count a write of so many bytes; raise OSError where the disk is read-only or full."""
         faults = self.knobs()
         if faults.read_only:
-            raise OSError(errno.EROFS, "a disk that is read only")
+            raise OSError(errno.EROFS, "injected fault: disk is read only")
         if faults.room >= 0 and size > faults.room - self.used_bytes:
-            raise OSError(errno.ENOSPC, "a disk that is full")
+            raise OSError(errno.ENOSPC, "injected fault: disk is full")
         if faults.room >= 0:
             self.used_bytes += size
 
     def power(self, random: Random) -> None:
-        """A cut: of what was not synced some bytes got there, at times, in order."""
+        """Lose power: of each file's unsynced writes a random prefix reaches the disk, often none."""
         for file in self.open_files:
             file.flush(random.choice((0, 0, random.randrange(200), 1 << 20)))
         self.open_files.clear()
 
     def names(self) -> list[str]:
-        """The files."""
+        """Return the names of the files."""
         return self._underlying.names()
 
     def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file."""
+        """Open a file; `fresh` creates it or makes it empty."""
         if fresh:
             self.check_write(0)
         file = FaultyFile(self, self._underlying.open(name, fresh))
@@ -203,24 +203,24 @@
         return file
 
     def rename(self, old: str, new: str) -> None:
-        """Rename."""
+        """Rename a file."""
         self._underlying.rename(old, new)
 
     def remove(self, name: str) -> None:
-        """Drop."""
+        """Remove a file."""
         self.check_write(0)
         self._underlying.remove(name)
 
     def sync(self) -> None:
-        """Names are synced."""
+        """Sync the names of the files."""
         if self.knobs().sync_fails:
-            raise OSError(errno.EIO, "a sync that failed")
+            raise OSError(errno.EIO, "injected fault: sync failed")
         self._underlying.sync()
 
     def lock(self, name: str) -> bool:
-        """As below."""
+        """Take the lock of the underlying disk."""
         return self._underlying.lock(name)
 
     def machine(self) -> str:
-        """Which boot of which machine the knobs say this is."""
+        """Return the machine identity that the faults set."""
         return self.knobs().machine
--- a/rig/etcd.py
+++ b/rig/etcd.py
@@ -1,7 +1,7 @@
-"""A stand-in for etcd: one process, in memory, the part of the v3 JSON gateway that the planners use.
+"""A fake etcd server, in memory: the part of the v3 JSON gateway that the planners use.
 
-It keeps nothing over a restart, and one process has no replicas: good for trying out, for tests and as the
-embedded default on one machine; for more, run etcd itself. Faults on command: slow, unreachable, emptied.
+It persists nothing over a restart and has no replicas. It serves tests, trials and the embedded store of planners on
+one machine; anything else needs etcd itself. Injectable faults: slow, unreachable, wiped.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from aiohttp import web
 
-MAX_HISTORY_EVENTS = 4096  # changes that a watch can begin in
+MAX_HISTORY_EVENTS = 4096  # changes kept, which a watch can start from; older ones count as compacted
 MIN_TTL_SECONDS = 1
 
 
@@ -36,12 +36,12 @@
 
 
 class EtcdStandIn:
-    """Listens at a port of the system's choice, or at the one given."""
+    """The fake etcd server; listens on a free port, or on the one given."""
 
     def __init__(self, port: int = 0) -> None:
         self.port = port
-        self.delay = 0.0  # seconds before each call is looked at
-        self.down = False  # connections are closed unanswered
+        self.delay = 0.0  # seconds before each call is handled
+        self.down = False  # connections are aborted without a response
         self._reset_state()
         self._lease_ids = itertools.count(7587_000_001)
         self._runner: web.AppRunner | None = None
@@ -51,23 +51,23 @@
         self._revision = 1
         self._keys: dict[bytes, _Entry] = {}
         self._leases: dict[int, _Lease] = {}
-        self._history: list[dict[str, Any]] = []  # changes, as a watch tells them
+        self._history: list[dict[str, Any]] = []  # changes, as watches report them
         self._changed = asyncio.Event()
         self._generation = getattr(self, "_generation", 0) + 1
 
     def wipe(self) -> None:
-        """Come back as another, empty store: keys, leases and revisions are gone, watches end."""
+        """Become a new, empty store: keys, leases and revisions are lost, watches end."""
         changed = self._changed
         self._reset_state()
         changed.set()
 
     @property
     def endpoint(self) -> str:
-        """Its address for clients."""
+        """The URL for clients."""
         return f"http://127.0.0.1:{self.port}"
 
     async def start(self) -> EtcdStandIn:
-        """Listen."""
+        """Start to listen."""
         app = web.Application(client_max_size=4 * 1024 * 1024)
         for path, call in (
             ("/v3/kv/range", self._range),
@@ -87,7 +87,7 @@
         return self
 
     async def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._expiry_task is not None:
             self._expiry_task.cancel()
         if self._runner is not None:
@@ -125,7 +125,7 @@
             for key in attached:
                 self._delete(key)
 
-    # Calls.
+    # Calls of the JSON gateway.
 
     def _header(self) -> dict[str, Any]:
         return {"cluster_id": "1", "member_id": "1", "revision": str(self._revision), "raft_term": "2"}
@@ -149,7 +149,7 @@
     def _txn(self, body: dict[str, Any]) -> dict[str, Any]:
         for compare in body.get("compare", ()):
             if compare.get("target") != "MOD" or compare.get("result", "EQUAL") != "EQUAL":
-                raise ValueError("only MOD EQUAL is compared here")
+                raise ValueError("only the comparison MOD EQUAL is supported")
             entry = self._keys.get(base64.b64decode(compare["key"]))
             if (entry.modified if entry else 0) != int(compare.get("mod_revision", 0)):
                 return {"header": self._header(), "succeeded": False}
@@ -169,7 +169,7 @@
             elif "request_delete_range" in operation:
                 self._delete(base64.b64decode(operation["request_delete_range"]["key"]))
             else:
-                raise ValueError(f"unknown operation {list(operation)}")
+                raise ValueError(f"unsupported operation {list(operation)}")
         return {"header": self._header(), "succeeded": True}
 
     def _put(self, key: bytes, value: bytes, lease: int) -> None:
@@ -226,22 +226,22 @@
         await response.prepare(request)
         generation = self._generation
 
-        async def tell(result: dict[str, Any]) -> None:
+        async def write_result(result: dict[str, Any]) -> None:
             line = json.dumps({"result": {"header": self._header(), **result}})
             await response.write(line.encode() + b"\n")
 
         with contextlib.suppress(ConnectionError):
             if self._history and len(self._history) >= MAX_HISTORY_EVENTS and revision < self._history[0]["revision"]:
-                await tell({"canceled": True, "compact_revision": str(self._history[0]["revision"])})
+                await write_result({"canceled": True, "compact_revision": str(self._history[0]["revision"])})
                 return response
-            await tell({"created": True})
+            await write_result({"created": True})
             while generation == self._generation:
                 changed = self._changed
                 found = [
                     entry for entry in self._history if entry["revision"] >= revision and start <= entry["key"] < end
                 ]
                 if found and not self.down:
-                    await tell({"events": [entry["event"] for entry in found]})
+                    await write_result({"events": [entry["event"] for entry in found]})
                     revision = found[-1]["revision"] + 1
                 await changed.wait()
             if request.transport is not None:
--- a/rig/fake_servers.py
+++ b/rig/fake_servers.py
@@ -1,6 +1,7 @@
-"""What the gatekeeper meets, scripted: workers, discovery and a client on 127.0.0.1, and the program itself.
+"""Scripted workers, discovery servers and clients on 127.0.0.1, and the real program in a process of its own.
 
-Ports are the system's choice, and every wait is for an event; `LIMIT` only ends a test that would hang.
+The operating system chooses the ports. Tests wait for events instead of sleeping; the time limit of a scenario only
+ends a test that would otherwise hang.
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
 from typing import Any, Self
 
 SCENARIO_TIMEOUT_SECONDS = 20.0
-CONFIG_DIRECTORY = tempfile.TemporaryDirectory()  # configurations, removed at the end of the tests
+CONFIG_DIRECTORY = tempfile.TemporaryDirectory()  # configuration files, removed when the tests end
+# The settings that `config` starts from.
 FACTS: dict[str, Any] = {
     "Caps": {
         "Cancel": True,
@@ -69,23 +71,27 @@
 
 
 def run(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario, which may not hang; what earlier ones left is not walked while it runs, in long pauses."""
+    """Run a scenario with a time limit.
+
+    Objects of earlier scenarios are frozen first, so that the garbage collector does not pause this one to traverse
+    them.
+    """
     gc.collect()
     gc.freeze()
     try:
         asyncio.run(asyncio.wait_for(scenario, SCENARIO_TIMEOUT_SECONDS))
     finally:
-        gc.unfreeze()  # other libraries ask the collector who refers to what
+        gc.unfreeze()  # other libraries call gc.get_referrers
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for something that no event tells of."""
+    """Poll until the condition holds, for states that signal no event."""
     while not condition():
         await asyncio.sleep(0.005)
 
 
 class Message:
-    """A parsed request or answer."""
+    """A parsed HTTP request or response."""
 
     def __init__(self, first: str, headers: dict[str, str], body: bytes) -> None:
         self.first, self.headers, self.body = first, headers, body
@@ -94,7 +100,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message | None:
-    """The next message, or None at the end of the connection."""
+    """Read the next message; None at the end of the connection."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         first, *lines = head[:-4].split("\r\n")
@@ -108,7 +114,7 @@
 
 
 def answer(status: int = 200, body: bytes = b"done", headers: str = "", raw: bytes | None = None) -> Script:
-    """A script that answers; `raw` goes out as it is, and the connection is closed after it."""
+    """Return a script that responds; `raw` is written unchanged and the connection is closed after it."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if raw is not None:
@@ -122,40 +128,40 @@
 
 
 def once(event: asyncio.Event, script: Script | None = None) -> Script:
-    """A script that does as another one (it answers, if none is named) once `go` is set."""
+    """Return a script that waits for `event` and then runs `script`, by default a normal response."""
 
-    async def waits(request: Message, writer: asyncio.StreamWriter) -> None:
+    async def delayed(request: Message, writer: asyncio.StreamWriter) -> None:
         await event.wait()
         await (script or answer())(request, writer)
 
-    return waits
+    return delayed
 
 
 async def hang(request: Message, writer: asyncio.StreamWriter) -> None:
-    """A script that never answers."""
+    """Script that never responds."""
 
 
 async def reset(request: Message, writer: asyncio.StreamWriter) -> None:
-    """A script that resets the connection."""
+    """Script that resets the connection."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.close()
 
 
 class Listener:
-    """What listens on a port of its own, the same one when it starts again."""
+    """Base of the fake servers: listens on a free port and keeps that port when it is started again."""
 
     port = 0
     _server: asyncio.Server | None = None
 
     async def start(self) -> Self:
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         assert self._server is not None
         self._server.close()
 
@@ -164,18 +170,18 @@
 
 
 class Worker(Listener):
-    """A scripted worker: its script handles each request; what came is kept."""
+    """A worker whose script handles each request; it records the requests that it received."""
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         self.name, self.script = name, script or answer()
         self.seen: list[Message] = []
-        self.over: list[int] = []  # the connection that each request came over
+        self.over: list[int] = []  # for each request in `seen`: the number of its connection
         self.connections = self.closed = 0
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         number = self.connections
-        with contextlib.suppress(asyncio.CancelledError):  # the end of the test
+        with contextlib.suppress(asyncio.CancelledError):  # when the test ends
             while (message := await read_message(reader)) is not None:
                 self.seen.append(message)
                 self.over.append(number)
@@ -184,7 +190,7 @@
         writer.close()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return its entry in the discovery list; `changes` override fields."""
         return {
             "name": self.name,
             "address": f"127.0.0.1:{self.port}",
@@ -199,25 +205,25 @@
 
 
 def tcp_states(port: int, state: str, local: bool) -> int:
-    """How many connections from or to a port are in a state of TCP."""
+    """Count the connections from (`local`) or to a port that are in a TCP state, a code of /proc/net/tcp."""
     end = f"0100007F:{port:04X}"
     lines = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()]
     return sum(line[1 if local else 2] == end and line[3] == state for line in lines)
 
 
 class Plugged(Worker):
-    """A worker whose machine is there, and whose connections do not come up until it is opened."""
+    """A worker with a full accept queue: connections to it stay in SYN-SENT until `open` is called."""
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         super().__init__(name, script)
         self.sock, self.fillers = socket.socket(), list[socket.socket]()
 
     async def start(self) -> Self:
-        """Listen, and be full."""
+        """Listen and fill the accept queue."""
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.port = self.sock.getsockname()[1]
-        while not self.coming:  # the queue of those that stand is full
+        while not self.coming:  # a connection in SYN-SENT shows that the queue is full
             self.fillers.append(plug := socket.socket())
             plug.setblocking(False)
             plug.connect_ex(("127.0.0.1", self.port))
@@ -226,53 +232,53 @@
 
     @property
     def coming(self) -> int:
-        """How many connections to it are coming up: SYN-SENT, of whoever."""
+        """How many connections to it are in SYN-SENT, of any client."""
         return tcp_states(self.port, "02", local=False)
 
     async def open(self) -> None:
-        """Let them come up."""
+        """Empty the accept queue and accept connections."""
         for plug in self.fillers:
             plug.close()
         self._server = await asyncio.start_server(self._serve, sock=self.sock)
 
 
 class Discovery(Listener):
-    """A scripted discovery: a list, and watches that hear of its changes."""
+    """A scripted discovery server with a list of endpoints; open watches receive its changes."""
 
     def __init__(self, entries: list[Any]) -> None:
         self.entries, self.index = entries, 1
         self.asked: list[str] = []
         self.silent = False
-        self.raw: bytes | None = None  # answered in place of the list
+        self.raw: bytes | None = None  # sent in place of the list
         self._changed = asyncio.Event()
         self._delta: list[Any] = []
         self._ends: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     def stop(self) -> None:
-        """Die."""
+        """Stop listening and abort all connections."""
         super().stop()
         for _, writer in self._ends:
             writer.transport.abort()
 
     @property
     def open(self) -> int:
-        """How many connections stand."""
+        """How many connections are open."""
         return sum(not (reader.at_eof() or writer.transport.is_closing()) for reader, writer in self._ends)
 
     def change(self, *entries: Any) -> None:
-        """Tell the watch of changes."""
+        """Publish one version with these changed entries to the watch."""
         self.index += 1
         self._delta = list(entries)
         self._changed.set()
 
     async def watched(self) -> None:
-        """Wait until a watch waits for what comes after the latest version."""
+        """Wait until a watch has requested the changes after the latest version."""
         await until(lambda: any(f"index={self.index}&" in path for path in self.asked))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._ends.append((reader, writer))
         with contextlib.suppress(asyncio.CancelledError, ConnectionError, RuntimeError):
-            await self._answer(reader, writer)  # uvloop says RuntimeError where the other side is gone
+            await self._answer(reader, writer)  # uvloop raises RuntimeError when the peer has disconnected
         writer.close()
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -281,16 +287,18 @@
             self.asked.append(path)
             if self.silent:
                 continue
-            held = int(path.partition("index=")[2].partition("&")[0] or -1)
-            if whole := held != self.index and not (held == self.index - 1 and self._changed.is_set()):
-                entries = self.entries  # what it holds is too old to be told of changes alone
+            known_index = int(path.partition("index=")[2].partition("&")[0] or -1)
+            if is_snapshot := known_index != self.index and not (
+                known_index == self.index - 1 and self._changed.is_set()
+            ):
+                entries = self.entries  # the known version is too old for a delta
             else:
                 with contextlib.suppress(TimeoutError):
                     wait = int(path.rpartition("wait=")[2]) / 1000
                     await asyncio.wait_for(self._changed.wait(), wait)
                 self._changed.clear()
                 entries, self._delta = self._delta, []
-            body = json.dumps({"index": self.index, "snapshot": whole, "endpoints": entries, "novel": 1}).encode()
+            body = json.dumps({"index": self.index, "snapshot": is_snapshot, "endpoints": entries, "novel": 1}).encode()
             writer.write(
                 self.raw
                 if self.raw is not None
@@ -299,9 +307,10 @@
 
 
 class BusyDiscovery:
-    """A discovery that takes one call at a time, `each` seconds, and turns away what would wait for over `patience`.
+    """A discovery server that handles one call at a time and responds 503 to calls that would wait too long.
 
-    It answers a connection's first call that it takes, and leaves the watch that follows it open.
+    A call takes `service_seconds`; `max_wait_seconds` bounds the wait in its queue. It responds to the first call that
+    it accepts on a connection, and leaves the watch that follows unanswered.
     """
 
     def __init__(self, service_seconds: float, max_wait_seconds: float) -> None:
@@ -311,13 +320,13 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> tuple[str, int]:
-        """Listen; the address."""
+        """Start to listen; return the address."""
         self._server = await asyncio.start_server(self._answer, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
@@ -329,7 +338,7 @@
             if begin - loop.time() > self.max_wait_seconds:
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
                 continue
-            self._free_at = done = begin + self.service_seconds  # it also works on calls that nobody waits for
+            self._free_at = done = begin + self.service_seconds  # also spent on calls whose client has disconnected
             await asyncio.sleep(done - loop.time())
             self.served += 1
             body = b'{"index": 9, "snapshot": true, "endpoints": []}'
@@ -338,7 +347,7 @@
 
 
 class Client:
-    """A client connection."""
+    """A client connection. `made` counts the requests built, for unique ids."""
 
     made = 0
 
@@ -359,7 +368,7 @@
         extra: str = "",
         drop: str = "",
     ) -> bytes:
-        """A request's bytes; `drop` leaves a header out."""
+        """Return the bytes of a request; `drop` omits the headers whose line begins with it."""
         Client.made += 1
         method = method or ("GET" if klass == "read" else "POST")
         path = path or f"/{klass}?customer={customer}"
@@ -371,38 +380,38 @@
             f"X-Timeout: {timeout}\r\n",
             f"X-Weight: {weight}\r\n",
         ]
-        kept = "".join(line for line in lines if not drop or not line.startswith(drop))
-        return f"{method} {path} HTTP/1.1\r\nHost: origin.svc\r\n{kept}{length}{extra}\r\n".encode() + body
+        header_lines = "".join(line for line in lines if not drop or not line.startswith(drop))
+        return f"{method} {path} HTTP/1.1\r\nHost: origin.svc\r\n{header_lines}{length}{extra}\r\n".encode() + body
 
     def send(self, data: bytes) -> None:
-        """Write."""
+        """Write bytes."""
         self.writer.write(data)
 
     async def receive(self) -> Message | None:
-        """The next answer, or None where the connection ends."""
+        """Read the next response; None at the end of the connection."""
         return await read_message(self.reader)
 
     async def ask(self, *args: Any, **changes: Any) -> Message:
-        """Send a request and wait for its answer."""
+        """Send a request and wait for its response."""
         self.send(self.request(*args, **changes))
         reply = await self.receive()
         assert reply is not None
         return reply
 
     async def ended(self) -> bool:
-        """Whether the gatekeeper has ended the connection, with nothing more on it."""
+        """Wait for the end of the connection; whether nothing more was received on it."""
         try:
             return await self.reader.read() == b""
-        except ConnectionError:  # reset, as it had sent more than was read
+        except ConnectionError:  # a reset: the gatekeeper closed with client bytes unread
             return True
 
 
 class Gatekeeper:
-    """The real program in a process of its own."""
+    """The real program in a process of its own, with its log; `port` is 0 until it listens."""
 
     def __init__(self, process: asyncio.subprocess.Process, file: Path) -> None:
         self.process, self.file, self.port = process, file, 0
-        self.management = 0  # the operators' port
+        self.management = 0  # port of the management interface, 0 until it is logged
         self.log: list[str] = []
         self._has_port = asyncio.Event()
         self._reading = asyncio.create_task(self._read_log())
@@ -422,18 +431,18 @@
         await self._has_port.wait()
 
     async def reload(self, text: str, line: str) -> None:
-        """Replace its file, send SIGHUP and wait for the line that tells what came of it."""
+        """Replace the configuration file, send SIGHUP and wait for a log line with the outcome."""
         self.file.write_text(text)
         self.log.clear()
         self.process.send_signal(signal.SIGHUP)
         await self.logged(line)
 
     async def client(self) -> Client:
-        """A new connection to it."""
+        """Open a new client connection."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def health(self) -> int:
-        """The status of /healthz."""
+        """Return the HTTP status of /healthz."""
         client = await self.client()
         client.send(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         reply = await client.receive()
@@ -442,7 +451,7 @@
         return reply.status
 
     async def call(self, line: str | bytes, end: bool = False) -> str:
-        """What a call at the operators' address is answered; `end` ends the sending behind it."""
+        """Return the response to a management call; `end` half-closes the connection after the call."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.management)
         writer.write(line if isinstance(line, bytes) else line.encode() + b"\n")
         if end:
@@ -452,7 +461,7 @@
         return reply.decode().rstrip("\n")
 
     async def logged(self, text: str) -> None:
-        """Wait for a line of its log."""
+        """Wait for a log line that contains the text."""
         await until(lambda: any(text in line for line in self.log))
 
 
@@ -463,26 +472,26 @@
     changes: dict[str, dict[str, Any]] | None = None,
     limits: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """A configuration; `changes` go into the objects of the settings, `limits` over the usual ones."""
-    facts = copy.deepcopy(FACTS)
+    """Return a configuration; `changes` update objects of the settings by key, `limits` override the default limits."""
+    settings = copy.deepcopy(FACTS)
     for key, values in (changes or {}).items():
-        facts[key].update(values)
+        settings[key].update(values)
     return {
         "name": "g1",
         "listen": "127.0.0.1:0",
         "discovery": f"127.0.0.1:{discovery}",
         "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets, **(limits or {})},
-        "settings": facts,
+        "settings": settings,
         "management": "127.0.0.1:0",
         "known": {"index": 1, "snapshot": True, "endpoints": known or []},
     }
 
 
 async def launch(configuration: object, *arguments: str, environment: dict[str, str] | None = None) -> Gatekeeper:
-    """Start the program, with a verb and its options if any, and wait until it listens or has ended."""
+    """Start the program, with a verb and its options if any, and wait until it listens or has exited."""
     gatekeeper = await spawn(configuration, *arguments, environment=environment)
-    # It has read its file once it has told of its port or has ended.
+    # It has read its configuration once it has logged its port or exited.
     waiting = [asyncio.create_task(gatekeeper.listening()), asyncio.create_task(gatekeeper.process.wait())]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     waiting[0].cancel()
@@ -498,10 +507,10 @@
     module: str = "oliveloft",
     environment: dict[str, str] | None = None,
 ) -> Gatekeeper:
-    """Start the program, and wait for nothing.
+    """Start the program without waiting for it to listen.
 
-    `accept` is a listening socket that it inherits, `folder` its temporary folder, `root` where its text stands,
-    `module` what is run in place of the program itself, `environment` what its environment has besides.
+    `accept` is a listening socket that it inherits, `folder` its temporary directory, `root` the source tree to run
+    from, `module` the module to run in place of the program itself, `environment` additional environment variables.
     """
     extra_environment = {**(environment or {}), **({"TMPDIR": folder} if folder else {})}
     if accept is not None:
@@ -525,9 +534,9 @@
 async def scene(
     *workers: Any, ends: bool = False, **options: Any
 ) -> AsyncIterator[tuple[Gatekeeper, Discovery, Client]]:
-    """Workers, a discovery that lists them, a gatekeeper that has heard of them, and a client.
+    """Start workers, a discovery server that lists them, a gatekeeper that has received the list, and a client.
 
-    `ends` says that the gatekeeper has ended by itself by then.
+    `options` are those of `config`. At the end the gatekeeper must still run, or must have exited if `ends` is set.
     """
     for worker in workers:
         await worker.start()
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -1,7 +1,7 @@
-"""A TCP proxy that breaks its link on command, and heals it.
+"""A TCP proxy that injects network faults into one link: delay, throttling, blocking, resets.
 
-One proxy is one link. Bytes keep their order and none is made up or sent twice: what a cut holds back goes on
-after the healing, as TCP would send it again, unless the connection was reset meanwhile.
+Bytes keep their order; none is invented or duplicated. Bytes that a blocked direction holds back are delivered after it
+heals, as TCP retransmission would, unless the connection was reset meanwhile.
 """
 
 from __future__ import annotations
@@ -13,39 +13,39 @@
 import time
 from collections import deque
 
-CHUNK_BYTES = 16 * 1024
-MAX_BUFFERED_BYTES = 256 * 1024  # bytes held of a direction before its sender is read no further
+CHUNK_BYTES = 16 * 1024  # read at a time
+MAX_BUFFERED_BYTES = 256 * 1024  # buffered in a direction before reading from its sender pauses
 
 
 class Direction:
-    """One way of a link, for all its connections."""
+    """One direction of a link, shared by all its connections."""
 
     def __init__(self) -> None:
-        self.delay = 0.0  # seconds added
-        self.rate = 0.0  # bytes a second, 0: no bound
+        self.delay = 0.0  # seconds added to each chunk
+        self.rate = 0.0  # bytes a second, 0 for no bound
         self.bytes_carried = 0
         self._open = asyncio.Event()
         self._open.set()
 
     @property
     def silent(self) -> bool:
-        """Whether nothing gets through."""
+        """Whether the direction is blocked."""
         return not self._open.is_set()
 
     def silence(self, enabled: bool = True) -> None:
-        """Hold back all bytes, with the connections left standing, or let them go on."""
+        """Hold back all bytes while connections stay open, or deliver them again."""
         if enabled:
             self._open.clear()
         else:
             self._open.set()
 
     async def wait_until_open(self) -> None:
-        """Wait until bytes get through."""
+        """Wait until the direction is not blocked."""
         await self._open.wait()
 
 
 class ProxiedConnection:
-    """A connection through the proxy: both its ends and what is on the way."""
+    """A connection through the proxy: the writers of both ends and the tasks that forward its bytes."""
 
     def __init__(self, proxy: FaultProxy, client_writer: asyncio.StreamWriter) -> None:
         self.proxy, self.client_writer = proxy, client_writer
@@ -53,7 +53,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def reset(self) -> None:
-        """Break both ends with a TCP reset."""
+        """Abort both ends with a TCP reset."""
         for writer in (self.client_writer, self.target_writer):
             if writer is not None:
                 sock = writer.get_extra_info("socket")
@@ -65,12 +65,12 @@
             task.cancel()
 
     async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction) -> None:
-        """Carry one way to its end, then end the sending on the other side."""
+        """Forward one direction until its end, then half-close the other side."""
         buffered: deque[tuple[float, bytes]] = deque()
         buffered_bytes, ended = 0, False
         data_available, space_available = asyncio.Event(), asyncio.Event()
 
-        async def take() -> None:
+        async def read_chunks() -> None:
             nonlocal buffered_bytes, ended
             try:
                 while data := await reader.read(CHUNK_BYTES):
@@ -81,11 +81,11 @@
                         space_available.clear()
                         await space_available.wait()
             except ConnectionError:
-                self.proxy.loop.call_soon(self.reset)  # passed on as what it is
+                self.proxy.loop.call_soon(self.reset)  # a reset is passed on as a reset
             ended = True
             data_available.set()
 
-        reading = asyncio.create_task(take())
+        reading = asyncio.create_task(read_chunks())
         try:
             while True:
                 while buffered:
@@ -114,11 +114,11 @@
 
 
 class FaultProxy:
-    """Listens on a port of the system's choice and carries each connection to `target`, or fails as told."""
+    """Listens on a free port and forwards each connection to `target`, with the faults that are set."""
 
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
-        self.up, self.down = Direction(), Direction()  # from the client to the target, and back
+        self.up, self.down = Direction(), Direction()  # client to target, and target to client
         self.resets_new_connections = False
         self.accepted = 0
         self.port = 0
@@ -126,7 +126,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> FaultProxy:
-        """Listen."""
+        """Start to listen."""
         self.loop = asyncio.get_running_loop()
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=CHUNK_BYTES)
         self.port = self._server.sockets[0].getsockname()[1]
@@ -134,45 +134,45 @@
 
     @property
     def address(self) -> str:
-        """Where clients connect, as host:port."""
+        """The address that clients connect to, as host:port."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def open(self) -> int:
-        """How many connections stand."""
+        """How many connections are open."""
         return len(self._connections)
 
     def delay(self, up: float = 0.0, down: float = 0.0) -> None:
-        """Add so many seconds each way."""
+        """Delay each direction by so many seconds."""
         self.up.delay, self.down.delay = up, down
 
     def throttle(self, up: float = 0.0, down: float = 0.0) -> None:
-        """Carry at most so many bytes a second each way; 0 is no bound."""
+        """Limit each direction to so many bytes a second; 0 is no bound."""
         self.up.rate, self.down.rate = up, down
 
     def silence(self, up: bool = True, down: bool = True) -> None:
-        """Cut the link half-open: connections stand, new ones come up, and nothing gets through."""
+        """Block the directions: open connections stay, new ones are accepted, and no bytes are delivered."""
         self.up.silence(up)
         self.down.silence(down)
 
     def reset_new_connections(self, enabled: bool = True) -> None:
-        """Reset each new connection."""
+        """Set whether each new connection is reset."""
         self.resets_new_connections = enabled
 
     def reset(self) -> None:
-        """Break all connections that stand."""
+        """Reset all open connections."""
         for connection in list(self._connections):
             connection.reset()
 
     def heal(self) -> None:
-        """Carry all as if nothing were wrong; what was held back goes on."""
+        """Remove all faults; bytes that were held back are delivered."""
         self.delay()
         self.throttle()
         self.silence(False, False)
         self.reset_new_connections(False)
 
     async def stop(self) -> None:
-        """Listen no more and break what stands."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -187,7 +187,7 @@
         self._connections.add(connection)
         with contextlib.suppress(asyncio.CancelledError):
             try:
-                await self.up.wait_until_open()  # as a connection through a cut would never come up
+                await self.up.wait_until_open()  # a blocked link establishes no connection
                 target_reader, connection.target_writer = await asyncio.open_connection(*self.target, limit=CHUNK_BYTES)
                 connection.tasks = [
                     asyncio.create_task(connection.forward(reader, connection.target_writer, self.up)),
--- a/rig/installation.py
+++ b/rig/installation.py
@@ -1,8 +1,8 @@
 """A whole installation on loopback: workers, discovery, gatekeepers, and planners with their store.
 
-Workers, discovery and a stand-in store live in this process; gatekeepers and planners are the real program in
-processes of their own. With `proxied`, each forwarder's way to each planner, and each planner's to the store,
-is a link that can be broken.
+Workers, discovery and a fake etcd server run in this process; gatekeepers and planners are the real program in
+processes of their own. With `proxied`, the link of each forwarder to each planner, and of each planner to the store,
+goes through a fault proxy.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from rig.traffic import PlanShape
 
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "example.json"
-PORT_RANGE, PORT_RANDOM = (12_000, 32_000), SystemRandom()
-QUICK = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: what takes seconds takes a third of them
+PORT_RANGE, PORT_RANDOM = (12_000, 32_000), SystemRandom()  # below the range of ephemeral ports
+QUICK = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: about a third of the default times
 
 
 def free_port() -> int:
-    """A port that nobody listens at just now, below those that the system gives to connections by itself.
+    """Return a port that is free now and lies below the range of ephemeral ports.
 
-    Guards against a connection that is made while a process is away, and takes the port that it is to come back to.
+    An ephemeral port could be taken by an outgoing connection while a process that is to listen on it again is down.
     """
     while True:
         port = PORT_RANDOM.randrange(*PORT_RANGE)
@@ -47,7 +47,12 @@
 
 
 class Installation:
-    """All of it; an async context, which ends every process that it started."""
+    """Starts and owns all parts of an installation; an async context that ends every process it started.
+
+    `service` is the core seconds that a unit of work takes at a worker, `session` the seconds of a planner's session
+    in the store, `paces` whether planners also plan the capacity of workers. `settings` overrides keys of the example
+    configuration. Without planners the forwarders are plain gatekeepers.
+    """
 
     def __init__(
         self,
@@ -95,14 +100,14 @@
         self.planner_ports = {name: free_port() for name in self.names}
         self.forwarders: list[Gatekeeper] = []
         self.planners: dict[str, Gatekeeper] = {}
-        self.links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder and planner
-        self.store_links: dict[str, FaultProxy] = {}  # by planner
+        self.links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder number and planner name
+        self.store_links: dict[str, FaultProxy] = {}  # by planner name
         self.store: EtcdStandIn | None = EtcdStandIn() if planners else None
         self._directory = tempfile.TemporaryDirectory()
         self.secret = "a secret of the installation"
 
     async def __aenter__(self) -> Self:
-        """Start all of it."""
+        """Start all parts."""
         try:
             await self._start()
         except BaseException:
@@ -121,7 +126,7 @@
         await asyncio.gather(*(self.forward(n) for n in range(self.count)))
 
     def planners_file(self, ports: dict[str, int], endpoint: str, name: str, secret: str = "") -> str:
-        """Write a planners' configuration; its path."""
+        """Write a planners configuration file; return its path."""
         folder = Path(self._directory.name)
         (folder / f"{name}.secret").write_text(secret or self.secret)
         terms = "\n".join(
@@ -138,12 +143,12 @@
         return str(path)
 
     def config(self) -> PlannersConfig:
-        """The planners' configuration with no link between."""
+        """Return the planners configuration without fault proxies."""
         assert self.store is not None
         return load(self.planners_file(self.planner_ports, self.store.endpoint, "plain"))
 
     async def plan(self, name: str) -> Gatekeeper:
-        """Start a planner, or start it anew."""
+        """Start or restart a planner."""
         assert self.store is not None
         endpoint = self.store.endpoint
         if self.proxied:
@@ -157,7 +162,7 @@
         return planner
 
     async def forward(self, number: int) -> Gatekeeper:
-        """Start a forwarder, or start it anew under its old name; with no planners a plain gatekeeper."""
+        """Start a forwarder, or restart it under the same name; without planners it is a plain gatekeeper."""
         configuration = copy.deepcopy(self._example)
         configuration.update(
             name=f"f{number}",
@@ -187,7 +192,7 @@
         return gatekeeper
 
     async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> Gatekeeper:
-        """Start the program as this forwarder."""
+        """Start the program as this forwarder; overridden by installations with other commands."""
         return await spawn(configuration, *arguments)
 
     @staticmethod
@@ -197,16 +202,16 @@
         listening.cancel()
         if not gatekeeper.port:
             await asyncio.sleep(0.05)
-            raise RuntimeError("a process did not start: " + "".join(gatekeeper.log).strip())
+            raise RuntimeError("process did not start: " + "".join(gatekeeper.log).strip())
         ended.cancel()
 
     @property
     def ports(self) -> list[int]:
-        """Where the gatekeepers listen."""
+        """The ports that the gatekeepers listen on."""
         return [gate.port for gate in self.forwarders]
 
     async def __aexit__(self, *_: object) -> None:
-        """End every process, and all that lives here."""
+        """End every process and stop all servers of this process."""
         processes = [gate.process for gate in [*self.forwarders, *self.planners.values()]]
         for process in processes:
             if process.returncode is None:
--- a/rig/limited_worker.py
+++ b/rig/limited_worker.py
@@ -1,6 +1,6 @@
-"""Workers on sockets that can take so much and no more, the meter that they share, and what they did.
+"""Workers on sockets with a limited capacity, the meter of customers' use that they share, and a record of their work.
 
-They answer as a real worker would: served, turned away unseen when full, or nothing once they are frozen.
+They respond as a real worker does: 200 when served, 503 with X-Not-Processed when overloaded, nothing while frozen.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Meter:
-    """The use of each customer over the last whole period, as a share of its rate, told by all workers."""
+    """Measures, over all workers, each customer's use in the last whole period as a share of its rate."""
 
     def __init__(self, rates: dict[str, float], period: float = 1.0) -> None:
         self._rates, self.period = rates, period
@@ -25,7 +25,7 @@
         self._previous_units: Counter[tuple[str, str]] = Counter()
 
     def record_use(self, now: float, customer: str, plan: str, units: float) -> float | None:
-        """Count a request's units; the customer's use in the last period, None for a plan with no rate."""
+        """Count a request's units; return the customer's use ratio in the last period, None if its plan has no rate."""
         if now - self._period_start >= self.period:
             is_consecutive = now - self._period_start < 2 * self.period
             self._previous_units, self._current_units, self._period_start = (
@@ -39,24 +39,24 @@
 
 
 class WorkRecord:
-    """What a set of workers did, for the rules: how often each request's work was begun, and peaks."""
+    """Records how often a set of workers started each request and, with `keep_units`, when units were spent."""
 
     def __init__(self) -> None:
         self.begun: Counter[str] = Counter()
-        self.units: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by customer and plan: when, units
+        self.units: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by customer and plan: (time, units)
         self.keep_units = False
 
     def record_start(self, now: float, request: str, customer: str, plan: str, units: float) -> None:
-        """A worker has begun a request."""
+        """Record that a worker has started a request."""
         self.begun[request] += 1
         if self.keep_units:
             self.units.setdefault((customer, plan), []).append((now, units))
 
 
 def overspent(units: list[tuple[float, float]], rate: float, capacity: float) -> float:
-    """By how many units at most all together were over a store of this rate and depth that began full.
+    """Return the most units by which the spending exceeded a token bucket of this rate and capacity that began full.
 
-    Below 0: they were never over it, and so many units were left at the least.
+    A negative result means that the bucket was never exceeded: its magnitude is the lowest level of the bucket.
     """
     level, updated_at, worst = capacity, 0.0, -capacity
     for when, amount in sorted(units):
@@ -66,7 +66,11 @@
 
 
 class LimitedWorker:
-    """A worker whose capacity is modelled; `service` is the seconds that a unit takes of one warm core."""
+    """A worker with a simulated capacity.
+
+    `service` is the seconds that a unit takes of one core at full speed, `service_cv` the coefficient of variation of
+    that time, `slow_start` whether each start begins with the warm-up of its capacity.
+    """
 
     def __init__(
         self,
@@ -87,13 +91,13 @@
         self.load = Load(capacity)
         self.frozen = False
         self.port = 0
-        self.peak = 0.0  # most work in hand at a time, in seconds of a core
+        self.peak = 0.0  # longest time from arrival to completion of an accepted request, in seconds, queue included
         self.since_ms = 0
         self._server: asyncio.Server | None = None
         self._ends: set[_Connection] = set()
 
     async def start(self) -> LimitedWorker:
-        """Listen, cold if told so."""
+        """Start to listen, with a slow start if set so."""
         self.loop = asyncio.get_running_loop()
         self.load = Load(self.capacity, started=self.loop.time() if self.cold else None)
         if self.cold:
@@ -105,14 +109,14 @@
         return self
 
     def stop(self) -> None:
-        """Die: connections are reset, new ones refused."""
+        """Stop: connections are aborted and new ones refused."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._ends):
             connection.abort()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return its entry in the discovery list; `changes` override fields."""
         return {
             "name": self.name,
             "address": f"127.0.0.1:{self.port}",
@@ -127,7 +131,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """A gatekeeper's connection: one request at a time."""
+    """A connection of a gatekeeper, which carries one request at a time."""
 
     def __init__(self, worker: LimitedWorker) -> None:
         self._worker = worker
--- a/rig/loops.py
+++ b/rig/loops.py
@@ -1,6 +1,7 @@
-"""An event loop's clock and timers on simulated time, and transports that are told what befalls them.
+"""A simulated event loop and transport, to run asyncio protocols without sockets.
 
-For asyncio's protocols without sockets: what is written is kept, pieces and resets come when the schedule says.
+The loop provides the clock and timers on simulated time. The transport records what is written; the test's schedule
+delivers data and resets.
 """
 
 from __future__ import annotations
@@ -12,42 +13,42 @@
 
 
 class SimulatedLoop:
-    """As much of an event loop as protocols ask for."""
+    """The part of an event loop that the protocols use."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
 
     def time(self) -> float:
-        """Simulated seconds."""
+        """Return the simulated time in seconds."""
         return self.clock.now
 
     def call_soon(self, call: Callable[..., object], *args: Any) -> Timer:
-        """Make a call after what is already due."""
+        """Schedule a call after those already due."""
         return self.clock.after(0.0, call, *args)
 
     def call_later(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Make a call after a delay."""
+        """Schedule a call after a delay in seconds."""
         return self.clock.after(max(0.0, delay), call, *args)
 
     def call_at(self, when: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Make a call at a time."""
+        """Schedule a call at a simulated time."""
         return self.clock.at(when, call, *args)
 
 
 class _Socket:
     def setsockopt(self, *_: object) -> None:
-        """Nothing to set."""
+        """Ignore the option."""
 
     def fileno(self) -> int:
-        """None."""
+        """Return no descriptor."""
         return -1
 
 
 class Wire:
-    """A transport: what the protocol has written, and whether the other side still hears it.
+    """A transport that records what its protocol writes.
 
-    `delivered` is what was written before the other side broke it: the rest never left. As on uvloop a write waits
-    for the end of the turn, and an abort drops it; a close lets it go first.
+    `delivered` is what was sent before the connection ended; the rest is lost. As with uvloop, a write is sent at the
+    end of the loop's turn; `abort` drops unsent data, `close` sends it first.
     """
 
     def __init__(self, loop: SimulatedLoop, protocol: Any) -> None:
@@ -58,7 +59,7 @@
         self._flush_scheduled = False
 
     def write(self, data: bytes) -> None:
-        """Take bytes; what comes after a close is nothing."""
+        """Buffer bytes until the end of the turn; ignore them after a close."""
         if self._closing or self.closed:
             return
         self._unflushed += data
@@ -67,7 +68,7 @@
             self._loop.call_soon(self._flush)
 
     def writelines(self, pieces: Any) -> None:
-        """Take several."""
+        """Write several pieces."""
         self.write(b"".join(pieces))
 
     def _flush(self) -> None:
@@ -79,44 +80,44 @@
                 self.lost()
 
     def write_eof(self) -> None:
-        """Nothing is written after this."""
+        """Do nothing: the half-close is not simulated."""
 
     def close(self) -> None:
-        """What waits goes first."""
+        """Close the connection after sending the buffered bytes."""
         if not self._closing and not self.closed:
             self._closing = True
             self._loop.call_soon(self._flush)
 
     def abort(self) -> None:
-        """What waits is dropped."""
+        """End the connection and drop the buffered bytes."""
         if not self.closed:
             self._closing = True
             self._unflushed.clear()
             self._loop.call_soon(self.lost)
 
     def lost(self) -> None:
-        """The connection is over, whoever ended it."""
+        """End the connection, whichever side ended it, and notify the protocol."""
         if not self.closed:
             self.closed = self._closing = True
             self._unflushed.clear()
             self.protocol.connection_lost(None)
 
     def is_closing(self) -> bool:
-        """Whether it takes nothing more."""
+        """Return whether the transport is closing or closed."""
         return self._closing or self.closed
 
     def pause_reading(self) -> None:
-        """The schedule hands over what it likes."""
+        """Do nothing: the schedule decides what is delivered."""
 
     resume_reading = pause_reading
 
     def get_write_buffer_size(self) -> int:
-        """What waits."""
+        """Return the number of buffered bytes."""
         return len(self._unflushed)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """No limits here."""
+        """Do nothing: the buffer has no limits."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """A socket that takes any option."""
+        """Return a socket that accepts any option, for the name `socket`."""
         return _Socket() if name == "socket" else default
--- a/rig/member.py
+++ b/rig/member.py
@@ -1,4 +1,7 @@
-"""The program on a disk that breaks on command: `python -m rig.member KNOBS VERB...`; `KNOBS` is a file of them."""
+"""Runs the program on a disk with injected faults: `python -m rig.member FAULTS VERB...`.
+
+`FAULTS` is the path of a JSON file of `rig.disks`, read again at each disk operation; the file may be missing.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,12 @@
 
 
 def main(faults_path: str, arguments: list[str]) -> int:
-    """Run a verb on a disk with these knobs; the exit status."""
+    """Run a verb of the program on a disk with the faults of this file; return the exit status."""
 
-    def broken(folder: str) -> Disk:
+    def open_faulty_disk(folder: str) -> Disk:
         return Broken(PlainDisk(folder), DiskFaultsFile(faults_path))
 
-    member.open_disk = broken
+    member.open_disk = open_faulty_disk
     return verbs(arguments)
 
 
--- a/rig/members.py
+++ b/rig/members.py
@@ -1,6 +1,7 @@
-"""An installation whose gatekeepers know each other and remember: processes, their disks, and the links between them.
+"""An installation whose gatekeepers are members of a cluster with persisted state: processes, disks and links.
 
-With `linked`, each way from one member to another is a link of its own that can be cut, either way, slowed or reset.
+With `linked`, the connections from each member to each other member go through a fault proxy of their own, which can
+block either direction, slow them or reset them.
 """
 
 from __future__ import annotations
@@ -21,7 +22,11 @@
 
 
 class MemberSite(Installation):
-    """Gatekeepers f0, f1, ... as members; `memory` False: they know each other and remember nothing."""
+    """Gatekeepers f0, f1, ... as members of one cluster.
+
+    With `memory` False they persist nothing; with `fleet` False they are not members at all. `times` and `recovery` are
+    tables of the members' configuration file.
+    """
 
     def __init__(
         self,
@@ -38,19 +43,19 @@
         self.times, self.recovery = times or {}, recovery or {}
         self.peer_ports = [free_port() for _ in range(forwarders)]
         self.peer_links: dict[tuple[int, int], FaultProxy] = {}  # from one member to another
-        self.arguments_by_member: dict[int, tuple[str, ...]] = {}  # of a member that is not started as the others are
+        self.arguments_by_member: dict[int, tuple[str, ...]] = {}  # command line of a member, if not the usual
         self._example["management"] = "127.0.0.1:0"
 
     def folder(self, number: int) -> Path:
-        """A member's disk."""
+        """Return the directory of a member's disk."""
         return Path(self._directory.name) / f"disk-{number}"
 
     def knobs(self, number: int, **faults: object) -> None:
-        """Turn the knobs of a member's disk."""
+        """Set the faults of a member's disk, the fields of the fault file of `rig.disks`."""
         write_disk_faults(str(Path(self._directory.name) / f"knobs-{number}"), **faults)
 
     async def fleet_file(self, number: int, name: str = "") -> str:
-        """Write a member's file; its path."""
+        """Write a member's configuration file; return its path."""
         members = {}
         for other, port in enumerate(self.peer_ports):
             if self.linked and other != number:
@@ -85,7 +90,7 @@
         )
 
     async def fleet_config(self) -> FleetConfig:
-        """The fleet's, with no link between."""
+        """Return the fleet configuration without fault proxies."""
         linked, self.linked = self.linked, False
         try:
             return load(await self.fleet_file(0, "plain"))
@@ -93,45 +98,48 @@
             self.linked = linked
 
     async def states(self) -> States:
-        """What each member says of itself and the others."""
+        """Return the status that each member reports of itself and the others."""
         return await gather(await self.fleet_config())
 
     def cut(self, first: int, second: int, there: bool = True, back: bool = True) -> None:
-        """Nothing passes from one member to the other, and back; either way may be left open."""
+        """Block the links between two members: `there` blocks first to second, `back` second to first."""
         for source, target, up, down in ((first, second, there, back), (second, first, back, there)):
             if (source, target) in self.peer_links:
                 self.peer_links[source, target].silence(up, down)
 
     def heal(self) -> None:
-        """All links carry again."""
+        """Remove all faults of the links."""
         for link in self.peer_links.values():
             link.heal()
 
     def kill(self, *numbers: int) -> None:
-        """Members lose power, all at the same moment."""
+        """Kill members, all of them if none is given, as a power loss does."""
         for number in numbers or range(self.count):
             if self.forwarders[number].process.returncode is None:
                 self.forwarders[number].process.kill()
 
     async def dead(self, *numbers: int) -> None:
-        """Wait until they are."""
+        """Wait until the processes of members, by default all, have exited."""
         await asyncio.gather(*(self.forwarders[number].process.wait() for number in numbers or range(self.count)))
 
     def stop(self, number: int) -> None:
-        """Stall a member."""
+        """Suspend a member with SIGSTOP."""
         self.forwarders[number].process.send_signal(signal.SIGSTOP)
 
     def go_on(self, number: int) -> None:
-        """Let it go on."""
+        """Resume a suspended member."""
         self.forwarders[number].process.send_signal(signal.SIGCONT)
 
     def copy_disk(self, source: int, target: int) -> None:
-        """A member's disk is replaced by a copy of another's."""
+        """Replace a member's disk by a copy of another's."""
         shutil.rmtree(self.folder(target), ignore_errors=True)
         shutil.copytree(self.folder(source), self.folder(target))
 
     async def agree(self, alive_count: int | None = None, within: float = 5.0) -> bool:
-        """Wait until all that answer have the same view, with so many there; whether they come to."""
+        """Wait until all members that respond have the same view of the cluster; return False after `within` seconds.
+
+        That view must have `alive_count` members alive, by default as many as respond.
+        """
         loop = asyncio.get_running_loop()
         timeout_at = loop.time() + within
         while loop.time() < timeout_at:
@@ -144,7 +152,7 @@
         return False
 
     async def __aexit__(self, *error: object) -> None:
-        for gatekeeper in self.forwarders:  # one that is stalled could not even be waited for
+        for gatekeeper in self.forwarders:  # a suspended process must run before it can be waited for
             if gatekeeper.process.returncode is None:
                 gatekeeper.process.send_signal(signal.SIGCONT)
         await super().__aexit__(*error)
--- a/rig/power.py
+++ b/rig/power.py
@@ -1,7 +1,8 @@
-"""A power loss on an installation: gatekeepers, and workers where told, die at once and come back; what is served.
+"""A power loss of an installation: all gatekeepers, and optionally the workers, die at once and start again.
 
-What could be served is reckoned beside it: one gatekeeper that knows all, before the same workers, cold from the same
-moment, under the same arrivals.
+Functions here measure what is served around it. As a bound for comparison, `all_knowing` simulates a single gatekeeper
+with perfect knowledge before the same workers, which begin their slow start at the same moment, under arrivals of the
+same rate.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def everywhere(count: int, rate: float, plan: str, spread: int, klass: str = "read", first: int = 1) -> list[Customer]:
-    """Customers of one plan whose requests go round all gatekeepers of a set that is the whole fleet."""
+    """Return customers of one plan whose requests go to all gatekeepers of the fleet."""
     return [
         Customer(
             f"{first + n:016x}", plan, lambda at: rate, lambda at: int(at * 997), top=rate, spread=spread, klass=klass
@@ -35,10 +36,11 @@
     seed: int,
     service_cv: float = 0.5,
 ) -> float:
-    """The share of arrivals that one gatekeeper serves in their aim that knows each worker's queue and warmth.
+    """Return the share of arrivals served within the latency objective by one gatekeeper with perfect knowledge.
 
-    The workers start cold as the time begins. A request goes where it would be done first, or nowhere if that is
-    later than a bound. Queues slow the work, so the best of several bounds up to the aim is taken.
+    It knows each worker's queue and warm-up factor. The workers begin their slow start at time 0. A request goes to the
+    worker that would complete it first, or is refused if that takes longer than a bound. Queues slow the work, so the
+    result is the best over several bounds up to the objective.
     """
     return max(
         _greedy_served_share(rate, seconds, workers, service, aim, bound * aim, seed, service_cv)
@@ -70,23 +72,23 @@
 
 
 def _processing_seconds(load: Load, now: float, work: float) -> float:
-    """How long work takes at a worker, as slow as its queue and its cold make it."""
+    """Return the seconds that work takes at a worker, slowed by its queue and its warm-up."""
     slowdown = 1 + load.capacity.thrash * load.waiting(now) / load.capacity.cores
     return work * slowdown / (load.capacity.speed * load.warmth(now))
 
 
 class Loss:
-    """Power goes from all gatekeepers of an installation, and from its workers if told, and comes back."""
+    """Cuts the power of an installation's gatekeepers, and of its workers if asked, and restores it."""
 
     def __init__(self, installation: Installation, traffic: Traffic) -> None:
         self.installation, self.traffic = installation, traffic
-        self.at = 0.0  # when power came back, by the traffic's clock
-        self.listened: list[float] = []  # seconds from a gatekeeper's start until it took clients
+        self.at = 0.0  # when power was restored, in seconds of the traffic
+        self.listened: list[float] = []  # seconds from each gatekeeper's start until it accepted clients
 
     async def strike(
         self, outage_seconds: float, workers: bool = True, start_delays: dict[int, float] | None = None
     ) -> None:
-        """All at once; `late` says which gatekeepers start how much later than the others."""
+        """Kill all at once, restart after the outage; `start_delays` are further seconds by gatekeeper number."""
         loop = asyncio.get_running_loop()
         for gatekeeper in self.installation.forwarders:
             gatekeeper.process.kill()
@@ -115,17 +117,17 @@
 
 
 def served(report: Report, first: int, last: int) -> int:
-    """What was served in their aim of the requests asked in these whole seconds."""
+    """Count the requests sent in the seconds [first, last) that were served within their latency objective."""
     return sum(report.series[second]["served"] for second in range(first, last) if second in report.series)
 
 
 def asked(report: Report, first: int, last: int) -> int:
-    """What was asked in these whole seconds."""
+    """Count the requests sent in the seconds [first, last)."""
     return sum(report.series[second].total() for second in range(first, last) if second in report.series)
 
 
 def back(report: Report, lost_at: int, baseline: float, end: int, min_share: float = 0.95) -> float:
-    """Seconds after the loss from which on each second serves this share of calm for good; infinite if never."""
+    """Return the seconds from the loss until every further second serves `min_share` of the baseline; inf if never."""
     degraded = [second for second in range(lost_at, end) if served(report, second, second + 1) < min_share * baseline]
     return (
         float(max(degraded) + 1 - lost_at if degraded else 0)
--- a/rig/process_host.py
+++ b/rig/process_host.py
@@ -1,6 +1,7 @@
-"""What outlives a process on a platform that replaces it: the listening socket, the temporary folder, the rest.
+"""Hot restarts under load: what outlives a gatekeeper process that is replaced, and clients that count failures.
 
-And clients that keep their connections and ask again and again, which count what goes wrong at the door.
+What outlives it is the listening socket, the temporary directory, the workers and discovery. The clients keep their
+connections open and send one request after another.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class House:
-    """The listening socket, the folder, workers and discovery; processes come and go in it."""
+    """Owns the listening socket, temporary directory, workers and discovery that gatekeeper processes use in turn."""
 
     def __init__(self, *workers: Any, limits: dict[str, Any] | None = None) -> None:
         self.workers, self._limits = workers, limits
@@ -29,7 +30,7 @@
 
     @property
     def port(self) -> int:
-        """Where clients connect."""
+        """The port that clients connect to."""
         port: int = self.socket.getsockname()[1]
         return port
 
@@ -40,7 +41,10 @@
         return self
 
     async def process(self, ready: bool = True, root: Path | None = None, **changes: Any) -> Gatekeeper:
-        """Start one more process, and wait until it says that it serves; `root` is that of another version."""
+        """Start one more process and, if `ready`, wait until it reports that it serves.
+
+        `root` is the source tree of another version; `changes` override keys of the configuration.
+        """
         configuration = {**config(self.discovery.port, limits=self._limits), **changes}
         configuration["listen"] = f"127.0.0.1:{self.port}"
         gatekeeper = await spawn(json.dumps(configuration), accept=self.socket, folder=self.folder.name, root=root)
@@ -63,12 +67,12 @@
 
 
 class Load:
-    """Clients that keep their connections; each asks again as soon as it has its reply, `pause` seconds later."""
+    """Closed-loop clients on persistent connections; each sends its next request `pause_seconds` after a reply."""
 
     def __init__(self, port: int, count: int, pause_seconds: float = 0.002) -> None:
         self.port, self.count, self.pause_seconds = port, count, pause_seconds
         self.statuses: list[int] = []
-        self.times: list[float] = []  # when each reply came
+        self.times: list[float] = []  # monotonic time of each reply
         self.broken, self.running = 0, True
 
     async def _run_client(self, number: int) -> None:
@@ -100,6 +104,6 @@
     async def __aexit__(self, *error: object) -> None:
         self.running = False
         _, stuck = await asyncio.wait(self.tasks, timeout=5)
-        for task in stuck:  # a reply that never comes is as broken as a connection
+        for task in stuck:  # a reply that never arrives counts like a lost connection
             task.cancel()
         self.broken += len(stuck)
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -1,13 +1,13 @@
-"""Random faults that overlap, over many gatekeepers in processes of their own, judged from outside.
+"""A soak test: random overlapping faults on many gatekeepers in processes of their own, checked from outside.
 
-`python -m rig.soak --seeds 1 2 3` plays a day for each seed and prints a line of JSON for each: the faults that were
-injected, and every broken rule. The seed decides which faults come when; what the operating system does in between is
-not repeated, so that a break is looked into by its record, not by a second play.
+`python -m rig.soak --seeds 1 2 3` runs once for each seed and prints a line of JSON for each run: the faults that were
+injected, and every rule that was broken. The seed determines which faults are injected when, but not the scheduling of
+the operating system, so a run cannot be repeated exactly: a broken rule is analysed from its record.
 
-Judged: each request gets one final answer in time, unless its process was killed or it crossed the end of a resting
-connection; a request with an effect runs once; nothing begins after its client has gone; endpoints hear no more time
-than the client has left; nothing goes to an endpoint that drains after the grace; no process ends by itself or refuses
-a step by its own guard.
+The rules: each request gets one final response in time, unless its process was killed or it was sent while the
+gatekeeper closed an idle connection; a request with side effects runs once; no request starts at a worker after its
+client disconnected; workers are given no more time than the client has left; no request goes to a draining worker after
+the grace period; no process exits by itself, and its invariant checks refuse no step.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 from rig.agent import AgentFaults, FakeAgent
 from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch, reset
 
-DRAIN_GRACE_SECONDS = 0.25  # seconds after a notification in which requests may still go out
-MAX_NOTIFICATION_SECONDS = 6.0  # seconds after discovery had a change and could be reached
-SCHEDULING_SLACK_SECONDS = 0.12  # seconds that this program and the processes may be late on a quiet machine
-LATE_ANSWER_SECONDS = 0.5  # seconds after its time in which an answer only earns nothing
-DISCONNECT_GRACE_SECONDS = 0.1  # seconds in which what crossed the close of a client's connection may still begin
-TIMEOUT_SLACK_SECONDS = 0.15  # seconds by which an endpoint may be told of more than the client has left
-NAME_SEPARATOR = "-"  # in a request's id: gatekeeper, its start, number
-PAUSE_SECONDS = 0.15  # that a process may be held up between reading its clock and writing
-FAULT_TASKS_PER_GATEKEEPER = 2  # that a gatekeeper or its agent may have at a time, or more
-QUIET_WINDOW_SECONDS = 1.0  # before and after a change, in which no fault of the agent makes the strict bound hold
+DRAIN_GRACE_SECONDS = 0.25  # after a notification, in which requests may still go to a draining worker
+MAX_NOTIFICATION_SECONDS = 6.0  # from the publication of a change until a gatekeeper with faults has it
+SCHEDULING_SLACK_SECONDS = 0.12  # scheduling delay of this program and the processes on an idle machine
+LATE_ANSWER_SECONDS = 0.5  # after its timeout, in which a response is late but not counted as lost
+DISCONNECT_GRACE_SECONDS = 0.1  # in which a request may still start when its client disconnects meanwhile
+TIMEOUT_SLACK_SECONDS = 0.15  # by which a worker's timeout may exceed what the client has left
+NAME_SEPARATOR = "-"  # in a request id: gatekeeper, incarnation, number
+PAUSE_SECONDS = 0.15  # for which a process is suspended, possibly between reading its clock and writing
+FAULT_TASKS_PER_GATEKEEPER = 2  # tasks that inject faults; their faults overlap
+QUIET_WINDOW_SECONDS = 1.0  # before and after a change; without faults in it, the strict drain bound applies
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request as an endpoint saw it."""
+    """A request as a worker received it."""
 
     at: float
     request: str
@@ -52,7 +52,7 @@
 
 @dataclass
 class SentRequest:
-    """A request as its client knows it."""
+    """A request as its client sent it."""
 
     at: float
     timeout: float
@@ -61,23 +61,23 @@
 
 @dataclass
 class SoakResult:
-    """What a day came to."""
+    """The result of a run; its fields are the keys of the printed JSON."""
 
     seed: int
     breaks: list[str] = field(default_factory=list)
     faults: dict[str, int] = field(default_factory=dict)
     answered: int = 0
     served: int = 0
-    worst_drain_seconds: float = 0.0  # a request to a draining endpoint after its change, at the latest
-    worst_quiet_drain_seconds: float = 0.0  # the same where nothing was wrong with the agent
+    worst_drain_seconds: float = 0.0  # latest request to a draining worker, after its change was published
+    worst_quiet_drain_seconds: float = 0.0  # the same where the agent and the gatekeeper had no fault
 
     def to_json(self) -> str:
-        """As a line of JSON."""
+        """Return the result as a line of JSON."""
         return json.dumps({"ok": not self.breaks, **self.__dict__})
 
 
 class SoakWorker(Worker):
-    """An endpoint that answers, or fails as it is told to."""
+    """A worker that responds, or fails as `fault` says: hang, reset or slow."""
 
     def __init__(self, name: str, random: Random) -> None:
         super().__init__(name, self._answer)
@@ -100,38 +100,38 @@
 
 @dataclass
 class GatekeeperSlot:
-    """One gatekeeper, over all its starts, with its two agents."""
+    """One gatekeeper over all its incarnations, with the two agents that it can watch."""
 
     number: int
     agents: list[FakeAgent]
     gatekeeper: Gatekeeper | None = None
     incarnation: int = 0
     started_at: list[float] = field(default_factory=list)
-    agent_index: int = 0  # which agent it watches
-    fault_spans: list[tuple[float, float]] = field(default_factory=list)  # spans in which its agent or it had a fault
+    agent_index: int = 0  # index of the agent that it watches
+    fault_spans: list[tuple[float, float]] = field(default_factory=list)  # (begin, end) of faults
     known_endpoints: list[dict[str, Any]] = field(default_factory=list)
     down: bool = False
-    recently_paused: bool = False  # held up now, or a moment ago
+    recently_paused: bool = False  # suspended now or a moment ago
 
     @property
     def agent(self) -> FakeAgent:
-        """Whom it watches."""
+        """The agent that it watches."""
         return self.agents[self.agent_index]
 
     @property
     def name(self) -> str:
-        """Its present incarnation, as requests name it."""
+        """The name of its present incarnation, the prefix of request ids."""
         return f"g{self.number}{NAME_SEPARATOR}{self.incarnation}"
 
     def is_quiet(self, at: float) -> bool:
-        """Whether nothing was wrong round a moment."""
+        """Whether there was no fault within the quiet window around a time."""
         return not any(
             begin < at + QUIET_WINDOW_SECONDS and end > at - QUIET_WINDOW_SECONDS for begin, end in self.fault_spans
         )
 
 
 class Soak:
-    """A day."""
+    """One run: processes, clients, fault injection and the checks at its end."""
 
     def __init__(
         self,
@@ -144,7 +144,7 @@
     ) -> None:
         self.random = Random(seed)
         self.seconds, self.clients, self.slack = seconds, clients, slack
-        self.record = SoakResult(seed)
+        self.result = SoakResult(seed)
         self.workers = [SoakWorker(f"w{n}", self.random) for n in range(workers)]
         self.slots = [GatekeeperSlot(n, []) for n in range(gatekeepers)]
         self.sent_requests: dict[str, SentRequest] = {}
@@ -153,19 +153,19 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> SoakResult:
-        """Play it to its end, and judge."""
+        """Run for the given seconds, then check the rules."""
         for worker in self.workers:
             await worker.start()
         entries = [worker.entry() for worker in self.workers]
-        for station in self.slots:
-            station.agents = [await FakeAgent(entries).start(), await FakeAgent(entries, index=50).start()]
-            station.known_endpoints = entries
-        await asyncio.gather(*(self._start(station) for station in self.slots))
+        for slot in self.slots:
+            slot.agents = [await FakeAgent(entries).start(), await FakeAgent(entries, index=50).start()]
+            slot.known_endpoints = entries
+        await asyncio.gather(*(self._start(slot) for slot in self.slots))
         began = time.monotonic()
-        for station in self.slots:
-            self._tasks += [asyncio.create_task(self._client(station)) for _ in range(self.clients)]
+        for slot in self.slots:
+            self._tasks += [asyncio.create_task(self._client(slot)) for _ in range(self.clients)]
             self._tasks += [
-                asyncio.create_task(self._inject_gatekeeper_faults(station)) for _ in range(FAULT_TASKS_PER_GATEKEEPER)
+                asyncio.create_task(self._inject_gatekeeper_faults(slot)) for _ in range(FAULT_TASKS_PER_GATEKEEPER)
             ]
         self._tasks += [asyncio.create_task(self._drain_workers()), asyncio.create_task(self._inject_worker_faults())]
         with contextlib.suppress(TimeoutError):
@@ -174,65 +174,65 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.gather(*(self._finish(station) for station in self.slots))
+        await asyncio.gather(*(self._finish(slot) for slot in self.slots))
         self._check_results(began)
-        return self.record
+        return self.result
 
     # Processes.
 
-    async def _start(self, station: GatekeeperSlot) -> None:
-        station.incarnation += 1
-        station.started_at.append(time.monotonic())
-        configuration = config(station.agent.port, changes={"Rules": {"DrainGraceUs": int(DRAIN_GRACE_SECONDS * 1e6)}})
-        configuration["name"] = f"g{station.number}"
+    async def _start(self, slot: GatekeeperSlot) -> None:
+        slot.incarnation += 1
+        slot.started_at.append(time.monotonic())
+        configuration = config(slot.agent.port, changes={"Rules": {"DrainGraceUs": int(DRAIN_GRACE_SECONDS * 1e6)}})
+        configuration["name"] = f"g{slot.number}"
         configuration["known"] = {
-            "index": station.agent.index if not station.known_endpoints else 1,
+            "index": slot.agent.index if not slot.known_endpoints else 1,
             "snapshot": True,
-            "endpoints": station.known_endpoints,
+            "endpoints": slot.known_endpoints,
         }
-        station.gatekeeper = await launch(configuration)
-        station.down = False
+        slot.gatekeeper = await launch(configuration)
+        slot.down = False
 
-    async def _finish(self, station: GatekeeperSlot) -> None:
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down:
+    async def _finish(self, slot: GatekeeperSlot) -> None:
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down:
             return
         if gatekeeper.process.returncode is not None:
-            self.record.breaks.append(f"crash: {station.name} ended by itself: {gatekeeper.log[-3:]}")
+            self.result.breaks.append(f"crash: {slot.name} exited by itself: {gatekeeper.log[-3:]}")
             return
         try:
             refused = await asyncio.wait_for(gatekeeper.call("REFUSED"), 5.0)
         except (OSError, TimeoutError):
-            refused = "no answer"
+            refused = "no response"
         if refused != "ok none":
-            self.record.breaks.append(f"guard: {station.name}: {refused}")
+            self.result.breaks.append(f"guard: {slot.name}: {refused}")
         if any("Traceback" in line for line in gatekeeper.log):
-            self.record.breaks.append(f"traceback: {station.name}: {gatekeeper.log[-5:]}")
+            self.result.breaks.append(f"traceback: {slot.name}: {gatekeeper.log[-5:]}")
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
 
     # Clients.
 
-    async def _client(self, station: GatekeeperSlot) -> None:
+    async def _client(self, slot: GatekeeperSlot) -> None:
         client, reused = None, False
         while not self.ended:
-            gatekeeper, name = station.gatekeeper, station.name
-            if station.down or gatekeeper is None:
+            gatekeeper, name = slot.gatekeeper, slot.name
+            if slot.down or gatekeeper is None:
                 client = None
                 await asyncio.sleep(0.05)
                 continue
             try:
                 if client is None:
                     client, reused = await gatekeeper.client(), False
-                reusable = await self._send_request(client, name, reused, station)
+                reusable = await self._send_request(client, name, reused, slot)
                 client, reused = (client, True) if reusable else (None, False)
             except OSError:
                 client = None
                 await asyncio.sleep(0.02)
             await asyncio.sleep(self.random.uniform(0.0, 0.06))
 
-    async def _send_request(self, client: Client, name: str, reused: bool, station: GatekeeperSlot) -> bool:
-        """One request; whether its connection can carry another."""
+    async def _send_request(self, client: Client, name: str, reused: bool, slot: GatekeeperSlot) -> bool:
+        """Send one request; return whether its connection can carry another."""
         request = f"{name}{NAME_SEPARATOR}{len(self.sent_requests)}"
         klass = self.random.choice(("read", "write"))
         timeout = self.random.choice((0.3, 0.8, 1.5))
@@ -245,23 +245,23 @@
         except TimeoutError:
             sent.disconnected_at = time.monotonic()
             client.writer.transport.abort()
-            if not disconnects and station.name == name and not station.down:
-                self.record.breaks.append(f"lost: {request} ({klass}, {timeout} s) was not answered in time")
+            if not disconnects and slot.name == name and not slot.down:
+                self.result.breaks.append(f"lost: {request} ({klass}, {timeout} s) got no response in time")
             return False
         if reply is None:
-            if not reused and station.name == name and not station.down:
-                self.record.breaks.append(f"lost: {request} ({klass}) ended with no answer on a new connection")
+            if not reused and slot.name == name and not slot.down:
+                self.result.breaks.append(f"lost: {request} ({klass}) ended without a response on a new connection")
             return False
-        self.record.answered += 1
-        self.record.served += reply.status == 200
+        self.result.answered += 1
+        self.result.served += reply.status == 200
         return reply.headers.get("connection") != "close"
 
     # Faults.
 
     def _count_fault(self, kind: str) -> None:
-        self.record.faults[kind] = self.record.faults.get(kind, 0) + 1
+        self.result.faults[kind] = self.result.faults.get(kind, 0) + 1
 
-    async def _inject_gatekeeper_faults(self, station: GatekeeperSlot) -> None:
+    async def _inject_gatekeeper_faults(self, slot: GatekeeperSlot) -> None:
         kinds = [
             self._delay,
             self._delay,
@@ -279,11 +279,11 @@
         ]
         while True:
             await asyncio.sleep(self.random.expovariate(0.6))
-            await self.random.choice(kinds)(station)
+            await self.random.choice(kinds)(slot)
 
-    async def _agent_fault(self, station: GatekeeperSlot, kind: str, seconds: float, **faults: Any) -> None:
+    async def _agent_fault(self, slot: GatekeeperSlot, kind: str, seconds: float, **faults: Any) -> None:
         self._count_fault(kind)
-        agent, begin = station.agent, time.monotonic()
+        agent, begin = slot.agent, time.monotonic()
         for key, value in faults.items():
             setattr(agent.faults, key, value)
         defaults = AgentFaults()
@@ -292,10 +292,10 @@
         finally:
             for key in faults:
                 setattr(agent.faults, key, getattr(defaults, key))
-            station.fault_spans.append((begin, time.monotonic() + 1.5))  # late answers may still be on their way
+            slot.fault_spans.append((begin, time.monotonic() + 1.5))  # late responses may still arrive
 
-    async def _delay(self, station: GatekeeperSlot) -> None:
-        """Late answers: each as late as the other, drawn anew, later each time, or one in three."""
+    async def _delay(self, slot: GatekeeperSlot) -> None:
+        """Delay responses: by a constant, a random or a growing delay, or one response in three."""
         max_delay, number = self.random.choice((0.4, 0.8, 1.2)), itertools.count()
         random = Random(self.random.random())
         delays: tuple[Callable[[], float], ...] = (
@@ -306,67 +306,67 @@
         )
         chosen = self.random.choice(delays)
         if self.random.random() < 0.5:
-            await self._reset(station)
-        await self._agent_fault(station, "delay", self.random.uniform(4.0, 15.0), delay_seconds=chosen)
+            await self._reset(slot)
+        await self._agent_fault(slot, "delay", self.random.uniform(4.0, 15.0), delay_seconds=chosen)
 
-    async def _trickle(self, station: GatekeeperSlot) -> None:
-        await self._agent_fault(station, "trickle", self.random.uniform(1.0, 4.0), trickle_seconds=0.05)
+    async def _trickle(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "trickle", self.random.uniform(1.0, 4.0), trickle_seconds=0.05)
 
-    async def _no_response(self, station: GatekeeperSlot) -> None:
-        await self._agent_fault(station, "silence", self.random.uniform(0.5, 3.0), unresponsive=True)
+    async def _no_response(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "silence", self.random.uniform(0.5, 3.0), unresponsive=True)
 
-    async def _close_after_answer(self, station: GatekeeperSlot) -> None:
-        await self._agent_fault(station, "close_each", self.random.uniform(1.0, 4.0), close_after_answer=True)
+    async def _close_after_answer(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "close_each", self.random.uniform(1.0, 4.0), close_after_answer=True)
 
-    async def _always_snapshot(self, station: GatekeeperSlot) -> None:
-        await self._agent_fault(station, "snapshots", self.random.uniform(1.0, 4.0), always_snapshot=True)
+    async def _always_snapshot(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "snapshots", self.random.uniform(1.0, 4.0), always_snapshot=True)
 
-    async def _reset(self, station: GatekeeperSlot) -> None:
+    async def _reset(self, slot: GatekeeperSlot) -> None:
         self._count_fault("reset")
-        station.agent.reset_connections()
-        station.fault_spans.append((time.monotonic(), time.monotonic() + 0.5))
+        slot.agent.reset_connections()
+        slot.fault_spans.append((time.monotonic(), time.monotonic() + 0.5))
 
-    async def _refuse(self, station: GatekeeperSlot) -> None:
+    async def _refuse(self, slot: GatekeeperSlot) -> None:
         self._count_fault("refuse")
-        agent, begin = station.agent, time.monotonic()
+        agent, begin = slot.agent, time.monotonic()
         agent.stop()
         try:
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
         finally:
             while not await self._listens_again(agent):
                 await asyncio.sleep(0.05)
-            station.fault_spans.append((begin, time.monotonic() + 0.5))
+            slot.fault_spans.append((begin, time.monotonic() + 0.5))
 
     @staticmethod
     async def _listens_again(agent: FakeAgent) -> bool:
-        """Whether an agent has its port again, which a connection to elsewhere may hold for a moment."""
+        """Restart an agent; return False while another connection still holds its port."""
         try:
             await agent.start()
         except OSError:
             return False
         return True
 
-    async def _reload(self, station: GatekeeperSlot) -> None:
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down:
+    async def _reload(self, slot: GatekeeperSlot) -> None:
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down:
             return
         self._count_fault("reload")
         begin = time.monotonic()
-        station.agent_index = 1 - station.agent_index
+        slot.agent_index = 1 - slot.agent_index
         configuration = json.loads(gatekeeper.file.read_text())
-        configuration["discovery"] = f"127.0.0.1:{station.agent.port}"
+        configuration["discovery"] = f"127.0.0.1:{slot.agent.port}"
         gatekeeper.file.write_text(json.dumps(configuration))
         with contextlib.suppress(ProcessLookupError):
             gatekeeper.process.send_signal(signal.SIGHUP)
-        station.fault_spans.append((begin, begin + 4.0))
+        slot.fault_spans.append((begin, begin + 4.0))
 
-    async def _pause(self, station: GatekeeperSlot) -> None:
-        """A process that is held up; one such hold-up at a time, as two in a row would be a longer one."""
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down or station.recently_paused:
+    async def _pause(self, slot: GatekeeperSlot) -> None:
+        """Suspend the process, one pause at a time: two in a row would act as a longer one."""
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down or slot.recently_paused:
             return
         self._count_fault("stop")
-        station.recently_paused = True
+        slot.recently_paused = True
         with contextlib.suppress(ProcessLookupError):
             gatekeeper.process.send_signal(signal.SIGSTOP)
             try:
@@ -374,24 +374,24 @@
             finally:
                 gatekeeper.process.send_signal(signal.SIGCONT)
         await asyncio.sleep(4 * PAUSE_SECONDS)
-        station.recently_paused = False
+        slot.recently_paused = False
 
-    async def _kill(self, station: GatekeeperSlot) -> None:
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down:
+    async def _kill(self, slot: GatekeeperSlot) -> None:
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down:
             return
         self._count_fault("kill")
         begin = time.monotonic()
-        station.down = True
-        station.known_endpoints = [
+        slot.down = True
+        slot.known_endpoints = [
             worker.entry(status="draining" if worker.name in self.drain_times else "up") for worker in self.workers
         ]
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
         if not self.ended:
-            await self._start(station)
-        station.fault_spans.append((begin, time.monotonic() + 0.5))
+            await self._start(slot)
+        slot.fault_spans.append((begin, time.monotonic() + 0.5))
 
     async def _inject_worker_faults(self) -> None:
         while True:
@@ -403,18 +403,18 @@
             worker.fault = ""
 
     async def _drain_workers(self) -> None:
-        """One endpoint after another begins to drain, until two are left."""
+        """Drain one worker after another, until two are left."""
         drained = self.workers[2:]
         pause = self.seconds * 0.8 / len(drained)
         for worker in drained:
             await asyncio.sleep(self.random.uniform(0.6, 1.0) * pause)
             self._count_fault("drain")
             self.drain_times[worker.name] = time.monotonic()
-            for station in self.slots:
-                for agent in station.agents:
+            for slot in self.slots:
+                for agent in slot.agents:
                     await agent.change(worker.entry(status="draining"))
 
-    # Rules.
+    # Checks of the rules.
 
     def _check_results(self, began: float) -> None:
         runs: dict[str, int] = {}
@@ -425,43 +425,43 @@
                 self._check_arrival(worker, arrival)
         for request, times in runs.items():
             if times > 1:
-                self.record.breaks.append(f"duplicate: {request} came to endpoints {times} times")
+                self.result.breaks.append(f"duplicate: {request} reached workers {times} times")
 
     def _check_arrival(self, worker: SoakWorker, arrival: Arrival) -> None:
         sent = self.sent_requests.get(arrival.request)
         if sent is None:
-            self.record.breaks.append(f"unknown: {arrival.request} at {worker.name}")
+            self.result.breaks.append(f"unknown: {arrival.request} at {worker.name}")
             return
         left = sent.at + sent.timeout - arrival.at
         if arrival.timeout > left + TIMEOUT_SLACK_SECONDS + self.slack:
-            self.record.breaks.append(f"deadline: {arrival.request} told {arrival.timeout:.3f}, left {left:.3f}")
+            self.result.breaks.append(f"deadline: {arrival.request} given {arrival.timeout:.3f} s, left {left:.3f} s")
         if (
             sent.disconnected_at is not None
             and arrival.at > sent.disconnected_at + DISCONNECT_GRACE_SECONDS + self.slack
         ):
-            self.record.breaks.append(
-                f"lost: {arrival.request} began {arrival.at - sent.disconnected_at:.3f} s after its client"
+            self.result.breaks.append(
+                f"lost: {arrival.request} started {arrival.at - sent.disconnected_at:.3f} s after its disconnect"
             )
         changed = self.drain_times.get(worker.name)
         if changed is not None and arrival.at > changed:
             self._check_drain(worker, arrival, changed)
 
     def _check_drain(self, worker: SoakWorker, arrival: Arrival, changed: float) -> None:
-        station_name, start, _ = arrival.request.split(NAME_SEPARATOR)
-        station = self.slots[int(station_name[1:])]
-        started = station.started_at[int(start) - 1]
+        slot_name, start, _ = arrival.request.split(NAME_SEPARATOR)
+        slot = self.slots[int(slot_name[1:])]
+        started = slot.started_at[int(start) - 1]
         late = arrival.at - changed
-        self.record.worst_drain_seconds = max(self.record.worst_drain_seconds, late)
+        self.result.worst_drain_seconds = max(self.result.worst_drain_seconds, late)
         if started > changed:
-            # What its agent had counts as notified from the first moment of the process.
+            # What its agent had before the process started counts as notified at its start.
             bound, since = DRAIN_GRACE_SECONDS + self.slack, arrival.at - started
-        elif station.is_quiet(changed):
+        elif slot.is_quiet(changed):
             bound, since = DRAIN_GRACE_SECONDS + self.slack, late
-            self.record.worst_quiet_drain_seconds = max(self.record.worst_quiet_drain_seconds, late)
+            self.result.worst_quiet_drain_seconds = max(self.result.worst_quiet_drain_seconds, late)
         else:
             bound, since = MAX_NOTIFICATION_SECONDS + DRAIN_GRACE_SECONDS + self.slack, late
         if since > bound:
-            self.record.breaks.append(f"drain: {arrival.request} at {worker.name} {since:.3f} s after it was notified")
+            self.result.breaks.append(f"drain: {arrival.request} at {worker.name} {since:.3f} s after the notification")
 
 
 async def _run_seed(seed: int, seconds: float, gatekeepers: int, workers: int, clients: int) -> SoakResult:
@@ -469,21 +469,21 @@
 
 
 def main() -> int:
-    """Play the seeds one after another; 1 where a rule was broken."""
+    """Run the seeds one after another; return 1 if a rule was broken."""
     parser = argparse.ArgumentParser(description="Random overlapping faults over many gatekeepers.")
     parser.add_argument("--seeds", type=int, nargs="+", default=[1])
-    parser.add_argument("--seconds", type=float, default=30.0, help="of each day")
+    parser.add_argument("--seconds", type=float, default=30.0, help="of each run")
     parser.add_argument("--gatekeepers", type=int, default=8)
     parser.add_argument("--workers", type=int, default=8)
-    parser.add_argument("--clients", type=int, default=3, help="of each gatekeeper")
+    parser.add_argument("--clients", type=int, default=3, help="for each gatekeeper")
     arguments = parser.parse_args()
     passed = True
     for seed in arguments.seeds:
-        record = asyncio.run(
+        result = asyncio.run(
             _run_seed(seed, arguments.seconds, arguments.gatekeepers, arguments.workers, arguments.clients)
         )
-        print(record.to_json(), flush=True)
-        passed = passed and not record.breaks
+        print(result.to_json(), flush=True)
+        passed = passed and not result.breaks
     return 0 if passed else 1
 
 
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -1,4 +1,4 @@
-"""Clients with a shape: open-loop requests of many customers, and what became of them."""
+"""Open-loop load of many customers with varying rates, and the outcomes of their requests."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 import httptools
 
-INSTANCE_NUMBERS = itertools.count(1)  # traffics of this process
+INSTANCE_NUMBERS = itertools.count(1)  # numbers the Traffic instances of this process
 
 
 @dataclass(slots=True)
 class Customer:
-    """A customer's demand: requests a second as time goes, and which entrance it uses at that time."""
+    """A customer's demand over time: `rate` gives requests a second, `route` the index of the gateway port to use."""
 
     name: str  # 16 hexadecimal digits
     plan: str
     rate: Callable[[float], float]
     route: Callable[[float], int]
-    top: float  # the most that `rate` ever gives
+    top: float  # upper bound of `rate`, for sampling arrivals by thinning
     klass: str = "read"
     units: float = 1.0
     spread: int = 1
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class PlanShape:
-    """What a plan grants a customer, for the account of what was inside; `price` weighs its work."""
+    """The quota of a plan in units a second and units of burst; `price` is the value of a unit of its work."""
 
     rate: float
     burst: float
@@ -41,19 +41,19 @@
 
 
 class Store:
-    """One gateway that saw all: whether a try is inside its customer's quota (a token store)."""
+    """Token bucket of one customer, which tells whether a request is within its quota over all gateways."""
 
     def __init__(self, plan: PlanShape, now: float) -> None:
         self.plan, self.level, self.at = plan, plan.burst, now
 
     def fill(self, now: float) -> float:
-        """Bring the level up to now."""
+        """Refill up to now; return the level."""
         self.level = min(self.plan.burst, self.level + (now - self.at) * self.plan.rate)
         self.at = now
         return self.level
 
     def take(self, now: float, units: float) -> bool:
-        """Take the units if they are there."""
+        """Spend the units if the level covers them; a plan without a rate always does."""
         if not self.plan.rate:
             return True
         if self.fill(now) < units:
@@ -64,25 +64,26 @@
 
 @dataclass(slots=True)
 class Report:
-    """How requests ended; worth is price times units, of what was inside the quotas."""
+    """The outcomes of requests; values are price times units, counted only for requests within the quotas."""
 
     ends: Counter[str] = field(default_factory=Counter)
     offered_value: float = 0.0
     served_value: float = 0.0
-    waits: list[float] = field(default_factory=list)  # seconds to the answer of those served
-    series: dict[int, Counter[str]] = field(default_factory=dict)  # by whole second since the start
+    waits: list[float] = field(default_factory=list)  # seconds, of requests that were served
+    series: dict[int, Counter[str]] = field(default_factory=dict)  # outcomes by whole second of the scheduled time
 
     @property
     def share(self) -> float:
-        """The worth served inside quotas, as a share of that asked inside them."""
+        """The value served within quotas as a share of the value offered within them."""
         return self.served_value / self.offered_value if self.offered_value else 0.0
 
 
 class Traffic:
-    """Sends what customers ask to entrances on loopback, each request once, and keeps account.
+    """Sends the customers' requests to gateway ports on loopback, each request once, and records their outcomes.
 
-    Arrivals are drawn from the seed and do not wait for answers. Requests that find no connection (a
-    gatekeeper that is down) fail.
+    Arrivals are drawn from the seed and do not wait for responses (an open loop). Requests that cannot connect, as when
+    a gatekeeper is down, fail. An outcome is served, late (served after `aim` seconds, the latency objective), refused
+    or failed.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         self.timeout, self.aim = timeout, aim
         self.random = Random(seed)
         self.report = Report()
-        self.recent_outcomes: Counter[str] = Counter()  # ends since it was last taken
+        self.recent_outcomes: Counter[str] = Counter()  # outcomes since a caller last replaced this counter
         self._idle: list[deque[_Connection]] = [deque() for _ in ports]
         self._offered_buckets: dict[tuple[str, str], Store] = {}
         self._served_buckets: dict[tuple[str, str], Store] = {}
@@ -106,12 +107,12 @@
         self._connections: set[_Connection] = set()
         self._in_flight = 0
         self._began = 0.0
-        # Others may run beside this one, and take the port of a process that was killed: ids must tell them apart.
+        # Other instances may run at the same time and reuse the port of a killed process, so ids must be unique.
         self._id_prefix = f"{seed:x}.{os.getpid():x}.{next(INSTANCE_NUMBERS):x}"
-        self.filings: set[str] = set()  # ids of the requests that may never run twice
+        self.filings: set[str] = set()  # ids of the requests that must not run twice
 
     async def run(self, seconds: float, settle: bool = True) -> Report:
-        """Send for so long, then wait for what is out, unless more is to be sent by another call."""
+        """Send for so many seconds; then, if `settle`, wait for requests in flight and close the connections."""
         loop = asyncio.get_running_loop()
         if not self._began:
             self._began = loop.time()
@@ -138,7 +139,7 @@
         return self.report
 
     async def settle(self) -> None:
-        """Wait for what is out, and close the connections."""
+        """Wait for the requests in flight, and close the connections."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.timeout + 0.5
         while self._in_flight and loop.time() < end:
@@ -194,7 +195,7 @@
         return bucket
 
     def ended(self, pending: _PendingRequest, outcome: str) -> None:
-        """A request has its answer, or none."""
+        """Record the outcome of a request."""
         self._in_flight -= 1
         latency = self._loop.time() - self._began - pending.scheduled_at
         if outcome == "served" and latency > self.aim:
@@ -211,11 +212,11 @@
                 self.report.served_value += pending.plan.price * pending.units
 
     def connection_idle(self, connection: _Connection) -> None:
-        """A connection is free again."""
+        """Make a connection available for the next request."""
         self._idle[connection.port_index].append(connection)
 
     def connection_closed(self, connection: _Connection) -> None:
-        """A connection has ended."""
+        """Remove a connection that has closed."""
         self._connections.discard(connection)
 
 
@@ -229,7 +230,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """A client's connection: one request at a time, once more on a new one if it had been closed unread."""
+    """A client's connection, which carries one request at a time."""
 
     def __init__(self, traffic: Traffic, port_index: int) -> None:
         self._traffic, self.port_index = traffic, port_index
--- a/tests/rig/test_demo.py
+++ b/tests/rig/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo as a newcomer runs it, and the modelled workers and clients that it is made of."""
+"""The demo command, and the simulated workers and clients that it is made of."""
 
 import asyncio
 import re
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_demo_serves_real_requests_until_it_is_told_to_end():
+def test_demo_serves_requests_until_it_is_interrupted():
     async def scenario():
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -38,7 +38,7 @@
         rest = (await process.stdout.read()).decode()
         assert await process.wait() == 0
         served, refused, failed = (
-            int(re.search(rf"(\d+) {how}", rest.splitlines()[-1])[1]) for how in ("served", "refused", "failed")
+            int(re.search(rf"(\d+) {outcome}", rest.splitlines()[-1])[1]) for outcome in ("served", "refused", "failed")
         )
         assert served > 20 and refused >= 0 and failed == 0
         assert any("curl" in line for line in lines)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "why"),
+    ("arguments", "message"),
     [
         (["demo", "--rate", "0"], "--rate: must be above 0"),
         (["demo", "--workers", "x"], "no whole number"),
@@ -56,42 +56,43 @@
         ([], "required"),
     ],
 )
-def test_wrong_words_are_named_and_exit_with_2(words, why, capsys):
-    with pytest.raises(SystemExit) as ended:
-        cli.main(words)
-    assert ended.value.code == 2 and why in capsys.readouterr().err
+def test_invalid_arguments_are_reported_and_exit_with_2(arguments, message, capsys):
+    with pytest.raises(SystemExit) as exited:
+        cli.main(arguments)
+    assert exited.value.code == 2 and message in capsys.readouterr().err
 
 
-def test_clients_keep_account_of_what_was_inside_a_quota():
+def test_traffic_accounts_for_the_value_within_a_quota():
     async def scenario():
         record = WorkRecord()
         meter = Meter({"free": 10.0})
         worker = await LimitedWorker("w", Capacity(1, 2), 0.002, meter=meter, record=record).start()
-        asked = Customer("00000000000000aa", "free", lambda at: 60.0, lambda at: 0, top=60.0)
-        load = Traffic([worker.port], [asked], {"free": PlanShape(10.0, 5.0)}, seed=3)
-        report = await load.run(2.0)
+        customer = Customer("00000000000000aa", "free", lambda at: 60.0, lambda at: 0, top=60.0)
+        traffic = Traffic([worker.port], [customer], {"free": PlanShape(10.0, 5.0)}, seed=3)
+        report = await traffic.run(2.0)
         worker.stop()
-        ends = sum(report.ends.values())
-        assert ends > 70 and report.ends["served"] == sum(record.begun.values())
-        assert report.ends["served"] + report.ends["refused"] == ends  # a bare worker, full now and then
-        assert 20 <= report.offered_value <= 26  # a burst of 5 and 2 s at 10
+        total = sum(report.ends.values())
+        assert total > 70 and report.ends["served"] == sum(record.begun.values())
+        # Without a gatekeeper in front, the worker is overloaded at times.
+        assert report.ends["served"] + report.ends["refused"] == total
+        assert 20 <= report.offered_value <= 26  # a burst of 5, and 10 a second for 2 s
         assert 0.8 < report.share <= 1.0
         assert max(record.begun.values()) == 1
 
     run(scenario())
 
 
-def test_a_frozen_worker_says_nothing_and_a_stopped_one_refuses():
+def test_frozen_worker_does_not_respond_and_stopped_worker_refuses_connections():
     async def scenario():
         worker = await LimitedWorker("w", Capacity(), 0.001).start()
         worker.frozen = True
-        one = Customer("00000000000000aa", "free", lambda at: 30.0, lambda at: 0, top=30.0)
-        load = Traffic([worker.port], [one], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
-        report = await load.run(0.3)
+        customer = Customer("00000000000000aa", "free", lambda at: 30.0, lambda at: 0, top=30.0)
+        traffic = Traffic([worker.port], [customer], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
+        report = await traffic.run(0.3)
         assert report.ends["failed"] == sum(report.ends.values()) > 0
         worker.stop()
-        load = Traffic([worker.port], [one], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
-        report = await load.run(0.3)
+        traffic = Traffic([worker.port], [customer], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
+        report = await traffic.run(0.3)
         assert report.ends["failed"] == sum(report.ends.values()) > 0
 
     run(scenario())
--- a/tests/rig/test_faults.py
+++ b/tests/rig/test_faults.py
@@ -1,4 +1,4 @@
-"""The proxy that breaks links: each fault is what it says, and healing loses nothing."""
+"""The fault proxy: each fault has its effect, and no bytes are lost when the link heals."""
 
 import asyncio
 import contextlib
@@ -11,36 +11,36 @@
 
 @contextlib.asynccontextmanager
 async def echo():
-    """A proxy before a server that sends back what it gets."""
-    got = []
+    """A proxy in front of an echo server, and the list of chunks that the server received."""
+    received = []
 
     async def serve(reader, writer):
         try:
             while data := await reader.read(65536):
-                got.append(data)
+                received.append(data)
                 writer.write(data)
                 await writer.drain()
         except ConnectionError:
-            got.append(b"<reset>")
+            received.append(b"<reset>")
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     proxy = await FaultProxy(server.sockets[0].getsockname()).start()
     try:
-        yield proxy, got
+        yield proxy, received
     finally:
         await proxy.stop()
         server.close()
 
 
-async def dial(proxy):
+async def connect(proxy):
     return await asyncio.open_connection("127.0.0.1", proxy.port)
 
 
-def test_bytes_go_through_unchanged_and_a_half_close_is_passed_on():
+def test_bytes_are_forwarded_unchanged_and_half_close_is_passed_on():
     async def scenario():
         async with echo() as (proxy, _):
-            reader, writer = await dial(proxy)
+            reader, writer = await connect(proxy)
             message = bytes(range(256)) * 4000
             writer.write(message)
             writer.write_eof()
@@ -51,79 +51,79 @@
 
 
 @pytest.mark.parametrize(("up", "down"), [(True, False), (False, True), (True, True)])
-def test_a_half_open_cut_holds_back_its_ways_and_healing_loses_and_repeats_nothing(up, down):
+def test_blocked_directions_hold_bytes_back_and_healing_delivers_each_once(up, down):
     async def scenario():
-        async with echo() as (proxy, got):
-            reader, writer = await dial(proxy)
+        async with echo() as (proxy, received):
+            reader, writer = await connect(proxy)
             writer.write(b"one")
             assert await reader.readexactly(3) == b"one"
             proxy.silence(up, down)
             writer.write(b"two")
             if not up:
-                await until(lambda: b"two" in got)
+                await until(lambda: b"two" in received)
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), 0.1)
-            assert (b"two" in got) is not up
+            assert (b"two" in received) is not up
             proxy.heal()
-            assert await reader.readexactly(3) == b"two" and b"".join(got) == b"onetwo"
+            assert await reader.readexactly(3) == b"two" and b"".join(received) == b"onetwo"
 
     run(scenario())
 
 
-def test_a_reset_breaks_both_ends_and_new_connections_may_be_refused():
+def test_reset_ends_both_sides_and_new_connections_can_be_reset():
     async def scenario():
-        async with echo() as (proxy, got):
-            reader, writer = await dial(proxy)
+        async with echo() as (proxy, received):
+            reader, writer = await connect(proxy)
             writer.write(b"x")
             await reader.readexactly(1)
             proxy.reset()
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(1)
-            await until(lambda: b"<reset>" in got)
+            await until(lambda: b"<reset>" in received)
             proxy.reset_new_connections()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-                reader, writer = await dial(proxy)
+                reader, writer = await connect(proxy)
                 writer.write(b"x")
                 await reader.readexactly(1)
             proxy.heal()
-            reader, writer = await dial(proxy)
+            reader, writer = await connect(proxy)
             writer.write(b"y")
             assert await reader.readexactly(1) == b"y"
 
     run(scenario())
 
 
-def test_a_new_connection_through_a_cut_carries_nothing_until_it_heals():
+def test_new_connection_through_a_blocked_link_carries_nothing_until_it_heals():
     async def scenario():
-        async with echo() as (proxy, got):
+        async with echo() as (proxy, received):
             proxy.silence()
-            reader, writer = await dial(proxy)
+            reader, writer = await connect(proxy)
             writer.write(b"late")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.readexactly(1), 0.1)
-            assert not got
+            assert not received
             proxy.heal()
             assert await reader.readexactly(4) == b"late"
 
     run(scenario())
 
 
-def test_delay_and_throttle_cost_time_and_keep_the_order():
+def test_delay_and_throttle_slow_the_link_and_keep_the_order():
     async def scenario():
         async with echo() as (proxy, _):
-            reader, writer = await dial(proxy)
+            reader, writer = await connect(proxy)
             loop = asyncio.get_running_loop()
             proxy.delay(up=0.1, down=0.1)
-            began = loop.time()
+            started_at = loop.time()
             for n in range(10):
                 writer.write(bytes([n]))
             assert await reader.readexactly(10) == bytes(range(10))
-            assert loop.time() - began >= 0.2
+            assert loop.time() - started_at >= 0.2
             proxy.heal()
             proxy.throttle(up=200_000.0)
-            began = loop.time()
+            started_at = loop.time()
             writer.write(b"z" * 64_000)
             await reader.readexactly(64_000)
-            assert loop.time() - began >= 0.2
+            assert loop.time() - started_at >= 0.2
 
     run(scenario())
