--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -254,9 +254,9 @@
 async def at_once(port: int, count: int, size: int) -> None:
     """Transfer `count` long bodies concurrently, half of them responses; assert that each arrives complete."""
 
-    async def one(number: int) -> tuple[int, str, int, int, bool]:
+    async def transfer(number: int) -> tuple[int, str, int, int, bool]:
         client = await BulkClient.connect(port)
         return await client.ask(size=size) if number % 2 else await client.ask("read", want=f"give={size}")
 
-    got = await asyncio.gather(*(one(number) for number in range(count)))
-    assert all(each[0] == 200 and each[4] for each in got), got
+    results = await asyncio.gather(*(transfer(number) for number in range(count)))
+    assert all(each[0] == 200 and each[4] for each in results), results
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -21,7 +21,7 @@
     random = Random(seed)
     count = 30
     weights = [random.uniform(0.3, 1.0) * (4.0 if n % 6 == 0 else 1.0) for n in range(count)]
-    created = []
+    customers = []
     for n, weight in enumerate(weights):
         mean = rate * weight / sum(weights)
         name = list(plans)[n % len(plans)]
@@ -33,7 +33,7 @@
         def steady(at: float, mean: float = mean) -> float:
             return mean
 
-        created.append(
+        customers.append(
             Customer(
                 f"{n + 1:016x}",
                 name,
@@ -44,7 +44,7 @@
                 klass="write" if n % 3 == 2 else "read",
             )
         )
-    return created
+    return customers
 
 
 async def run_demo(
--- a/rig/etcd.py
+++ b/rig/etcd.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 
 MAX_HISTORY_EVENTS = 4096  # changes kept, which a watch can start from; older ones count as compacted
-MIN_TTL_SECONDS = 1
+MIN_TTL_SECONDS = 1  # shorter leases are granted this time
 
 
 @dataclass(slots=True)
--- a/rig/fake_servers.py
+++ b/rig/fake_servers.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-SCENARIO_TIMEOUT_SECONDS = 20.0
+SCENARIO_TIMEOUT_SECONDS = 20.0  # after which `run` ends a scenario that hangs
 CONFIG_DIRECTORY = tempfile.TemporaryDirectory()  # configuration files, removed when the tests end
 # The settings that `config` starts from.
 FACTS: dict[str, Any] = {
--- a/rig/installation.py
+++ b/rig/installation.py
@@ -127,13 +127,13 @@
 
     def planners_file(self, ports: dict[str, int], endpoint: str, name: str, secret: str = "") -> str:
         """Write a planners configuration file; return its path."""
-        folder = Path(self._directory.name)
-        (folder / f"{name}.secret").write_text(secret or self.secret)
+        directory = Path(self._directory.name)
+        (directory / f"{name}.secret").write_text(secret or self.secret)
         terms = "\n".join(
             f"{key} = {getattr(self.terms, key)}" for key in ("life", "term", "drift", "interval", "entries", "shards")
         )
         planners = "\n".join(f'{key} = "127.0.0.1:{port}"' for key, port in ports.items())
-        path = folder / f"{name}.toml"
+        path = directory / f"{name}.toml"
         path.write_text(
             f"[forwarders]\ncount = {self.count}\n[planners]\n{planners}\n"
             f'[store]\nengine = "etcd"\nendpoints = ["{endpoint}"]\nsession = {self.session}\n'
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -447,9 +447,9 @@
             self._check_drain(worker, arrival, changed)
 
     def _check_drain(self, worker: SoakWorker, arrival: Arrival, changed: float) -> None:
-        slot_name, start, _ = arrival.request.split(NAME_SEPARATOR)
+        slot_name, incarnation, _ = arrival.request.split(NAME_SEPARATOR)
         slot = self.slots[int(slot_name[1:])]
-        started = slot.started_at[int(start) - 1]
+        started = slot.started_at[int(incarnation) - 1]
         late = arrival.at - changed
         self.result.worst_drain_seconds = max(self.result.worst_drain_seconds, late)
         if started > changed:
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -230,7 +230,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """A client's connection, which carries one request at a time."""
+    """A client's connection, which carries one request at a time; `send` returns False if it has been closed."""
 
     def __init__(self, traffic: Traffic, port_index: int) -> None:
         self._traffic, self.port_index = traffic, port_index
