--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -217,7 +217,8 @@
         framing = "Transfer-Encoding: chunked\r\n" if chunked else f"Content-Length: {size}\r\n"
         self.writer.write(
             (
-                f"{'GET' if klass == 'read' else 'POST'} /{klass}?customer={BulkClient.made:016x}&{want} HTTP/1.1\r\n"
+                f"{'GET' if klass == 'read' else 'POST'} /{klass}"
+                f"?customer={BulkClient.made:016x}&{want} HTTP/1.1\r\n"
                 f"Host: x\r\nX-Request-ID: {name}\r\nX-Priority-Class: {klass}\r\nX-Tariff: {plan}\r\n"
                 f"X-Timeout: {timeout}\r\nX-Weight: units=1,spread=1,first=0\r\n"
                 f"{'' if klass == 'read' else framing}\r\n"
