--- a/rig/limited_worker.py
+++ b/rig/limited_worker.py
@@ -91,7 +91,7 @@
         self.load = Load(capacity)
         self.frozen = False
         self.port = 0
-        self.peak = 0.0  # longest time from arrival to completion of an accepted request, in seconds, queue included
+        self.peak = 0.0  # longest seconds from arrival to completion, queue included
         self.since_ms = 0
         self._server: asyncio.Server | None = None
         self._ends: set[_Connection] = set()
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -70,7 +70,7 @@
     offered_value: float = 0.0
     served_value: float = 0.0
     waits: list[float] = field(default_factory=list)  # seconds, of requests that were served
-    series: dict[int, Counter[str]] = field(default_factory=dict)  # outcomes by whole second of the scheduled time
+    series: dict[int, Counter[str]] = field(default_factory=dict)  # by whole second of the scheduled time
 
     @property
     def share(self) -> float:
