--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -1,7 +1,7 @@
-"""Long bodies for tests and benchmarks: a worker that gives and takes them at a pace, and a client that does.
+"""Long bodies for tests and benchmarks: a worker and a client that send and read them at a limited rate.
 
-A body is a run of bytes that tells where it is cut, repeated or mixed with another: each 4 KiB block holds its number
-and the body's name.
+Each 4 KiB block of a body holds its number and the body's name, so that a truncated or repeated part, or one of another
+body, changes the checksum.
 """
 
 from __future__ import annotations
@@ -14,58 +14,60 @@
 
 from rig.fake_servers import Listener, Message
 
-BLOCK = 4096
+BLOCK_BYTES = 4096
 
 
-def block(name: str, number: int) -> bytes:
-    """Block `number` of a body."""
-    return f"{name}:{number}|".encode().ljust(BLOCK, b".")
+def make_block(name: str, number: int) -> bytes:
+    """Return block `number` of a body."""
+    return f"{name}:{number}|".encode().ljust(BLOCK_BYTES, b".")
 
 
-def piece(name: str, first: int, size: int) -> bytes:
-    """`size` bytes of a body from `first` on."""
-    start, end = first // BLOCK, -(-(first + size) // BLOCK)
-    whole = b"".join(block(name, number) for number in range(start, end))
-    return whole[first - start * BLOCK : first - start * BLOCK + size]
+def body_slice(name: str, first: int, size: int) -> bytes:
+    """Return `size` bytes of a body from offset `first`."""
+    start, end = first // BLOCK_BYTES, -(-(first + size) // BLOCK_BYTES)
+    whole = b"".join(make_block(name, number) for number in range(start, end))
+    return whole[first - start * BLOCK_BYTES : first - start * BLOCK_BYTES + size]
 
 
 def check(name: str, size: int) -> int:
-    """The checksum of a body."""
-    total = 0
+    """Return the CRC-32 of a whole body."""
+    checksum = 0
     for first in range(0, size, 1 << 20):
-        total = zlib.crc32(piece(name, first, min(1 << 20, size - first)), total)
-    return total
+        checksum = zlib.crc32(body_slice(name, first, min(1 << 20, size - first)), checksum)
+    return checksum
 
 
-async def take(reader: asyncio.StreamReader, headers: dict[str, str], pace: float = 0.0) -> tuple[int, int, bool]:
-    """Read a body off, at most `pace` bytes a second if that is set: its size and checksum, and whether it is whole."""
-    size = total = 0
+async def read_body(
+    reader: asyncio.StreamReader, headers: dict[str, str], bytes_per_second: float = 0.0
+) -> tuple[int, int, bool]:
+    """Read a body, limited to `bytes_per_second` if set; return its size, its checksum and whether it is complete."""
+    size = checksum = 0
     chunked = "chunked" in headers.get("transfer-encoding", "")
-    left = int(headers["content-length"]) if "content-length" in headers else None
+    body_size = int(headers["content-length"]) if "content-length" in headers else None
     try:
         while True:
             if chunked:
                 length = int((await reader.readuntil(b"\r\n")).split(b";")[0], 16)
                 if not length:
                     await reader.readuntil(b"\r\n")
-                    return size, total, True
+                    return size, checksum, True
                 data = await reader.readexactly(length)
                 await reader.readexactly(2)
             else:
-                if left is not None and size >= left:
-                    return size, total, True
-                data = await reader.read(65536 if left is None else min(65536, left - size))
+                if body_size is not None and size >= body_size:
+                    return size, checksum, True
+                data = await reader.read(65536 if body_size is None else min(65536, body_size - size))
                 if not data:
-                    return size, total, left is None
-            size, total = size + len(data), zlib.crc32(data, total)
-            if pace:
-                await asyncio.sleep(len(data) / pace)
+                    return size, checksum, body_size is None
+            size, checksum = size + len(data), zlib.crc32(data, checksum)
+            if bytes_per_second:
+                await asyncio.sleep(len(data) / bytes_per_second)
     except (asyncio.IncompleteReadError, ConnectionError):
-        return size, total, False
+        return size, checksum, False
 
 
-async def head(reader: asyncio.StreamReader) -> Message | None:
-    """The next message's head, or None at the end of the connection."""
+async def read_head(reader: asyncio.StreamReader) -> Message | None:
+    """Read the head of the next message; None at the end of the connection."""
     try:
         text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -77,11 +79,14 @@
 
 
 class BulkWorker(Listener):
-    """A worker of long bodies. What a request wants of it stands in its query: `give` bytes at `pace` a second,
-    `framing` length, chunked or close; `stall` or `break` after so many bytes; `read` the pace of its reading;
-    `turn=N` turns away its first N tries, `cut=N` breaks them in the middle of the request."""
+    """A worker of long bodies, controlled by the query of each request.
 
-    _tries: dict[str, int] = {}  # of each request, at all workers
+    `give`: size of the response body; `pace`: its bytes a second; `step`: bytes a write; `framing`: length, chunked or
+    close. `stall` or `break`: stop, or abort the connection, after so many bytes. `read`: bytes a second at which the
+    request is read. `turn=N`: respond 503 to its first N attempts; `cut=N`: abort them in the middle of the request.
+    """
+
+    _attempts: dict[str, int] = {}  # by request id, over all workers
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -89,7 +94,7 @@
         self.connections = 0
 
     async def start(self) -> Self:
-        """Listen, with little room in the system for what is not read yet: else that takes a whole body."""
+        """Start to listen with a small receive buffer; the default one could hold a whole body that nobody reads."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         sock.bind(("127.0.0.1", self.port))
@@ -98,7 +103,7 @@
         return self
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return its entry in the discovery list; `changes` override fields."""
         return {
             "name": self.name,
             "address": f"127.0.0.1:{self.port}",
@@ -114,35 +119,41 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         with contextlib.suppress(asyncio.CancelledError, ConnectionError):
-            while (request := await head(reader)) is not None:
-                if not await self._one(request, reader, writer):
+            while (request := await read_head(reader)) is not None:
+                if not await self._handle_request(request, reader, writer):
                     break
         writer.close()
 
-    async def _one(self, request: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _handle_request(
+        self, request: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         query = dict(part.partition("=")[::2] for part in request.first.split(" ")[1].partition("?")[2].split("&"))
         name = request.headers["x-request-id"]
-        number = self._tries[name] = self._tries.get(name, 0) + 1
-        if number <= int(query.get("cut", 0)):
+        attempt = self._attempts[name] = self._attempts.get(name, 0) + 1
+        if attempt <= int(query.get("cut", 0)):
             await reader.read(100_000)
             writer.transport.abort()
             return False
         framed = "content-length" in request.headers or "transfer-encoding" in request.headers
-        size, total, whole = await take(
+        size, checksum, is_complete = await read_body(
             reader, request.headers if framed else {"content-length": "0"}, float(query.get("read", 0))
         )
-        self.took.append((name, size, total, whole))
-        if not whole:
+        self.took.append((name, size, checksum, is_complete))
+        if not is_complete:
             return False
-        if number <= int(query.get("turn", 0)):
+        if attempt <= int(query.get("turn", 0)):
             writer.write(b"HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
             return True
-        return await give(writer, name, query)
+        return await write_response(writer, name, query)
 
 
-async def give(writer: asyncio.StreamWriter, name: str, query: dict[str, str]) -> bool:
-    """Write an answer as a query wants it; whether the connection goes on."""
-    size, pace, framing = int(query.get("give", 4)), float(query.get("pace", 0)), query.get("framing", "length")
+async def write_response(writer: asyncio.StreamWriter, name: str, query: dict[str, str]) -> bool:
+    """Write the response that a query describes; return whether the connection can carry another request."""
+    size, bytes_per_second, framing = (
+        int(query.get("give", 4)),
+        float(query.get("pace", 0)),
+        query.get("framing", "length"),
+    )
     stop = int(query.get("stall", query.get("break", size)))
     writer.write(
         b"HTTP/1.1 200 OK\r\n"
@@ -155,11 +166,11 @@
     )
     step = int(query.get("step", 65536))
     for first in range(0, stop, step):
-        data = piece(name, first, min(step, stop - first))
+        data = body_slice(name, first, min(step, stop - first))
         writer.write(b"%x\r\n%b\r\n" % (len(data), data) if framing == "chunked" else data)
         await writer.drain()
-        if pace:
-            await asyncio.sleep(len(data) / pace)
+        if bytes_per_second:
+            await asyncio.sleep(len(data) / bytes_per_second)
     if "stall" in query:
         await asyncio.sleep(60)
     if "break" in query:
@@ -171,7 +182,7 @@
 
 
 class BulkClient:
-    """A client of long bodies, over one connection."""
+    """A client of long bodies on one connection. `made` counts the requests, for unique ids."""
 
     made = 0
 
@@ -180,7 +191,7 @@
 
     @classmethod
     async def connect(cls, port: int, window: int = 0) -> BulkClient:
-        """Connect; `window` bounds what the reader takes ahead."""
+        """Connect; `window` limits the bytes that the reader buffers ahead."""
         return cls(*await asyncio.open_connection("127.0.0.1", port, **({"limit": window} if window else {})))
 
     async def ask(
@@ -196,17 +207,18 @@
         plan: str = "free",
         timeout: float = 3.0,
     ) -> tuple[int, str, int, int, bool]:
-        """Send a request and read its answer: status, id, size and checksum of the answer, and whether it is whole.
+        """Send a request; return status, request id, response size, its checksum and whether it is complete.
 
-        The body has `size` bytes, goes at `pace` bytes a second in steps, and stops after `stop`; `want` is the
-        query for the worker; the answer is read at `read` bytes a second.
+        The request body has `size` bytes, is sent in steps of `step` bytes at `pace` bytes a second, and stops after
+        `stop` bytes. `want` is the query for the worker. The response is read at `read` bytes a second.
         """
         BulkClient.made += 1
         name = f"bulk{BulkClient.made}"
         framing = "Transfer-Encoding: chunked\r\n" if chunked else f"Content-Length: {size}\r\n"
         self.writer.write(
             (
-                f"{'GET' if klass == 'read' else 'POST'} /{klass}?customer={BulkClient.made:016x}&{want} HTTP/1.1\r\n"
+                f"{'GET' if klass == 'read' else 'POST'} /{klass}"
+                f"?customer={BulkClient.made:016x}&{want} HTTP/1.1\r\n"
                 f"Host: x\r\nX-Request-ID: {name}\r\nX-Priority-Class: {klass}\r\nX-Tariff: {plan}\r\n"
                 f"X-Timeout: {timeout}\r\nX-Weight: units=1,spread=1,first=0\r\n"
                 f"{'' if klass == 'read' else framing}\r\n"
@@ -214,38 +226,38 @@
         )
         sending = asyncio.create_task(self._send(name, size, chunked, pace, step, size if stop is None else stop))
         try:
-            answer = await head(self.reader)
-            if answer is None:
+            response = await read_head(self.reader)
+            if response is None:
                 return 0, name, 0, 0, False
-            got, total, whole = await take(self.reader, answer.headers, read)
-            return answer.status, name, got, total, whole
+            size_received, checksum, is_complete = await read_body(self.reader, response.headers, read)
+            return response.status, name, size_received, checksum, is_complete
         finally:
             sending.cancel()
             with contextlib.suppress(asyncio.CancelledError, ConnectionError):
                 await sending
 
-    async def _send(self, name: str, size: int, chunked: bool, pace: float, step: int, stop: int) -> None:
+    async def _send(self, name: str, size: int, chunked: bool, bytes_per_second: float, step: int, stop: int) -> None:
         for first in range(0, stop, step):
-            data = piece(name, first, min(step, stop - first))
+            data = body_slice(name, first, min(step, stop - first))
             self.writer.write(b"%x\r\n%b\r\n" % (len(data), data) if chunked else data)
             await self.writer.drain()
-            if pace:
-                await asyncio.sleep(len(data) / pace)
+            if bytes_per_second:
+                await asyncio.sleep(len(data) / bytes_per_second)
         if chunked and stop == size:
             self.writer.write(b"0\r\n\r\n")
             await self.writer.drain()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 async def at_once(port: int, count: int, size: int) -> None:
-    """So many long bodies at once, every other one an answer; each has to come whole."""
+    """Transfer `count` long bodies concurrently, half of them responses; assert that each arrives complete."""
 
-    async def one(number: int) -> tuple[int, str, int, int, bool]:
+    async def transfer(number: int) -> tuple[int, str, int, int, bool]:
         client = await BulkClient.connect(port)
         return await client.ask(size=size) if number % 2 else await client.ask("read", want=f"give={size}")
 
-    got = await asyncio.gather(*(one(number) for number in range(count)))
-    assert all(each[0] == 200 and each[4] for each in got), got
+    results = await asyncio.gather(*(transfer(number) for number in range(count)))
+    assert all(each[0] == 200 and each[4] for each in results), results
--- a/rig/disks.py
+++ b/rig/disks.py
@@ -1,7 +1,7 @@
-"""Disks that break on command: what was not synced is dropped, syncs take long or fail, room ends, bits flip.
+"""Disks with injected faults: unsynced writes are lost, syncs are slow or fail, the disk is full or read-only.
 
-`Broken` wraps any disk of a memory's. In one process a schedule turns its knobs; in a process of its own it reads them
-from a file, again at each call, so that a test can turn them while the program runs.
+`Broken` wraps any disk that persisted state is written to. Within one process the test sets its faults directly; in a
+process of its own it reads them from a file at each operation, so that a test can change them while the program runs.
 """
 
 from __future__ import annotations
@@ -19,76 +19,76 @@
 
 @dataclass
 class Knobs:
-    """What is wrong with a disk."""
+    """The faults of a disk; also the fields of the fault file."""
 
-    room: int = -1  # bytes that may still be written; below 0: no bound
+    room: int = -1  # bytes that may be written in all; negative: no bound
     read_only: bool = False
-    sync_takes: float = 0.0  # seconds
+    sync_takes: float = 0.0  # seconds of each sync
     sync_fails: bool = False
-    machine: str = "machine 1, boot 1"
+    machine: str = "machine 1, boot 1"  # identity of the machine and its boot
 
 
-class Knobbed:
-    """Knobs in a JSON file, which may not be there."""
+class DiskFaultsFile:
+    """Disk faults in a JSON file; a missing or unreadable file means no faults."""
 
     def __init__(self, path: str) -> None:
         self._path = path
 
     def now(self) -> Knobs:
-        """As they stand."""
+        """Read the present faults."""
         with contextlib.suppress(OSError, ValueError), open(self._path) as file:
             return Knobs(**json.load(file))
         return Knobs()
 
 
-def turn(path: str, **knobs: object) -> None:
-    """Set the knobs of a process that reads them from this file."""
+def write_disk_faults(path: str, **faults: object) -> None:
+    """Replace the fault file that a process reads."""
     with open(path + ".new", "w") as file:
-        json.dump(knobs, file)
+        json.dump(faults, file)
     os.replace(path + ".new", path)
 
 
 class Memory:
-    """A disk in memory: names and bytes, as they are after a power cut."""
+    """A disk in memory: the files by name, as they are after a power loss."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytearray] = {}
         self.locked = False
 
     def names(self) -> list[str]:
-        """The files."""
+        """Return the names of the files."""
         return list(self.files)
 
     def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file."""
+        """Open a file; `fresh` creates it or makes it empty."""
         if fresh:
             self.files[name] = bytearray()
         elif name not in self.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return _Held(self.files[name])
+        return _MemoryFile(self.files[name])
 
     def rename(self, old: str, new: str) -> None:
-        """Rename."""
+        """Rename a file."""
         self.files[new] = self.files.pop(old)
 
     def remove(self, name: str) -> None:
-        """Drop."""
+        """Remove a file."""
         del self.files[name]
 
     def sync(self) -> None:
-        """Names are always there."""
+        """Do nothing: names are durable at once."""
 
     def lock(self, name: str) -> bool:
-        """One at a time."""
+        """Take the lock; return whether it was free."""
         free, self.locked = not self.locked, True
         return free
 
     def machine(self) -> str:
-        """One machine."""
+        """Return a fixed machine identity."""
         return "machine 1, boot 1"
 
 
-class _Held:
+class _MemoryFile:
     def __init__(self, data: bytearray) -> None:
         self._data = data
 
@@ -108,17 +108,17 @@
         pass
 
 
-class BrokenFile:
-    """A file whose writes reach the one below only by a sync."""
+class FaultyFile:
+    """A file whose writes reach the underlying file only by a sync."""
 
-    def __init__(self, disk: Broken, below: File) -> None:
-        self._disk, self._below = disk, below
-        self.waiting: list[tuple[bool, bytes]] = []  # whether in place, and what
+    def __init__(self, disk: Broken, underlying: File) -> None:
+        self._disk, self._underlying = disk, underlying
+        self.unsynced: list[tuple[bool, bytes]] = []  # (whether written in place, data)
 
     def read(self) -> bytes:
-        """All of it, as its process sees it."""
-        data = bytearray(self._below.read())
-        for in_place, piece in self.waiting:
+        """Return the whole content, unsynced writes included."""
+        data = bytearray(self._underlying.read())
+        for in_place, piece in self.unsynced:
             if in_place:
                 data[: len(piece)] = piece
             else:
@@ -126,101 +126,101 @@
         return bytes(data)
 
     def append(self, data: bytes) -> None:
-        """Write, as far as there is room."""
-        self._disk.writes(len(data))
-        self.waiting.append((False, data))
+        """Append data if the disk has space."""
+        self._disk.check_write(len(data))
+        self.unsynced.append((False, data))
 
     def put(self, data: bytes) -> None:
-        """Write in place: needs no room."""
-        self._disk.writes(0)
-        self.waiting.append((True, data))
+        """Overwrite the beginning of the file, which needs no space."""
+        self._disk.check_write(0)
+        self.unsynced.append((True, data))
 
     def sync(self) -> None:
-        """What waits goes to the file below."""
-        knobs = self._disk.knobs()
-        if knobs.sync_takes:
-            time.sleep(knobs.sync_takes)
-        if knobs.sync_fails:
-            raise OSError(errno.EIO, "a sync that failed")
+        """Write unsynced data to the underlying file and sync it, slowly or with an error if such a fault is set."""
+        faults = self._disk.knobs()
+        if faults.sync_takes:
+            time.sleep(faults.sync_takes)
+        if faults.sync_fails:
+            raise OSError(errno.EIO, "injected fault: sync failed")
         self.flush()
-        self._below.sync()
+        self._underlying.sync()
 
-    def flush(self, most: int = 1 << 62) -> None:
-        """What waits reaches the file below, up to so many bytes."""
-        for in_place, piece in self.waiting:
+    def flush(self, max_bytes: int = 1 << 62) -> None:
+        """Write unsynced data to the underlying file, about `max_bytes` of it, and drop the rest."""
+        for in_place, piece in self.unsynced:
             if in_place:
-                self._below.put(piece)
+                self._underlying.put(piece)
             else:
-                self._below.append(piece[:most])
-            most -= len(piece)
-            if most <= 0:
+                self._underlying.append(piece[:max_bytes])
+            max_bytes -= len(piece)
+            if max_bytes <= 0:
                 break
-        self.waiting.clear()
+        self.unsynced.clear()
 
     def close(self) -> None:
-        """Let it go; what waits may never reach the disk."""
-        self._below.close()
+        """Close the file; unsynced data is not written."""
+        self._underlying.close()
 
 
 class Broken:
-    """A disk over another, with knobs."""
+    """A disk that wraps another and injects faults."""
 
-    def __init__(self, below: Disk, knobs: Knobs | Knobbed | None = None) -> None:
-        self._below, self._knobs = below, knobs or Knobs()
-        self.open_files: list[BrokenFile] = []
-        self.used = 0
+    def __init__(self, underlying: Disk, faults: Knobs | DiskFaultsFile | None = None) -> None:
+        self._underlying, self._faults = underlying, faults or Knobs()
+        self.open_files: list[FaultyFile] = []
+        self.used_bytes = 0
 
     def knobs(self) -> Knobs:
-        """As they stand now."""
-        return self._knobs.now() if isinstance(self._knobs, Knobbed) else self._knobs
-
-    def writes(self, size: int) -> None:
-        """Guards the room."""
-        knobs = self.knobs()
-        if knobs.read_only:
-            raise OSError(errno.EROFS, "a disk that is read only")
-        if knobs.room >= 0 and size > knobs.room - self.used:
-            raise OSError(errno.ENOSPC, "a disk that is full")
-        if knobs.room >= 0:
-            self.used += size
+        """Return the present faults."""
+        return self._faults.now() if isinstance(self._faults, DiskFaultsFile) else self._faults
+
+    def check_write(self, size: int) -> None:
+        """Count a write of so many bytes; raise OSError where the disk is read-only or full."""
+        faults = self.knobs()
+        if faults.read_only:
+            raise OSError(errno.EROFS, "injected fault: disk is read only")
+        if faults.room >= 0 and size > faults.room - self.used_bytes:
+            raise OSError(errno.ENOSPC, "injected fault: disk is full")
+        if faults.room >= 0:
+            self.used_bytes += size
 
     def power(self, random: Random) -> None:
-        """A cut: of what was not synced some bytes got there, at times, in order."""
+        """Lose power: of each file's unsynced writes a random prefix reaches the disk, often none."""
         for file in self.open_files:
             file.flush(random.choice((0, 0, random.randrange(200), 1 << 20)))
         self.open_files.clear()
 
     def names(self) -> list[str]:
-        """The files."""
-        return self._below.names()
+        """Return the names of the files."""
+        return self._underlying.names()
 
     def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file."""
+        """Open a file; `fresh` creates it or makes it empty."""
         if fresh:
-            self.writes(0)
-        file = BrokenFile(self, self._below.open(name, fresh))
+            self.check_write(0)
+        file = FaultyFile(self, self._underlying.open(name, fresh))
         self.open_files.append(file)
         return file
 
     def rename(self, old: str, new: str) -> None:
-        """Rename."""
-        self._below.rename(old, new)
+        """Rename a file."""
+        self._underlying.rename(old, new)
 
     def remove(self, name: str) -> None:
-        """Drop."""
-        self.writes(0)
-        self._below.remove(name)
+        """Remove a file."""
+        self.check_write(0)
+        self._underlying.remove(name)
 
     def sync(self) -> None:
-        """Names are synced."""
+        """Sync the names of the files."""
         if self.knobs().sync_fails:
-            raise OSError(errno.EIO, "a sync that failed")
-        self._below.sync()
+            raise OSError(errno.EIO, "injected fault: sync failed")
+        self._underlying.sync()
 
     def lock(self, name: str) -> bool:
-        """As below."""
-        return self._below.lock(name)
+        """Take the lock of the underlying disk."""
+        return self._underlying.lock(name)
 
     def machine(self) -> str:
-        """Which boot of which machine the knobs say this is."""
+        """Return the machine identity that the faults set."""
         return self.knobs().machine
--- a/rig/etcd.py
+++ b/rig/etcd.py
@@ -1,7 +1,7 @@
-"""A stand-in for etcd: one process, in memory, the part of the v3 JSON gateway that the planners use.
+"""A fake etcd server, in memory: the part of the v3 JSON gateway that the planners use.
 
-It keeps nothing over a restart, and one process has no replicas: good for trying out, for tests and as the
-embedded default on one machine; for more, run etcd itself. Faults on command: slow, unreachable, emptied.
+It persists nothing over a restart and has no replicas. It serves tests, trials and the embedded store of planners on
+one machine; anything else needs etcd itself. Injectable faults: slow, unreachable, wiped.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 from aiohttp import web
 
-KEPT = 4096  # changes that a watch can begin in
-LEAST_TTL = 1
+MAX_HISTORY_EVENTS = 4096  # changes kept, which a watch can start from; older ones count as compacted
+MIN_TTL_SECONDS = 1  # shorter leases are granted this time
 
 
 @dataclass(slots=True)
-class _Key:
+class _Entry:
     value: bytes
     created: int
     modified: int
@@ -31,43 +31,43 @@
 
 @dataclass(slots=True)
 class _Lease:
-    ttl: float
-    ends: float
+    ttl_seconds: float
+    expires_at: float
 
 
 class EtcdStandIn:
-    """Listens at a port of the system's choice, or at the one given."""
+    """The fake etcd server; listens on a free port, or on the one given."""
 
     def __init__(self, port: int = 0) -> None:
         self.port = port
-        self.delay = 0.0  # seconds before each call is looked at
-        self.down = False  # connections are closed unanswered
-        self._clear()
-        self._ids = itertools.count(7587_000_001)
+        self.delay = 0.0  # seconds before each call is handled
+        self.down = False  # connections are aborted without a response
+        self._reset_state()
+        self._lease_ids = itertools.count(7587_000_001)
         self._runner: web.AppRunner | None = None
-        self._task: asyncio.Task[None] | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
 
-    def _clear(self) -> None:
+    def _reset_state(self) -> None:
         self._revision = 1
-        self._keys: dict[bytes, _Key] = {}
+        self._keys: dict[bytes, _Entry] = {}
         self._leases: dict[int, _Lease] = {}
-        self._log: list[dict[str, Any]] = []  # changes, as a watch tells them
-        self._news = asyncio.Event()
+        self._history: list[dict[str, Any]] = []  # changes, as watches report them
+        self._changed = asyncio.Event()
         self._generation = getattr(self, "_generation", 0) + 1
 
     def wipe(self) -> None:
-        """Come back as another, empty store: keys, leases and revisions are gone, watches end."""
-        news = self._news
-        self._clear()
-        news.set()
+        """Become a new, empty store: keys, leases and revisions are lost, watches end."""
+        changed = self._changed
+        self._reset_state()
+        changed.set()
 
     @property
     def endpoint(self) -> str:
-        """Its address for clients."""
+        """The URL for clients."""
         return f"http://127.0.0.1:{self.port}"
 
     async def start(self) -> EtcdStandIn:
-        """Listen."""
+        """Start to listen."""
         app = web.Application(client_max_size=4 * 1024 * 1024)
         for path, call in (
             ("/v3/kv/range", self._range),
@@ -83,19 +83,19 @@
         site = web.TCPSite(self._runner, "127.0.0.1", self.port)
         await site.start()
         self.port = self._runner.addresses[0][1]
-        self._task = asyncio.create_task(self._expire())
+        self._expiry_task = asyncio.create_task(self._expire_leases())
         return self
 
     async def stop(self) -> None:
-        """Listen no more."""
-        if self._task is not None:
-            self._task.cancel()
+        """Stop listening."""
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     def _handler(self, call: Any) -> Any:
         async def handle(request: web.Request) -> web.Response:
-            await self._faults(request)
+            await self._apply_faults(request)
             try:
                 return web.json_response(call(await request.json()))
             except (ValueError, KeyError, TypeError) as error:
@@ -103,55 +103,55 @@
 
         return handle
 
-    async def _faults(self, request: web.Request) -> None:
+    async def _apply_faults(self, request: web.Request) -> None:
         if self.delay:
             await asyncio.sleep(self.delay)
         if self.down and request.transport is not None:
             request.transport.abort()
             raise web.HTTPServiceUnavailable
 
-    async def _expire(self) -> None:
+    async def _expire_leases(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(0.05)
-            for number in [n for n, lease in self._leases.items() if lease.ends <= loop.time()]:
-                self._end(number)
+            for number in [n for n, lease in self._leases.items() if lease.expires_at <= loop.time()]:
+                self._remove_lease(number)
 
-    def _end(self, number: int) -> None:
+    def _remove_lease(self, number: int) -> None:
         del self._leases[number]
-        gone = [key for key, held in self._keys.items() if held.lease == number]
-        if gone:
+        attached = [key for key, entry in self._keys.items() if entry.lease == number]
+        if attached:
             self._revision += 1
-            for key in gone:
+            for key in attached:
                 self._delete(key)
 
-    # Calls.
+    # Calls of the JSON gateway.
 
     def _header(self) -> dict[str, Any]:
         return {"cluster_id": "1", "member_id": "1", "revision": str(self._revision), "raft_term": "2"}
 
-    def _told(self, key: bytes, held: _Key) -> dict[str, Any]:
+    def _encode_entry(self, key: bytes, entry: _Entry) -> dict[str, Any]:
         return {
             "key": base64.b64encode(key).decode(),
-            "value": base64.b64encode(held.value).decode(),
-            "create_revision": str(held.created),
-            "mod_revision": str(held.modified),
-            "version": str(held.version),
-            "lease": str(held.lease),
+            "value": base64.b64encode(entry.value).decode(),
+            "create_revision": str(entry.created),
+            "mod_revision": str(entry.modified),
+            "version": str(entry.version),
+            "lease": str(entry.lease),
         }
 
     def _range(self, body: dict[str, Any]) -> dict[str, Any]:
         start = base64.b64decode(body["key"])
         end = base64.b64decode(body["range_end"]) if body.get("range_end") else start + b"\0"
-        found = [self._told(key, held) for key, held in sorted(self._keys.items()) if start <= key < end]
+        found = [self._encode_entry(key, entry) for key, entry in sorted(self._keys.items()) if start <= key < end]
         return {"header": self._header(), "kvs": found, "count": str(len(found))}
 
     def _txn(self, body: dict[str, Any]) -> dict[str, Any]:
         for compare in body.get("compare", ()):
             if compare.get("target") != "MOD" or compare.get("result", "EQUAL") != "EQUAL":
-                raise ValueError("only MOD EQUAL is compared here")
-            held = self._keys.get(base64.b64decode(compare["key"]))
-            if (held.modified if held else 0) != int(compare.get("mod_revision", 0)):
+                raise ValueError("only the comparison MOD EQUAL is supported")
+            entry = self._keys.get(base64.b64decode(compare["key"]))
+            if (entry.modified if entry else 0) != int(compare.get("mod_revision", 0)):
                 return {"header": self._header(), "succeeded": False}
         operations = body.get("success", ())
         for operation in operations:
@@ -169,36 +169,36 @@
             elif "request_delete_range" in operation:
                 self._delete(base64.b64decode(operation["request_delete_range"]["key"]))
             else:
-                raise ValueError(f"unknown operation {list(operation)}")
+                raise ValueError(f"unsupported operation {list(operation)}")
         return {"header": self._header(), "succeeded": True}
 
     def _put(self, key: bytes, value: bytes, lease: int) -> None:
-        before = self._keys.get(key)
-        held = self._keys[key] = _Key(
+        previous = self._keys.get(key)
+        entry = self._keys[key] = _Entry(
             value,
-            before.created if before else self._revision,
+            previous.created if previous else self._revision,
             self._revision,
-            before.version + 1 if before else 1,
+            previous.version + 1 if previous else 1,
             lease,
         )
-        self._tell({"kv": self._told(key, held)}, key)
+        self._record_change({"kv": self._encode_entry(key, entry)}, key)
 
     def _delete(self, key: bytes) -> None:
         if self._keys.pop(key, None) is not None:
-            self._tell(
+            self._record_change(
                 {"type": "DELETE", "kv": {"key": base64.b64encode(key).decode(), "mod_revision": str(self._revision)}},
                 key,
             )
 
-    def _tell(self, event: dict[str, Any], key: bytes) -> None:
-        self._log.append({"revision": self._revision, "key": key, "event": event})
-        del self._log[:-KEPT]
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+    def _record_change(self, event: dict[str, Any], key: bytes) -> None:
+        self._history.append({"revision": self._revision, "key": key, "event": event})
+        del self._history[:-MAX_HISTORY_EVENTS]
+        changed, self._changed = self._changed, asyncio.Event()
+        changed.set()
 
     def _grant(self, body: dict[str, Any]) -> dict[str, Any]:
-        number = int(body.get("ID", 0)) or next(self._ids)
-        ttl = max(LEAST_TTL, int(body["TTL"]))
+        number = int(body.get("ID", 0)) or next(self._lease_ids)
+        ttl = max(MIN_TTL_SECONDS, int(body["TTL"]))
         self._leases[number] = _Lease(ttl, asyncio.get_running_loop().time() + ttl)
         return {"header": self._header(), "ID": str(number), "TTL": str(ttl)}
 
@@ -207,41 +207,43 @@
         lease = self._leases.get(number)
         if lease is None:
             return {"result": {"header": self._header(), "ID": str(number)}}
-        lease.ends = asyncio.get_running_loop().time() + lease.ttl
-        return {"result": {"header": self._header(), "ID": str(number), "TTL": str(int(lease.ttl))}}
+        lease.expires_at = asyncio.get_running_loop().time() + lease.ttl_seconds
+        return {"result": {"header": self._header(), "ID": str(number), "TTL": str(int(lease.ttl_seconds))}}
 
     def _revoke(self, body: dict[str, Any]) -> dict[str, Any]:
         number = int(body["ID"])
         if number not in self._leases:
             raise ValueError("etcdserver: requested lease not found")
-        self._end(number)
+        self._remove_lease(number)
         return {"header": self._header()}
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        await self._faults(request)
-        asked = (await request.json())["create_request"]
-        start, end = base64.b64decode(asked["key"]), base64.b64decode(asked["range_end"])
-        revision = int(asked.get("start_revision", 0)) or self._revision + 1
+        await self._apply_faults(request)
+        create_request = (await request.json())["create_request"]
+        start, end = base64.b64decode(create_request["key"]), base64.b64decode(create_request["range_end"])
+        revision = int(create_request.get("start_revision", 0)) or self._revision + 1
         response = web.StreamResponse()
         await response.prepare(request)
         generation = self._generation
 
-        async def tell(result: dict[str, Any]) -> None:
+        async def write_result(result: dict[str, Any]) -> None:
             line = json.dumps({"result": {"header": self._header(), **result}})
             await response.write(line.encode() + b"\n")
 
         with contextlib.suppress(ConnectionError):
-            if self._log and len(self._log) >= KEPT and revision < self._log[0]["revision"]:
-                await tell({"canceled": True, "compact_revision": str(self._log[0]["revision"])})
+            if self._history and len(self._history) >= MAX_HISTORY_EVENTS and revision < self._history[0]["revision"]:
+                await write_result({"canceled": True, "compact_revision": str(self._history[0]["revision"])})
                 return response
-            await tell({"created": True})
+            await write_result({"created": True})
             while generation == self._generation:
-                news = self._news
-                found = [entry for entry in self._log if entry["revision"] >= revision and start <= entry["key"] < end]
+                changed = self._changed
+                found = [
+                    entry for entry in self._history if entry["revision"] >= revision and start <= entry["key"] < end
+                ]
                 if found and not self.down:
-                    await tell({"events": [entry["event"] for entry in found]})
+                    await write_result({"events": [entry["event"] for entry in found]})
                     revision = found[-1]["revision"] + 1
-                await news.wait()
+                await changed.wait()
             if request.transport is not None:
                 request.transport.abort()
         return response
--- a/rig/installation.py
+++ b/rig/installation.py
@@ -1,8 +1,8 @@
 """A whole installation on loopback: workers, discovery, gatekeepers, and planners with their store.
 
-Workers, discovery and a stand-in store live in this process; gatekeepers and planners are the real program in
-processes of their own. With `proxied`, each forwarder's way to each planner, and each planner's to the store,
-is a link that can be broken.
+Workers, discovery and a fake etcd server run in this process; gatekeepers and planners are the real program in
+processes of their own. With `proxied`, the link of each forwarder to each planner, and of each planner to the store,
+goes through a fault proxy.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from rig.etcd import EtcdStandIn
 from rig.fake_servers import Discovery, Gatekeeper, spawn
 from rig.faults import FaultProxy
-from rig.limited_worker import Meter, ModelledWorker, Record
+from rig.limited_worker import LimitedWorker, Meter, WorkRecord
 from rig.traffic import PlanShape
 
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "example.json"
-PORTS, CHANCE = (12_000, 32_000), SystemRandom()
-QUICK = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: what takes seconds takes a third of them
+PORT_RANGE, PORT_RANDOM = (12_000, 32_000), SystemRandom()  # below the range of ephemeral ports
+QUICK = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: about a third of the default times
 
 
 def free_port() -> int:
-    """A port that nobody listens at just now, below those that the system gives to connections by itself.
+    """Return a port that is free now and lies below the range of ephemeral ports.
 
-    Guards against a connection that is made while a process is away, and takes the port that it is to come back to.
+    An ephemeral port could be taken by an outgoing connection while a process that is to listen on it again is down.
     """
     while True:
-        port = CHANCE.randrange(*PORTS)
+        port = PORT_RANDOM.randrange(*PORT_RANGE)
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
@@ -47,7 +47,12 @@
 
 
 class Installation:
-    """All of it; an async context, which ends every process that it started."""
+    """Starts and owns all parts of an installation; an async context that ends every process it started.
+
+    `service` is the core seconds that a unit of work takes at a worker, `session` the seconds of a planner's session
+    in the store, `paces` whether planners also plan the capacity of workers. `settings` overrides keys of the example
+    configuration. Without planners the forwarders are plain gatekeepers.
+    """
 
     def __init__(
         self,
@@ -68,41 +73,41 @@
     ) -> None:
         self.count, self.terms, self.seed, self.proxied = forwarders, terms, seed, proxied
         self.sockets, self.session, self.paces = sockets, session, paces
-        made: dict[str, Any] = json.loads(EXAMPLE.read_text())
-        made["settings"]["NInstances"] = forwarders
+        example: dict[str, Any] = json.loads(EXAMPLE.read_text())
+        example["settings"]["NInstances"] = forwarders
         if plans is not None:
-            usual = {**made["settings"]["Plans"][0], "HardRate": 0, "CapDepth": 0}
-            made["settings"]["Plans"] = [{**usual, **plan} for plan in plans]
+            default_plan = {**example["settings"]["Plans"][0], "HardRate": 0, "CapDepth": 0}
+            example["settings"]["Plans"] = [{**default_plan, **plan} for plan in plans]
         for key, value in (settings or {}).items():
             if isinstance(value, dict):
-                made["settings"][key].update(value)
+                example["settings"][key].update(value)
             else:
-                made["settings"][key] = value
-        self.settings: dict[str, Any] = made["settings"]
-        self._example = made
+                example["settings"][key] = value
+        self.settings: dict[str, Any] = example["settings"]
+        self._example = example
         self.plans = {p["Name"]: PlanShape(p["Refill"], p["MostAtOnce"]) for p in self.settings["Plans"]}
-        self.record = Record()
+        self.record = WorkRecord()
         self.meter = Meter({name: plan.rate for name, plan in self.plans.items()})
-        model = capacity or Capacity(cores=2, queue=24, thrash=0.05)
-        models = list(capacities) if capacities is not None else [model] * workers
+        worker_capacity = capacity or Capacity(cores=2, queue=24, thrash=0.05)
+        worker_capacities = list(capacities) if capacities is not None else [worker_capacity] * workers
         self.workers = [
-            ModelledWorker(
+            LimitedWorker(
                 f"worker-{n + 1}", each, service, seed, zone="abc"[n % 3], meter=self.meter, record=self.record
             )
-            for n, each in enumerate(models)
+            for n, each in enumerate(worker_capacities)
         ]
         self.names = [f"p{n + 1}" for n in range(planners)]
         self.planner_ports = {name: free_port() for name in self.names}
         self.forwarders: list[Gatekeeper] = []
         self.planners: dict[str, Gatekeeper] = {}
-        self.links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder and planner
-        self.store_links: dict[str, FaultProxy] = {}  # by planner
+        self.links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder number and planner name
+        self.store_links: dict[str, FaultProxy] = {}  # by planner name
         self.store: EtcdStandIn | None = EtcdStandIn() if planners else None
-        self._folder = tempfile.TemporaryDirectory()
+        self._directory = tempfile.TemporaryDirectory()
         self.secret = "a secret of the installation"
 
     async def __aenter__(self) -> Self:
-        """Start all of it."""
+        """Start all parts."""
         try:
             await self._start()
         except BaseException:
@@ -121,14 +126,14 @@
         await asyncio.gather(*(self.forward(n) for n in range(self.count)))
 
     def planners_file(self, ports: dict[str, int], endpoint: str, name: str, secret: str = "") -> str:
-        """Write a planners' configuration; its path."""
-        folder = Path(self._folder.name)
-        (folder / f"{name}.secret").write_text(secret or self.secret)
+        """Write a planners configuration file; return its path."""
+        directory = Path(self._directory.name)
+        (directory / f"{name}.secret").write_text(secret or self.secret)
         terms = "\n".join(
             f"{key} = {getattr(self.terms, key)}" for key in ("life", "term", "drift", "interval", "entries", "shards")
         )
         planners = "\n".join(f'{key} = "127.0.0.1:{port}"' for key, port in ports.items())
-        path = folder / f"{name}.toml"
+        path = directory / f"{name}.toml"
         path.write_text(
             f"[forwarders]\ncount = {self.count}\n[planners]\n{planners}\n"
             f'[store]\nengine = "etcd"\nendpoints = ["{endpoint}"]\nsession = {self.session}\n'
@@ -138,12 +143,12 @@
         return str(path)
 
     def config(self) -> PlannersConfig:
-        """The planners' configuration with no link between."""
+        """Return the planners configuration without fault proxies."""
         assert self.store is not None
         return load(self.planners_file(self.planner_ports, self.store.endpoint, "plain"))
 
     async def plan(self, name: str) -> Gatekeeper:
-        """Start a planner, or start it anew."""
+        """Start or restart a planner."""
         assert self.store is not None
         endpoint = self.store.endpoint
         if self.proxied:
@@ -153,20 +158,20 @@
             endpoint = f"http://{self.store_links[name].address}"
         file = self.planners_file(self.planner_ports, endpoint, f"planner-{name}")
         planner = self.planners[name] = await spawn("{}", "plan", "--config", file, "--name", name)
-        await self._listening(planner)
+        await self._wait_until_listening(planner)
         return planner
 
     async def forward(self, number: int) -> Gatekeeper:
-        """Start a forwarder, or start it anew under its old name; with no planners a plain gatekeeper."""
-        made = copy.deepcopy(self._example)
-        made.update(
+        """Start a forwarder, or restart it under the same name; without planners it is a plain gatekeeper."""
+        configuration = copy.deepcopy(self._example)
+        configuration.update(
             name=f"f{number}",
             listen="127.0.0.1:0",
             discovery=f"127.0.0.1:{self.discovery.port}",
             seed=f"{self.seed * 1000 + number:x}",
         )
-        made["limits"]["sockets"] = self.sockets
-        words: tuple[str, ...] = ()
+        configuration["limits"]["sockets"] = self.sockets
+        arguments: tuple[str, ...] = ()
         if self.names:
             assert self.store is not None
             ports = dict(self.planner_ports)
@@ -176,37 +181,37 @@
                         self.links[number, name] = await FaultProxy(("127.0.0.1", port)).start()
                     ports[name] = self.links[number, name].port
             file = self.planners_file(ports, self.store.endpoint, f"forwarder-{number}")
-            words = ("forward", "--number", str(number), "--config", file)
-        gate = await self._spawn(number, made, words)
-        await self._listening(gate)
-        while await gate.health() != 200:
+            arguments = ("forward", "--number", str(number), "--config", file)
+        gatekeeper = await self._spawn(number, configuration, arguments)
+        await self._wait_until_listening(gatekeeper)
+        while await gatekeeper.health() != 200:
             await asyncio.sleep(0.02)
         while len(self.forwarders) <= number:
-            self.forwarders.append(gate)
-        self.forwarders[number] = gate
-        return gate
+            self.forwarders.append(gatekeeper)
+        self.forwarders[number] = gatekeeper
+        return gatekeeper
 
-    async def _spawn(self, number: int, made: dict[str, Any], words: tuple[str, ...]) -> Gatekeeper:
-        """Start the program as this forwarder."""
-        return await spawn(made, *words)
+    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> Gatekeeper:
+        """Start the program as this forwarder; overridden by installations with other commands."""
+        return await spawn(configuration, *arguments)
 
     @staticmethod
-    async def _listening(gate: Gatekeeper) -> None:
-        told, ended = asyncio.create_task(gate.listening()), asyncio.create_task(gate.process.wait())
-        await asyncio.wait({told, ended}, return_when=asyncio.FIRST_COMPLETED)
-        told.cancel()
-        if not gate.port:
+    async def _wait_until_listening(gatekeeper: Gatekeeper) -> None:
+        listening, ended = asyncio.create_task(gatekeeper.listening()), asyncio.create_task(gatekeeper.process.wait())
+        await asyncio.wait({listening, ended}, return_when=asyncio.FIRST_COMPLETED)
+        listening.cancel()
+        if not gatekeeper.port:
             await asyncio.sleep(0.05)
-            raise RuntimeError("a process did not start: " + "".join(gate.log).strip())
+            raise RuntimeError("process did not start: " + "".join(gatekeeper.log).strip())
         ended.cancel()
 
     @property
     def ports(self) -> list[int]:
-        """Where the gatekeepers listen."""
+        """The ports that the gatekeepers listen on."""
         return [gate.port for gate in self.forwarders]
 
     async def __aexit__(self, *_: object) -> None:
-        """End every process, and all that lives here."""
+        """End every process and stop all servers of this process."""
         processes = [gate.process for gate in [*self.forwarders, *self.planners.values()]]
         for process in processes:
             if process.returncode is None:
@@ -221,4 +226,4 @@
             self.discovery.stop()
         for worker in self.workers:
             worker.stop()
-        self._folder.cleanup()
+        self._directory.cleanup()
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -1,13 +1,13 @@
-"""Random faults that overlap, over many gatekeepers in processes of their own, judged from outside.
+"""A soak test: random overlapping faults on many gatekeepers in processes of their own, checked from outside.
 
-`python -m rig.soak --seeds 1 2 3` plays a day for each seed and prints a line of JSON for each: the faults that were
-injected, and every broken rule. The seed decides which faults come when; what the operating system does in between is
-not repeated, so that a break is looked into by its record, not by a second play.
+`python -m rig.soak --seeds 1 2 3` runs once for each seed and prints a line of JSON for each run: the faults that were
+injected, and every rule that was broken. The seed determines which faults are injected when, but not the scheduling of
+the operating system, so a run cannot be repeated exactly: a broken rule is analysed from its record.
 
-Judged: each request gets one final answer in time, unless its process was killed or it crossed the end of a resting
-connection; a request with an effect runs once; nothing begins after its client has gone; endpoints hear no more time
-than the client has left; nothing goes to an endpoint that drains after the grace; no process ends by itself or refuses
-a step by its own guard.
+The rules: each request gets one final response in time, unless its process was killed or it was sent while the
+gatekeeper closed an idle connection; a request with side effects runs once; no request starts at a worker after its
+client disconnected; workers are given no more time than the client has left; no request goes to a draining worker after
+the grace period; no process exits by itself, and its invariant checks refuse no step.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 from rig.agent import AgentFaults, FakeAgent
 from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch, reset
 
-GRACE = 0.25  # seconds after a notification in which requests may still go out
-NOTIFIED_AT_LATEST = 6.0  # seconds after discovery had a change and could be reached
-SLACK = 0.12  # seconds that this program and the processes may be late on a quiet machine
-LATE_ANSWER = 0.5  # seconds after its time in which an answer only earns nothing
-CLIENT_GONE_GRACE = 0.1  # seconds in which what crossed the close of a client's connection may still begin
-TIMEOUT_SLACK = 0.15  # seconds by which an endpoint may be told of more than the client has left
-NAME_SEPARATOR = "-"  # in a request's id: gatekeeper, its start, number
-HOLD_UP_SECONDS = 0.15  # that a process may be held up between reading its clock and writing
-OVERLAPPING_FAULTS = 2  # that a gatekeeper or its agent may have at a time, or more
-QUIET_SECONDS = 1.0  # before and after a change, in which no fault of the agent makes the strict bound hold
+DRAIN_GRACE_SECONDS = 0.25  # after a notification, in which requests may still go to a draining worker
+MAX_NOTIFICATION_SECONDS = 6.0  # from the publication of a change until a gatekeeper with faults has it
+SCHEDULING_SLACK_SECONDS = 0.12  # scheduling delay of this program and the processes on an idle machine
+LATE_ANSWER_SECONDS = 0.5  # after its timeout, in which a response is late but not counted as lost
+DISCONNECT_GRACE_SECONDS = 0.1  # in which a request may still start when its client disconnects meanwhile
+TIMEOUT_SLACK_SECONDS = 0.15  # by which a worker's timeout may exceed what the client has left
+NAME_SEPARATOR = "-"  # in a request id: gatekeeper, incarnation, number
+PAUSE_SECONDS = 0.15  # for which a process is suspended, possibly between reading its clock and writing
+FAULT_TASKS_PER_GATEKEEPER = 2  # tasks that inject faults; their faults overlap
+QUIET_WINDOW_SECONDS = 1.0  # before and after a change; without faults in it, the strict drain bound applies
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request as an endpoint saw it."""
+    """A request as a worker received it."""
 
     at: float
     request: str
@@ -51,33 +51,33 @@
 
 
 @dataclass
-class Sent:
-    """A request as its client knows it."""
+class SentRequest:
+    """A request as its client sent it."""
 
     at: float
     timeout: float
-    left_at: float | None = None
+    disconnected_at: float | None = None
 
 
 @dataclass
-class Record:
-    """What a day came to."""
+class SoakResult:
+    """The result of a run; its fields are the keys of the printed JSON."""
 
     seed: int
     breaks: list[str] = field(default_factory=list)
     faults: dict[str, int] = field(default_factory=dict)
     answered: int = 0
     served: int = 0
-    worst_drain_seconds: float = 0.0  # a request to a draining endpoint after its change, at the latest
-    worst_quiet_drain_seconds: float = 0.0  # the same where nothing was wrong with the agent
+    worst_drain_seconds: float = 0.0  # latest request to a draining worker, after its change was published
+    worst_quiet_drain_seconds: float = 0.0  # the same where the agent and the gatekeeper had no fault
 
-    def line(self) -> str:
-        """As a line of JSON."""
+    def to_json(self) -> str:
+        """Return the result as a line of JSON."""
         return json.dumps({"ok": not self.breaks, **self.__dict__})
 
 
 class SoakWorker(Worker):
-    """An endpoint that answers, or fails as it is told to."""
+    """A worker that responds, or fails as `fault` says: hang, reset or slow."""
 
     def __init__(self, name: str, random: Random) -> None:
         super().__init__(name, self._answer)
@@ -99,377 +99,392 @@
 
 
 @dataclass
-class Station:
-    """One gatekeeper, over all its starts, with its two agents."""
+class GatekeeperSlot:
+    """One gatekeeper over all its incarnations, with the two agents that it can watch."""
 
     number: int
     agents: list[FakeAgent]
     gatekeeper: Gatekeeper | None = None
-    start: int = 0
+    incarnation: int = 0
     started_at: list[float] = field(default_factory=list)
-    current: int = 0  # which agent it watches
-    disturbed: list[tuple[float, float]] = field(default_factory=list)  # spans in which its agent or it had a fault
-    known: list[dict[str, Any]] = field(default_factory=list)
+    agent_index: int = 0  # index of the agent that it watches
+    fault_spans: list[tuple[float, float]] = field(default_factory=list)  # (begin, end) of faults
+    known_endpoints: list[dict[str, Any]] = field(default_factory=list)
     down: bool = False
-    stopped: bool = False  # held up now, or a moment ago
+    recently_paused: bool = False  # suspended now or a moment ago
 
     @property
     def agent(self) -> FakeAgent:
-        """Whom it watches."""
-        return self.agents[self.current]
+        """The agent that it watches."""
+        return self.agents[self.agent_index]
 
     @property
     def name(self) -> str:
-        """Its present incarnation, as requests name it."""
-        return f"g{self.number}{NAME_SEPARATOR}{self.start}"
+        """The name of its present incarnation, the prefix of request ids."""
+        return f"g{self.number}{NAME_SEPARATOR}{self.incarnation}"
 
-    def quiet(self, at: float) -> bool:
-        """Whether nothing was wrong round a moment."""
-        return not any(begin < at + QUIET_SECONDS and end > at - QUIET_SECONDS for begin, end in self.disturbed)
+    def is_quiet(self, at: float) -> bool:
+        """Whether there was no fault within the quiet window around a time."""
+        return not any(
+            begin < at + QUIET_WINDOW_SECONDS and end > at - QUIET_WINDOW_SECONDS for begin, end in self.fault_spans
+        )
 
 
 class Soak:
-    """A day."""
+    """One run: processes, clients, fault injection and the checks at its end."""
 
     def __init__(
-        self, seed: int, seconds: float, gatekeepers: int, workers: int, clients: int, slack: float = SLACK
+        self,
+        seed: int,
+        seconds: float,
+        gatekeepers: int,
+        workers: int,
+        clients: int,
+        slack: float = SCHEDULING_SLACK_SECONDS,
     ) -> None:
         self.random = Random(seed)
         self.seconds, self.clients, self.slack = seconds, clients, slack
-        self.record = Record(seed)
+        self.result = SoakResult(seed)
         self.workers = [SoakWorker(f"w{n}", self.random) for n in range(workers)]
-        self.stations = [Station(n, []) for n in range(gatekeepers)]
-        self.sent: dict[str, Sent] = {}
-        self.drains: dict[str, float] = {}  # by worker: when the change was published
+        self.slots = [GatekeeperSlot(n, []) for n in range(gatekeepers)]
+        self.sent_requests: dict[str, SentRequest] = {}
+        self.drain_times: dict[str, float] = {}  # by worker: when the change was published
         self.ended = False
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def play(self) -> Record:
-        """Play it to its end, and judge."""
+    async def play(self) -> SoakResult:
+        """Run for the given seconds, then check the rules."""
         for worker in self.workers:
             await worker.start()
         entries = [worker.entry() for worker in self.workers]
-        for station in self.stations:
-            station.agents = [await FakeAgent(entries).start(), await FakeAgent(entries, index=50).start()]
-            station.known = entries
-        await asyncio.gather(*(self._start(station) for station in self.stations))
+        for slot in self.slots:
+            slot.agents = [await FakeAgent(entries).start(), await FakeAgent(entries, index=50).start()]
+            slot.known_endpoints = entries
+        await asyncio.gather(*(self._start(slot) for slot in self.slots))
         began = time.monotonic()
-        for station in self.stations:
-            self._tasks += [asyncio.create_task(self._client(station)) for _ in range(self.clients)]
-            self._tasks += [asyncio.create_task(self._faults_of(station)) for _ in range(OVERLAPPING_FAULTS)]
-        self._tasks += [asyncio.create_task(self._drain_workers()), asyncio.create_task(self._worker_faults())]
+        for slot in self.slots:
+            self._tasks += [asyncio.create_task(self._client(slot)) for _ in range(self.clients)]
+            self._tasks += [
+                asyncio.create_task(self._inject_gatekeeper_faults(slot)) for _ in range(FAULT_TASKS_PER_GATEKEEPER)
+            ]
+        self._tasks += [asyncio.create_task(self._drain_workers()), asyncio.create_task(self._inject_worker_faults())]
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(asyncio.gather(*self._tasks), self.seconds)
         self.ended = True
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.gather(*(self._finish(station) for station in self.stations))
-        self._judge(began)
-        return self.record
+        await asyncio.gather(*(self._finish(slot) for slot in self.slots))
+        self._check_results(began)
+        return self.result
 
     # Processes.
 
-    async def _start(self, station: Station) -> None:
-        station.start += 1
-        station.started_at.append(time.monotonic())
-        made = config(station.agent.port, changes={"Rules": {"DrainGraceUs": int(GRACE * 1e6)}})
-        made["name"] = f"g{station.number}"
-        made["known"] = {
-            "index": station.agent.index if not station.known else 1,
+    async def _start(self, slot: GatekeeperSlot) -> None:
+        slot.incarnation += 1
+        slot.started_at.append(time.monotonic())
+        configuration = config(slot.agent.port, changes={"Rules": {"DrainGraceUs": int(DRAIN_GRACE_SECONDS * 1e6)}})
+        configuration["name"] = f"g{slot.number}"
+        configuration["known"] = {
+            "index": slot.agent.index if not slot.known_endpoints else 1,
             "snapshot": True,
-            "endpoints": station.known,
+            "endpoints": slot.known_endpoints,
         }
-        station.gatekeeper = await launch(made)
-        station.down = False
+        slot.gatekeeper = await launch(configuration)
+        slot.down = False
 
-    async def _finish(self, station: Station) -> None:
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down:
+    async def _finish(self, slot: GatekeeperSlot) -> None:
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down:
             return
         if gatekeeper.process.returncode is not None:
-            self.record.breaks.append(f"crash: {station.name} ended by itself: {gatekeeper.log[-3:]}")
+            self.result.breaks.append(f"crash: {slot.name} exited by itself: {gatekeeper.log[-3:]}")
             return
         try:
             refused = await asyncio.wait_for(gatekeeper.call("REFUSED"), 5.0)
         except (OSError, TimeoutError):
-            refused = "no answer"
+            refused = "no response"
         if refused != "ok none":
-            self.record.breaks.append(f"guard: {station.name}: {refused}")
+            self.result.breaks.append(f"guard: {slot.name}: {refused}")
         if any("Traceback" in line for line in gatekeeper.log):
-            self.record.breaks.append(f"traceback: {station.name}: {gatekeeper.log[-5:]}")
+            self.result.breaks.append(f"traceback: {slot.name}: {gatekeeper.log[-5:]}")
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
 
     # Clients.
 
-    async def _client(self, station: Station) -> None:
-        client, rested = None, False
+    async def _client(self, slot: GatekeeperSlot) -> None:
+        client, reused = None, False
         while not self.ended:
-            gatekeeper, name = station.gatekeeper, station.name
-            if station.down or gatekeeper is None:
+            gatekeeper, name = slot.gatekeeper, slot.name
+            if slot.down or gatekeeper is None:
                 client = None
                 await asyncio.sleep(0.05)
                 continue
             try:
                 if client is None:
-                    client, rested = await gatekeeper.client(), False
-                kept = await self._ask(client, name, rested, station)
-                client, rested = (client, True) if kept else (None, False)
+                    client, reused = await gatekeeper.client(), False
+                reusable = await self._send_request(client, name, reused, slot)
+                client, reused = (client, True) if reusable else (None, False)
             except OSError:
                 client = None
                 await asyncio.sleep(0.02)
             await asyncio.sleep(self.random.uniform(0.0, 0.06))
 
-    async def _ask(self, client: Client, name: str, rested: bool, station: Station) -> bool:
-        """One request; whether its connection can carry another."""
-        request = f"{name}{NAME_SEPARATOR}{len(self.sent)}"
+    async def _send_request(self, client: Client, name: str, reused: bool, slot: GatekeeperSlot) -> bool:
+        """Send one request; return whether its connection can carry another."""
+        request = f"{name}{NAME_SEPARATOR}{len(self.sent_requests)}"
         klass = self.random.choice(("read", "write"))
         timeout = self.random.choice((0.3, 0.8, 1.5))
-        sent = self.sent[request] = Sent(time.monotonic(), timeout)
+        sent = self.sent_requests[request] = SentRequest(time.monotonic(), timeout)
         client.send(client.request(klass, timeout=f"{timeout:.3f}", id=request))
-        leaves = self.random.random() < 0.05
-        patience = self.random.uniform(0.0, timeout / 2) if leaves else timeout + LATE_ANSWER + self.slack
+        disconnects = self.random.random() < 0.05
+        max_wait = self.random.uniform(0.0, timeout / 2) if disconnects else timeout + LATE_ANSWER_SECONDS + self.slack
         try:
-            reply = await asyncio.wait_for(client.receive(), patience)
+            reply = await asyncio.wait_for(client.receive(), max_wait)
         except TimeoutError:
-            sent.left_at = time.monotonic()
+            sent.disconnected_at = time.monotonic()
             client.writer.transport.abort()
-            if not leaves and station.name == name and not station.down:
-                self.record.breaks.append(f"lost: {request} ({klass}, {timeout} s) was not answered in time")
+            if not disconnects and slot.name == name and not slot.down:
+                self.result.breaks.append(f"lost: {request} ({klass}, {timeout} s) got no response in time")
             return False
         if reply is None:
-            if not rested and station.name == name and not station.down:
-                self.record.breaks.append(f"lost: {request} ({klass}) ended with no answer on a new connection")
+            if not reused and slot.name == name and not slot.down:
+                self.result.breaks.append(f"lost: {request} ({klass}) ended without a response on a new connection")
             return False
-        self.record.answered += 1
-        self.record.served += reply.status == 200
+        self.result.answered += 1
+        self.result.served += reply.status == 200
         return reply.headers.get("connection") != "close"
 
     # Faults.
 
-    def _inject(self, kind: str) -> None:
-        self.record.faults[kind] = self.record.faults.get(kind, 0) + 1
+    def _count_fault(self, kind: str) -> None:
+        self.result.faults[kind] = self.result.faults.get(kind, 0) + 1
 
-    async def _faults_of(self, station: Station) -> None:
+    async def _inject_gatekeeper_faults(self, slot: GatekeeperSlot) -> None:
         kinds = [
             self._delay,
             self._delay,
             self._trickle,
             self._reset,
             self._refuse,
-            self._silence,
-            self._close_each,
-            self._snapshots,
+            self._no_response,
+            self._close_after_answer,
+            self._always_snapshot,
             self._reload,
-            self._stop,
-            self._stop,
+            self._pause,
+            self._pause,
             self._reset,
             self._kill,
         ]
         while True:
             await asyncio.sleep(self.random.expovariate(0.6))
-            await self.random.choice(kinds)(station)
+            await self.random.choice(kinds)(slot)
 
-    async def _agent_fault(self, station: Station, kind: str, seconds: float, **faults: Any) -> None:
-        self._inject(kind)
-        agent, begin = station.agent, time.monotonic()
+    async def _agent_fault(self, slot: GatekeeperSlot, kind: str, seconds: float, **faults: Any) -> None:
+        self._count_fault(kind)
+        agent, begin = slot.agent, time.monotonic()
         for key, value in faults.items():
             setattr(agent.faults, key, value)
-        usual = AgentFaults()
+        defaults = AgentFaults()
         try:
             await asyncio.sleep(seconds)
         finally:
             for key in faults:
-                setattr(agent.faults, key, getattr(usual, key))
-            station.disturbed.append((begin, time.monotonic() + 1.5))  # late answers may still be on their way
+                setattr(agent.faults, key, getattr(defaults, key))
+            slot.fault_spans.append((begin, time.monotonic() + 1.5))  # late responses may still arrive
 
-    async def _delay(self, station: Station) -> None:
-        """Late answers: each as late as the other, drawn anew, later each time, or one in three."""
-        most, number = self.random.choice((0.4, 0.8, 1.2)), itertools.count()
+    async def _delay(self, slot: GatekeeperSlot) -> None:
+        """Delay responses: by a constant, a random or a growing delay, or one response in three."""
+        max_delay, number = self.random.choice((0.4, 0.8, 1.2)), itertools.count()
         random = Random(self.random.random())
         delays: tuple[Callable[[], float], ...] = (
-            lambda: most,
-            lambda: random.uniform(0.0, most),
-            lambda: min(most, 0.1 * next(number)),
-            lambda: most if next(number) % 3 == 0 else 0.0,
+            lambda: max_delay,
+            lambda: random.uniform(0.0, max_delay),
+            lambda: min(max_delay, 0.1 * next(number)),
+            lambda: max_delay if next(number) % 3 == 0 else 0.0,
         )
         chosen = self.random.choice(delays)
         if self.random.random() < 0.5:
-            await self._reset(station)
-        await self._agent_fault(station, "delay", self.random.uniform(4.0, 15.0), delay_seconds=chosen)
+            await self._reset(slot)
+        await self._agent_fault(slot, "delay", self.random.uniform(4.0, 15.0), delay_seconds=chosen)
 
-    async def _trickle(self, station: Station) -> None:
-        await self._agent_fault(station, "trickle", self.random.uniform(1.0, 4.0), trickle_seconds=0.05)
+    async def _trickle(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "trickle", self.random.uniform(1.0, 4.0), trickle_seconds=0.05)
 
-    async def _silence(self, station: Station) -> None:
-        await self._agent_fault(station, "silence", self.random.uniform(0.5, 3.0), unresponsive=True)
+    async def _no_response(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "silence", self.random.uniform(0.5, 3.0), unresponsive=True)
 
-    async def _close_each(self, station: Station) -> None:
-        await self._agent_fault(station, "close_each", self.random.uniform(1.0, 4.0), close_after_answer=True)
+    async def _close_after_answer(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "close_each", self.random.uniform(1.0, 4.0), close_after_answer=True)
 
-    async def _snapshots(self, station: Station) -> None:
-        await self._agent_fault(station, "snapshots", self.random.uniform(1.0, 4.0), always_snapshot=True)
+    async def _always_snapshot(self, slot: GatekeeperSlot) -> None:
+        await self._agent_fault(slot, "snapshots", self.random.uniform(1.0, 4.0), always_snapshot=True)
 
-    async def _reset(self, station: Station) -> None:
-        self._inject("reset")
-        station.agent.reset_connections()
-        station.disturbed.append((time.monotonic(), time.monotonic() + 0.5))
+    async def _reset(self, slot: GatekeeperSlot) -> None:
+        self._count_fault("reset")
+        slot.agent.reset_connections()
+        slot.fault_spans.append((time.monotonic(), time.monotonic() + 0.5))
 
-    async def _refuse(self, station: Station) -> None:
-        self._inject("refuse")
-        agent, begin = station.agent, time.monotonic()
+    async def _refuse(self, slot: GatekeeperSlot) -> None:
+        self._count_fault("refuse")
+        agent, begin = slot.agent, time.monotonic()
         agent.stop()
         try:
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
         finally:
             while not await self._listens_again(agent):
                 await asyncio.sleep(0.05)
-            station.disturbed.append((begin, time.monotonic() + 0.5))
+            slot.fault_spans.append((begin, time.monotonic() + 0.5))
 
     @staticmethod
     async def _listens_again(agent: FakeAgent) -> bool:
-        """Whether an agent has its port again, which a connection to elsewhere may hold for a moment."""
+        """Restart an agent; return False while another connection still holds its port."""
         try:
             await agent.start()
         except OSError:
             return False
         return True
 
-    async def _reload(self, station: Station) -> None:
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down:
+    async def _reload(self, slot: GatekeeperSlot) -> None:
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down:
             return
-        self._inject("reload")
+        self._count_fault("reload")
         begin = time.monotonic()
-        station.current = 1 - station.current
-        made = json.loads(gatekeeper.file.read_text())
-        made["discovery"] = f"127.0.0.1:{station.agent.port}"
-        gatekeeper.file.write_text(json.dumps(made))
+        slot.agent_index = 1 - slot.agent_index
+        configuration = json.loads(gatekeeper.file.read_text())
+        configuration["discovery"] = f"127.0.0.1:{slot.agent.port}"
+        gatekeeper.file.write_text(json.dumps(configuration))
         with contextlib.suppress(ProcessLookupError):
             gatekeeper.process.send_signal(signal.SIGHUP)
-        station.disturbed.append((begin, begin + 4.0))
+        slot.fault_spans.append((begin, begin + 4.0))
 
-    async def _stop(self, station: Station) -> None:
-        """A process that is held up; one such hold-up at a time, as two in a row would be a longer one."""
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down or station.stopped:
+    async def _pause(self, slot: GatekeeperSlot) -> None:
+        """Suspend the process, one pause at a time: two in a row would act as a longer one."""
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down or slot.recently_paused:
             return
-        self._inject("stop")
-        station.stopped = True
+        self._count_fault("stop")
+        slot.recently_paused = True
         with contextlib.suppress(ProcessLookupError):
             gatekeeper.process.send_signal(signal.SIGSTOP)
             try:
-                await asyncio.sleep(HOLD_UP_SECONDS)
+                await asyncio.sleep(PAUSE_SECONDS)
             finally:
                 gatekeeper.process.send_signal(signal.SIGCONT)
-        await asyncio.sleep(4 * HOLD_UP_SECONDS)
-        station.stopped = False
+        await asyncio.sleep(4 * PAUSE_SECONDS)
+        slot.recently_paused = False
 
-    async def _kill(self, station: Station) -> None:
-        gatekeeper = station.gatekeeper
-        if gatekeeper is None or station.down:
+    async def _kill(self, slot: GatekeeperSlot) -> None:
+        gatekeeper = slot.gatekeeper
+        if gatekeeper is None or slot.down:
             return
-        self._inject("kill")
+        self._count_fault("kill")
         begin = time.monotonic()
-        station.down = True
-        station.known = [
-            worker.entry(status="draining" if worker.name in self.drains else "up") for worker in self.workers
+        slot.down = True
+        slot.known_endpoints = [
+            worker.entry(status="draining" if worker.name in self.drain_times else "up") for worker in self.workers
         ]
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
         if not self.ended:
-            await self._start(station)
-        station.disturbed.append((begin, time.monotonic() + 0.5))
+            await self._start(slot)
+        slot.fault_spans.append((begin, time.monotonic() + 0.5))
 
-    async def _worker_faults(self) -> None:
+    async def _inject_worker_faults(self) -> None:
         while True:
             await asyncio.sleep(self.random.expovariate(0.7))
             worker = self.random.choice(self.workers)
             worker.fault = self.random.choice(("hang", "slow", "reset"))
-            self._inject(f"worker_{worker.fault}")
+            self._count_fault(f"worker_{worker.fault}")
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
             worker.fault = ""
 
     async def _drain_workers(self) -> None:
-        """One endpoint after another begins to drain, until two are left."""
+        """Drain one worker after another, until two are left."""
         drained = self.workers[2:]
         pause = self.seconds * 0.8 / len(drained)
         for worker in drained:
             await asyncio.sleep(self.random.uniform(0.6, 1.0) * pause)
-            self._inject("drain")
-            self.drains[worker.name] = time.monotonic()
-            for station in self.stations:
-                for agent in station.agents:
+            self._count_fault("drain")
+            self.drain_times[worker.name] = time.monotonic()
+            for slot in self.slots:
+                for agent in slot.agents:
                     await agent.change(worker.entry(status="draining"))
 
-    # Rules.
+    # Checks of the rules.
 
-    def _judge(self, began: float) -> None:
+    def _check_results(self, began: float) -> None:
         runs: dict[str, int] = {}
         for worker in self.workers:
             for arrival in worker.arrivals:
                 if arrival.method == "POST":
                     runs[arrival.request] = runs.get(arrival.request, 0) + 1
-                self._judge_arrival(worker, arrival)
+                self._check_arrival(worker, arrival)
         for request, times in runs.items():
             if times > 1:
-                self.record.breaks.append(f"duplicate: {request} came to endpoints {times} times")
+                self.result.breaks.append(f"duplicate: {request} reached workers {times} times")
 
-    def _judge_arrival(self, worker: SoakWorker, arrival: Arrival) -> None:
-        sent = self.sent.get(arrival.request)
+    def _check_arrival(self, worker: SoakWorker, arrival: Arrival) -> None:
+        sent = self.sent_requests.get(arrival.request)
         if sent is None:
-            self.record.breaks.append(f"unknown: {arrival.request} at {worker.name}")
+            self.result.breaks.append(f"unknown: {arrival.request} at {worker.name}")
             return
         left = sent.at + sent.timeout - arrival.at
-        if arrival.timeout > left + TIMEOUT_SLACK + self.slack:
-            self.record.breaks.append(f"deadline: {arrival.request} told {arrival.timeout:.3f}, left {left:.3f}")
-        if sent.left_at is not None and arrival.at > sent.left_at + CLIENT_GONE_GRACE + self.slack:
-            self.record.breaks.append(
-                f"lost: {arrival.request} began {arrival.at - sent.left_at:.3f} s after its client"
+        if arrival.timeout > left + TIMEOUT_SLACK_SECONDS + self.slack:
+            self.result.breaks.append(f"deadline: {arrival.request} given {arrival.timeout:.3f} s, left {left:.3f} s")
+        if (
+            sent.disconnected_at is not None
+            and arrival.at > sent.disconnected_at + DISCONNECT_GRACE_SECONDS + self.slack
+        ):
+            self.result.breaks.append(
+                f"lost: {arrival.request} started {arrival.at - sent.disconnected_at:.3f} s after its disconnect"
             )
-        changed = self.drains.get(worker.name)
+        changed = self.drain_times.get(worker.name)
         if changed is not None and arrival.at > changed:
-            self._judge_drain(worker, arrival, changed)
+            self._check_drain(worker, arrival, changed)
 
-    def _judge_drain(self, worker: SoakWorker, arrival: Arrival, changed: float) -> None:
-        station_name, start, _ = arrival.request.split(NAME_SEPARATOR)
-        station = self.stations[int(station_name[1:])]
-        started = station.started_at[int(start) - 1]
+    def _check_drain(self, worker: SoakWorker, arrival: Arrival, changed: float) -> None:
+        slot_name, incarnation, _ = arrival.request.split(NAME_SEPARATOR)
+        slot = self.slots[int(slot_name[1:])]
+        started = slot.started_at[int(incarnation) - 1]
         late = arrival.at - changed
-        self.record.worst_drain_seconds = max(self.record.worst_drain_seconds, late)
+        self.result.worst_drain_seconds = max(self.result.worst_drain_seconds, late)
         if started > changed:
-            # What its agent had counts as notified from the first moment of the process.
-            bound, since = GRACE + self.slack, arrival.at - started
-        elif station.quiet(changed):
-            bound, since = GRACE + self.slack, late
-            self.record.worst_quiet_drain_seconds = max(self.record.worst_quiet_drain_seconds, late)
+            # What its agent had before the process started counts as notified at its start.
+            bound, since = DRAIN_GRACE_SECONDS + self.slack, arrival.at - started
+        elif slot.is_quiet(changed):
+            bound, since = DRAIN_GRACE_SECONDS + self.slack, late
+            self.result.worst_quiet_drain_seconds = max(self.result.worst_quiet_drain_seconds, late)
         else:
-            bound, since = NOTIFIED_AT_LATEST + GRACE + self.slack, late
+            bound, since = MAX_NOTIFICATION_SECONDS + DRAIN_GRACE_SECONDS + self.slack, late
         if since > bound:
-            self.record.breaks.append(f"drain: {arrival.request} at {worker.name} {since:.3f} s after it was notified")
+            self.result.breaks.append(f"drain: {arrival.request} at {worker.name} {since:.3f} s after the notification")
 
 
-async def _play(seed: int, seconds: float, gatekeepers: int, workers: int, clients: int) -> Record:
+async def _run_seed(seed: int, seconds: float, gatekeepers: int, workers: int, clients: int) -> SoakResult:
     return await Soak(seed, seconds, gatekeepers, workers, clients).play()
 
 
 def main() -> int:
-    """Play the seeds one after another; 1 where a rule was broken."""
-    words = argparse.ArgumentParser(description="Random overlapping faults over many gatekeepers.")
-    words.add_argument("--seeds", type=int, nargs="+", default=[1])
-    words.add_argument("--seconds", type=float, default=30.0, help="of each day")
-    words.add_argument("--gatekeepers", type=int, default=8)
-    words.add_argument("--workers", type=int, default=8)
-    words.add_argument("--clients", type=int, default=3, help="of each gatekeeper")
-    asked = words.parse_args()
-    good = True
-    for seed in asked.seeds:
-        record = asyncio.run(_play(seed, asked.seconds, asked.gatekeepers, asked.workers, asked.clients))
-        print(record.line(), flush=True)
-        good = good and not record.breaks
-    return 0 if good else 1
+    """Run the seeds one after another; return 1 if a rule was broken."""
+    parser = argparse.ArgumentParser(description="Random overlapping faults over many gatekeepers.")
+    parser.add_argument("--seeds", type=int, nargs="+", default=[1])
+    parser.add_argument("--seconds", type=float, default=30.0, help="of each run")
+    parser.add_argument("--gatekeepers", type=int, default=8)
+    parser.add_argument("--workers", type=int, default=8)
+    parser.add_argument("--clients", type=int, default=3, help="for each gatekeeper")
+    arguments = parser.parse_args()
+    passed = True
+    for seed in arguments.seeds:
+        result = asyncio.run(
+            _run_seed(seed, arguments.seconds, arguments.gatekeepers, arguments.workers, arguments.clients)
+        )
+        print(result.to_json(), flush=True)
+        passed = passed and not result.breaks
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
