--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -25,33 +25,33 @@
 from benchmarks.planners import min_median_max
 from micagate import interface
 from rig.capacity import Capacity
-from rig.customers import Day, play, total, wide
-from rig.overload import Kind
+from rig.customers import Scenario, play, scenario_for, total
+from rig.overload import Deployment
 from rig.overload import play as play_overload
 
-SLOW_METER_DAY = Day(
+SLOW_METER_DAY = Scenario(
     gateways=2,
     customers=90,
     seconds=40.0,
     skew=0.45,
-    moves=14.0,
-    patient=0.65,
-    elsewhere=0.5,
-    late=0.7,
-    period=2.0,
-    units=4,
-    marked=False,
-    wait=0.12,
+    weights_change_interval=14.0,
+    follows_advice=0.65,
+    retry_elsewhere=0.5,
+    meter_delay=0.7,
+    meter_period=2.0,
+    max_units=4,
+    mark_retries=False,
+    retry_delay=0.12,
     plans=(
         interface.Plan("small", rate=1.6, burst=8.0, excess_revenue=0.1),
         interface.Plan("middle", rate=5.3, burst=22.0, concurrency_limit=2.0, excess_cost=1.2),
         interface.Plan("large", rate=21.0, burst=42.0, excess_cost=0.6),
     ),
 )
-QUOTA_DAYS = {"first": replace(wide(3), seconds=40.0), "second": SLOW_METER_DAY}
+QUOTA_DAYS = {"first": replace(scenario_for(3), seconds=40.0), "second": SLOW_METER_DAY}
 # Deployments of the overload part: classes with their share of requests and units of work, workers and rules.
-PRESSED = {
-    "first": Kind(
+OVERLOAD_DEPLOYMENTS = {
+    "first": Deployment(
         (
             (interface.RequestClass("fetch", aim=1.0, deadline=4.0, importance=3.0), 0.6, 4.0),
             (
@@ -62,11 +62,11 @@
         ),
         gateways=3,
         workers=10,
-        capacity=Capacity(cores=2, queue=24, cold_from=0.24, ramp=9.0, thrash=0.02),
+        capacity=Capacity(cores=2, queue_limit=24, min_warm_up_factor=0.24, warm_up_seconds=9.0, queue_slowdown=0.02),
         overload_factor=2.0,
         fall_time=3.0,
     ),
-    "second": Kind(
+    "second": Deployment(
         (
             (interface.RequestClass("read", aim=1.2, deadline=3.0, importance=1.0), 0.61, 5.0),
             (
@@ -84,7 +84,7 @@
         ),
         gateways=2,
         workers=10,
-        capacity=Capacity(cores=2, queue=24, cold_from=0.21, ramp=12.0, thrash=0.02),
+        capacity=Capacity(cores=2, queue_limit=24, min_warm_up_factor=0.21, warm_up_seconds=12.0, queue_slowdown=0.02),
         overload_factor=2.5,
         fall_time=1.5,
     ),
@@ -97,7 +97,7 @@
 MAX_WASTED_SHARE = 0.03  # highest median share of the started attempts
 
 
-def served_and_over(day: Day, seed: int, meter: bool) -> tuple[float, float]:
+def served_and_over(day: Scenario, seed: int, meter: bool) -> tuple[float, float]:
     """Return the units served and those beyond the quota, as shares of what one token bucket admits."""
     shares = total([play(replace(day, meter=meter), seed)])
     return shares["served"], shares["over"]
@@ -134,9 +134,9 @@
         figures[f"gain_{kind}"] = round(statistics.median(gains), 4)
         ok = ok and served >= MIN_SERVED_SHARE[kind] and statistics.median(gains) >= -GAIN_NOISE
     wasted, cold_falls, drain_breaks = [], 0, 0
-    for name, deployment in PRESSED.items():
+    for name, deployment in OVERLOAD_DEPLOYMENTS.items():
         ranked = [play_overload(deployment, seed) for seed in seeds]
-        alike = [play_overload(deployment, seed, alike=True) for seed in seeds]
+        alike = [play_overload(deployment, seed, equal_importance=True) for seed in seeds]
         gains = [result.worth - baseline.worth for result, baseline in zip(ranked, alike, strict=True)]
         wasted += [day.wasted for day in ranked]
         cold_falls += sum(day.cold_falls for day in ranked)
--- a/benchmarks/fleet_at_size.py
+++ b/benchmarks/fleet_at_size.py
@@ -36,15 +36,17 @@
 from oliveloft.shared_types import DiscoveryUpdate
 from rig.capacity import Capacity, Load
 from rig.fake_servers import BusyDiscovery
-from rig.fleet import Entrance, Fleet
+from rig.fleet import EntryPoint, Fleet
 from rig.simulation import Clock
-from rig.traffic import PlanShape, Store
+from rig.traffic import PlanShape, TokenBucket
 
 GATEWAY_COUNTS, DAY_KINDS = (4, 12, 40), ("quiet", "kill", "zone", "join")
 # The grace period is that in which a draining worker may still receive requests.
 WORKER_COUNT, REQUESTS_PER_SECOND, DRAIN_GRACE_SECONDS = 60, 280.0, 0.5
 SLOW_START_SECONDS, OVERLOAD_SPAN_SECONDS, OVERLOAD_FACTOR, SLOW_START_MIN_FACTOR = 8.0, 3.0, 2.0, 0.25
-WORKER_CAPACITY = Capacity(cores=2, speed=1 / 7, queue=20, cold_from=SLOW_START_MIN_FACTOR, ramp=SLOW_START_SECONDS)
+WORKER_CAPACITY = Capacity(
+    cores=2, speed=1 / 7, queue_limit=20, min_warm_up_factor=SLOW_START_MIN_FACTOR, warm_up_seconds=SLOW_START_SECONDS
+)
 PLAN = interface.Plan("p", rate=1.2, burst=5.0, excess_cost=0.8)
 SETTINGS = interface.Settings(
     (
@@ -69,7 +71,7 @@
     """Reference policy that sees the true state: one token bucket per customer, and every worker's queue."""
 
     fleet: Fleet
-    buckets: dict[str, Store] = field(default_factory=dict)
+    buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Admit a request inside its quota and send it to the worker that would finish it first."""
@@ -77,13 +79,13 @@
             return [interface.Fail(event.request)]
         if not isinstance(event, interface.Request):
             return []
-        bucket = self.buckets.setdefault(event.customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
+        bucket = self.buckets.setdefault(event.customer, TokenBucket(PlanShape(PLAN.rate, PLAN.burst), 0.0))
         if not bucket.take(now, 1):
             return [interface.Refuse(event.request)]
         finish_times = [
-            (place.load.free(now) + 0.14 / place.load.warmth(now), name)
-            for name, place in self.fleet.places.items()
-            if place.up and not place.hung
+            (place.load.next_core_free_at(now) + 0.14 / place.load.warm_up_factor(now), name)
+            for name, place in self.fleet.workers.items()
+            if place.in_service and not place.unresponsive
         ]
         return [interface.Send(event.request, min(finish_times)[1])]
 
@@ -102,7 +104,7 @@
         self.policy, self.gateway_count, self.seed = policy, gateways, seed
         self.settings = replace(SETTINGS, gateways=gateways)
         self.gateways: list[Gateway | ReferencePolicy] = []
-        self.entrances: list[Entrance] = []
+        self.entrances: list[EntryPoint] = []
         reference = ReferencePolicy(self.fleet)
         self.killed_gateways: set[int] = set()
         self.drain_notified_at: dict[tuple[int, str], float] = {}  # when a gateway was notified that a worker drains
@@ -113,15 +115,15 @@
         for n in range(gateways):
             gateway = reference if policy == "sees_all" else self._make_gateway(n, 0.0)
             self.gateways.append(gateway)
-            entrance = Entrance(self.fleet, self._handle(n), self.settings, f"g{n}-")
-            entrance.used = self._metered_usage
+            entrance = EntryPoint(self.fleet, self._handle(n), self.settings, f"g{n}-")
+            entrance.metered_use = self._metered_usage
             self.entrances.append(entrance)
-        self.fleet.arrived = lambda now, name, work, done: self.arrivals[name].append(
+        self.fleet.on_arrival = lambda now, name, work, done: self.arrivals[name].append(
             (now, work / WORKER_CAPACITY.speed)
         )
-        self.fleet.tell(whole=True)
+        self.fleet.send_update(whole=True)
         self.usage: dict[str, Counter[int]] = defaultdict(Counter)
-        self.buckets: dict[str, Store] = {}
+        self.buckets: dict[str, TokenBucket] = {}
         self.sent_inside_quota: dict[str, float] = {}  # arrival times of requests sent inside their quotas
         self.excess_cost_total = self.answered_in_time = 0.0
         self.customers = [
@@ -166,7 +168,7 @@
         self.drain_breaks += now > self.drain_notified_at.get(key, math.inf) + DRAIN_GRACE_SECONDS
         if isinstance(event, interface.Request):
             customer = event.customer
-            bucket = self.buckets.setdefault(customer, Store(PlanShape(PLAN.rate, PLAN.burst), 0.0))
+            bucket = self.buckets.setdefault(customer, TokenBucket(PlanShape(PLAN.rate, PLAN.burst), 0.0))
             self.usage[customer][int(now / 0.5)] += 1
             if bucket.take(now, 1):
                 self.sent_inside_quota[event.request] = now
@@ -184,7 +186,7 @@
                 or [other for other in range(self.gateway_count) if other not in self.killed_gateways]
             )
         klass = "fetch" if self.random.random() < 0.55 else "file"
-        self.entrances[n].ask(klass, PLAN.name, name, spread=len(gateways))
+        self.entrances[n].submit(klass, PLAN.name, name, spread=len(gateways))
         self.clock.after(self.random.expovariate(REQUESTS_PER_SECOND), self._send_request)
 
     def _notify_gateways(self, name: str, max_delay: float) -> None:
@@ -192,23 +194,23 @@
         for n, entrance in enumerate(self.entrances):
             self.clock.after(self.random.uniform(0.1, 0.1 + max_delay), self._notify_gateway, n, entrance, name)
 
-    def _notify_gateway(self, n: int, entrance: Entrance, name: str) -> None:
+    def _notify_gateway(self, n: int, entrance: EntryPoint, name: str) -> None:
         entry = self.fleet.entry(name)
         if entry.state == interface.HEALTHY:
             self.drain_notified_at.pop((n, name), None)
         else:
             self.drain_notified_at[n, name] = self.clock.now
-        entrance.hand(interface.WorkerList((entry,)), "")
+        entrance.dispatch(interface.WorkerList((entry,)), "")
 
     def _replace_worker(self, name: str) -> None:
-        self.fleet.places[name].up = False
+        self.fleet.workers[name].in_service = False
         self._notify_gateways(name, 3.0)
         self.clock.after(4.0, self._start_worker, name)
 
     def _start_worker(self, name: str) -> None:
-        place = self.fleet.places[name]
+        place = self.fleet.workers[name]
         place.load = Load(WORKER_CAPACITY, started=self.clock.now)
-        place.up, place.hung = True, False
+        place.in_service, place.unresponsive = True, False
         self.arrivals[name] = []
         self.loads.append((name, place.load))
         self._notify_gateways(name, 3.0)
@@ -221,21 +223,21 @@
     def _restart_gateway(self, n: int) -> None:
         if self.policy != "sees_all":
             self.gateways[n] = self._make_gateway(n, self.clock.now)
-            self.entrances[n].hand(
-                interface.WorkerList(tuple(map(self.fleet.entry, self.fleet.places)), whole=True), ""
+            self.entrances[n].dispatch(
+                interface.WorkerList(tuple(map(self.fleet.entry, self.fleet.workers)), whole=True), ""
             )
         self.killed_gateways.discard(n)
 
     def play(self) -> Day:
         """Run the simulation and return this day."""
-        names = sorted(self.fleet.places)
+        names = sorted(self.fleet.workers)
         if self.kind == "kill":
             self.clock.at(4.0, self._kill_gateways)
         for index, name in enumerate(names):
             if self.kind == "join" and index % 5 < 3:
                 self.clock.at(4.0 + self.random.uniform(0.0, 7.0), self._replace_worker, name)
-            if self.kind == "zone" and self.fleet.places[name].zone == "b":
-                self.clock.at(4.0, setattr, self.fleet.places[name], "hung", True)
+            if self.kind == "zone" and self.fleet.workers[name].zone == "b":
+                self.clock.at(4.0, setattr, self.fleet.workers[name], "unresponsive", True)
                 self.clock.at(9.0, self._start_worker, name)
         self.clock.after(0.0, self._send_request)
         self.clock.run(self.seconds)
@@ -258,7 +260,9 @@
                 work = sum(
                     seconds for arrived, seconds in arrivals[index:] if arrived < span_start + OVERLOAD_SPAN_SECONDS
                 )
-                limit = OVERLOAD_FACTOR * load.warmth(span_start) * WORKER_CAPACITY.cores * OVERLOAD_SPAN_SECONDS
+                limit = (
+                    OVERLOAD_FACTOR * load.warm_up_factor(span_start) * WORKER_CAPACITY.cores * OVERLOAD_SPAN_SECONDS
+                )
                 if work > limit + 4 * 0.14:  # allows for four requests more, by chance
                     overloaded += 1
                     break
@@ -272,7 +276,7 @@
     knows the number of gatekeepers and its own number, so that calls are spread out.
     """
     service, updated = BusyDiscovery(0.004, 0.04), set[int]()
-    usual_interval, discovery_policy.EACH_SECONDS = discovery_policy.EACH_SECONDS, 0.006
+    usual_interval, discovery_policy.CALL_COST_SECONDS = discovery_policy.CALL_COST_SECONDS, 0.006
 
     def on_update(number: int) -> Callable[[DiscoveryUpdate], None]:
         return lambda update: updated.add(number)
@@ -303,7 +307,7 @@
         service.stop()
 
     asyncio.run(scenario())
-    discovery_policy.EACH_SECONDS = usual_interval
+    discovery_policy.CALL_COST_SECONDS = usual_interval
     return service.calls
 
 
@@ -319,15 +323,15 @@
     activations: dict[str, list[float]] = {name: [] for name in shares}
     connects: dict[str, list[float]] = {name: [] for name in shares}
     cold_falls = drain_breaks = 0
-    usual_minimum = metering.SLIVER
+    usual_minimum = metering.THIN_SHARE_REQUESTS
     for seed in range(seeds):
         for day_kind in DAY_KINDS:
             for gateway_count in gateway_counts:
                 ideal = Day(day_kind, gateway_count, seed, seconds, "sees_all").play().served()
                 for policy in shares:
-                    metering.SLIVER = usual_minimum if policy == "with" else 0.0
+                    metering.THIN_SHARE_REQUESTS = usual_minimum if policy == "with" else 0.0
                     day = Day(day_kind, gateway_count, seed, seconds, policy).play()
-                    metering.SLIVER = usual_minimum
+                    metering.THIN_SHARE_REQUESTS = usual_minimum
                     shares[policy][gateway_count].append(day.served() / ideal)
                     if gateway_count == GATEWAY_COUNTS[-1]:
                         connects[policy].append(sum(day.peak_in_flight.values()))
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -29,10 +29,10 @@
 from micagate import Gateway, Plan, RequestClass, Settings, interface
 from oliveloft.takeover.predecessor import Predecessor
 from oliveloft.takeover.successor import Successor
-from rig.bulk import BulkClient, BulkWorker, at_once, check
-from rig.fake_servers import Client, Gatekeeper, Worker, config, run, scene, spawn, until
-from rig.memory import highest
-from rig.process_host import House, Load
+from rig.bulk import BulkClient, BulkWorker, body_checksum, transfer_concurrently
+from rig.fake_servers import Client, FakeWorker, GatekeeperProcess, config, run, running_gatekeeper, spawn, until
+from rig.memory import peak_resident_bytes
+from rig.process_host import ClosedLoopClients, ProcessHost
 
 BASELINE_COMMIT = "ac3768b"  # the last version without streaming of long bodies
 MB = 1 << 20
@@ -64,23 +64,27 @@
     response at one restart. `served_ratio` compares the throughput in the `calm` seconds from a restart on to that
     in as many seconds before it.
     """
-    workers = Worker("w"), Worker("v")
-    async with House(*workers) as host:
-        predecessor = await host.process()
+    workers = FakeWorker("w"), FakeWorker("v")
+    async with ProcessHost(*workers) as host:
+        predecessor = await host.start_process()
         lost = worst_refused = 0
         ratios = []
-        async with Load(host.port, 20, 0.01) as load:
+        async with ClosedLoopClients(host.port, 20, 0.01) as load:
             for _ in range(count):
                 started = time.monotonic()
                 await asyncio.sleep(calm)
-                statuses_before, broken_before, upgrade_started = len(load.statuses), load.broken, time.monotonic()
-                calm_rate = sum(finished >= started for finished in load.times) / (upgrade_started - started)
-                successor = await host.process()
+                statuses_before, broken_before, upgrade_started = (
+                    len(load.statuses),
+                    load.connection_failures,
+                    time.monotonic(),
+                )
+                calm_rate = sum(finished >= started for finished in load.reply_times) / (upgrade_started - started)
+                successor = await host.start_process()
                 predecessor.process.terminate()
                 await predecessor.process.wait()
                 await asyncio.sleep(max(0.0, calm - (time.monotonic() - upgrade_started)))
                 ratios.append((len(load.statuses) - statuses_before) / (time.monotonic() - upgrade_started) / calm_rate)
-                worst_refused = max(worst_refused, load.broken - broken_before)
+                worst_refused = max(worst_refused, load.connection_failures - broken_before)
                 predecessor = successor
         lost = sum(status != 200 for status in load.statuses)
     return {
@@ -109,19 +113,19 @@
     ]
     served = []
     for upgrade in (False, True):
-        async with House(Worker("w")) as host:
+        async with ProcessHost(FakeWorker("w")) as host:
             settings = config(host.discovery.port)["settings"]
             settings["Plans"] = plans
-            predecessor = await host.process(settings=settings)
+            predecessor = await host.start_process(settings=settings)
             client = Client(*await asyncio.open_connection("127.0.0.1", host.port))
             started, count = time.monotonic(), 0
             upgraded = False
             while time.monotonic() - started < seconds:
                 if upgrade and not upgraded and time.monotonic() - started > seconds / 2:
                     upgraded = True
-                    await host.process(settings=settings)
+                    await host.start_process(settings=settings)
                     predecessor.process.terminate()
-                count += (await client.ask("write")).status == 200
+                count += (await client.fetch("write")).status == 200
                 await asyncio.sleep(0.002)
             served.append(count / (20 + 20 * (time.monotonic() - started)))
     return {"quota_excess": round(max(0.0, served[1] / served[0] - 1), 3)}
@@ -133,22 +137,22 @@
     def pause(self) -> None:
         """Do nothing: no connections are accepted here."""
 
-    resume = gone = pause
+    resume = on_superseded = pause
 
-    def outside(self) -> dict[str, Any]:
+    def network_state(self) -> dict[str, Any]:
         """Return no network state."""
         return {}
 
-    def receive(self, parts: dict[str, Any]) -> None:
+    def restore_network_state(self, parts: dict[str, Any]) -> None:
         """Ignore the network state."""
 
-    def client(self, sock: socket.socket, good: bool) -> None:
+    def adopt_client(self, sock: socket.socket, good: bool) -> None:
         """Ignore a client connection; none is passed."""
 
-    def worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
+    def adopt_worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
         """Ignore a worker connection; none is passed."""
 
-    def call(self, word: str, worker: str) -> None:
+    def on_operator_call(self, command: str, worker: str) -> None:
         """Ignore a management call; none is passed."""
 
 
@@ -183,7 +187,7 @@
         successor = Successor(loop, "bench", new_gateway, FakeProcess(), loop.time, lambda event: None)
         tasks = [asyncio.create_task(measure_pauses()), asyncio.create_task(change_accounts())]
         started = time.perf_counter()
-        good = await successor.take(folder)
+        good = await successor.request_state(folder)
         duration = time.perf_counter() - started
         ended = True
         await asyncio.gather(*tasks)
@@ -198,12 +202,12 @@
 
 async def measure_calls(seconds: float) -> Figures:
     """Make management calls under full load, beside 60 open management connections that send no complete line."""
-    async with scene(Worker("w"), Worker("v")) as (gatekeeper, _, _):
-        open_connections = [await asyncio.open_connection("127.0.0.1", gatekeeper.management) for _ in range(60)]
+    async with running_gatekeeper(FakeWorker("w"), FakeWorker("v")) as (gatekeeper, _, _):
+        open_connections = [await asyncio.open_connection("127.0.0.1", gatekeeper.management_port) for _ in range(60)]
         for _, writer in open_connections[::2]:
             writer.write(b"HEAL")
         durations, wrong = [], 0
-        async with Load(gatekeeper.port, 40, 0.0):
+        async with ClosedLoopClients(gatekeeper.port, 40, 0.0):
             deadline = time.monotonic() + seconds
             expected = (
                 ("HEALTH", "ok"),
@@ -234,24 +238,24 @@
 
     Returns the requests sent to them while out, and the longest time until the first request after their return.
     """
-    workers = [Worker(f"w{n}") for n in range(12)]
+    workers = [FakeWorker(f"w{n}") for n in range(12)]
     sent_while_out, return_times = 0, []
-    async with scene(*workers) as (gatekeeper, discovery, _):
-        async with Load(gatekeeper.port, 10, 0.005) as load:
+    async with running_gatekeeper(*workers) as (gatekeeper, discovery, _):
+        async with ClosedLoopClients(gatekeeper.port, 10, 0.005) as load:
             for n in range(rounds):
                 worker = workers[n % len(workers)]
                 await gatekeeper.call(f"OFFLINE {worker.name}")
                 await asyncio.sleep(0.05)
-                seen_before = len(worker.seen)
+                seen_before = len(worker.received)
                 if n % 2:  # a discovery update that shows the worker as healthy must not bring it back
                     discovery.change(worker.entry(since_ms=int(1000 * time.time())))
                 await asyncio.sleep(0.25)
-                sent_while_out += len(worker.seen) - seen_before
-                seen_before, returned_at = len(worker.seen), time.monotonic()
+                sent_while_out += len(worker.received) - seen_before
+                seen_before, returned_at = len(worker.received), time.monotonic()
                 await gatekeeper.call(f"ONLINE {worker.name}")
-                await asyncio.wait_for(until(lambda: len(worker.seen) > seen_before), 10)  # noqa: B023
+                await asyncio.wait_for(until(lambda: len(worker.received) > seen_before), 10)  # noqa: B023
                 return_times.append(time.monotonic() - returned_at)
-        assert load.broken == 0
+        assert load.connection_failures == 0
     return {"bans": rounds, "bans_broken": sent_while_out, "back_in_s": round(max(return_times), 2)}
 
 
@@ -302,17 +306,17 @@
 async def measure_drains(rounds: int) -> Figures:
     """Drain the clients of a gatekeeper, idle and new ones; return the longest time until all have disconnected."""
     longest = 0.0
-    async with scene(Worker("w")) as (gatekeeper, _, _):
+    async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, _, _):
         for _ in range(rounds):
             idle = [await gatekeeper.client() for _ in range(20)]
             for client in idle:
-                assert (await client.ask("write")).status == 200
+                assert (await client.fetch("write")).status == 200
             started = time.monotonic()
             await gatekeeper.call("LEAVE")
             assert await gatekeeper.health() == 503
             late_client = await gatekeeper.client()
-            assert (await late_client.ask("write")).status == 200
-            disconnected = await asyncio.gather(*(client.ended() for client in (*idle, late_client)))
+            assert (await late_client.fetch("write")).status == 200
+            disconnected = await asyncio.gather(*(client.is_closed_cleanly() for client in (*idle, late_client)))
             assert all(disconnected)
             longest = max(longest, time.monotonic() - started)
             await gatekeeper.call("JOIN")
@@ -322,8 +326,10 @@
 
 async def measure_memory() -> Figures:
     """Transfer 20 bodies of 32 MB concurrently, both ways, through a gatekeeper that is limited to 80 MB of memory."""
-    async with scene(BulkWorker("w"), limits={"memory_mb": 80}) as (gatekeeper, _, _):
-        peak_bytes = await highest(gatekeeper.process.pid, at_once(gatekeeper.port, 20, 32 * MB))
+    async with running_gatekeeper(BulkWorker("w"), limits={"memory_mb": 80}) as (gatekeeper, _, _):
+        peak_bytes = await peak_resident_bytes(
+            gatekeeper.process.pid, transfer_concurrently(gatekeeper.port, 20, 32 * MB)
+        )
     return {"peak_memory_mb": round(peak_bytes / MB, 1)}
 
 
@@ -386,7 +392,7 @@
     """Return the MB per second at which one response of `size` bytes is received."""
     client = await BulkClient.connect(port)
     started = time.perf_counter()
-    status, _, received, _, whole = await client.ask("read", want=f"give={size}")
+    status, _, received, _, whole = await client.fetch("read", worker_query=f"give={size}")
     duration = time.perf_counter() - started
     client.close()
     assert status == 200 and whole and received == size, (status, whole, received)
@@ -396,7 +402,7 @@
 async def measure_transfer_rates(rounds: int) -> Figures:
     """Compare the transfer rate of long responses through the gatekeeper to that of a plain relay, in alternation."""
     worker, size = BulkWorker("w"), 32 * MB
-    async with scene(worker) as (gatekeeper, _, _):
+    async with running_gatekeeper(worker) as (gatekeeper, _, _):
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.operations", "--relay", str(worker.port), stdout=asyncio.subprocess.PIPE
         )
@@ -419,7 +425,7 @@
     }
 
 
-def cpu_seconds_used(gatekeeper: Gatekeeper) -> float:
+def cpu_seconds_used(gatekeeper: GatekeeperProcess) -> float:
     """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{gatekeeper.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -435,15 +441,15 @@
         if archive.returncode:
             return {"short_request_cost_ratio": None}
         subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
-        worker = Worker("w")
+        worker = FakeWorker("w")
         ratios = []
-        async with House(worker) as host:
-            gatekeepers: list[Gatekeeper] = []
+        async with ProcessHost(worker) as host:
+            gatekeepers: list[GatekeeperProcess] = []
             for root in (repository, Path(folder)):
                 configuration = config(host.discovery.port)
                 del configuration["management"]
-                gatekeeper = await spawn(json.dumps(configuration), root=root)
-                await gatekeeper.listening()
+                gatekeeper = await spawn(json.dumps(configuration), source_root=root)
+                await gatekeeper.wait_until_listening()
                 gatekeepers.append(gatekeeper)
                 host.processes.append(gatekeeper)
             clients = [await gatekeeper.client() for gatekeeper in gatekeepers]
@@ -453,7 +459,7 @@
                 for gatekeeper, client in zip(gatekeepers, clients, strict=True):
                     cpu_before = cpu_seconds_used(gatekeeper)
                     for _ in range(requests):
-                        assert (await client.ask("write", body=body)).status == 200
+                        assert (await client.fetch("write", body=body)).status == 200
                     cpu_seconds.append(cpu_seconds_used(gatekeeper) - cpu_before)
                 if n:  # the first round warms up both versions
                     ratios.append(cpu_seconds[0] / cpu_seconds[1])
@@ -479,19 +485,21 @@
     for want, by_class in expected:
         for klass, (status, whole_expected) in by_class.items():
             workers = [BulkWorker(name) for name in "wvu"]
-            async with scene(*workers) as (gatekeeper, _, _):
+            async with running_gatekeeper(*workers) as (gatekeeper, _, _):
                 client = await BulkClient.connect(gatekeeper.port)
                 body_size = size if klass == "write" else 0
-                received_status, name, length, total, whole = await client.ask(klass, size=body_size, want=want)
+                received_status, name, length, total, whole = await client.fetch(
+                    klass, size=body_size, worker_query=want
+                )
                 whole_received = sum(
-                    transfer[0] == name and transfer[3] for worker in workers for transfer in worker.took
+                    transfer[0] == name and transfer[3] for worker in workers for transfer in worker.received
                 )
                 response_cut = "give=4" in want and "break" in want
                 as_expected = (
                     received_status == status and whole_received == whole_expected and whole is not response_cut
                 )
                 if received_status == 200 and whole and not response_cut:
-                    as_expected = as_expected and total == check(name, length)
+                    as_expected = as_expected and total == body_checksum(name, length)
                 case_count += 1
                 wrong_count += not as_expected
                 if not as_expected:
--- a/benchmarks/planner_workers.py
+++ b/benchmarks/planner_workers.py
@@ -29,9 +29,11 @@
 
 FORWARDERS, WORK_CORE_SECONDS = 20, 0.02  # core seconds of a simulated request
 FLEETS = {
-    "even": [Capacity(cores=4, queue=64, thrash=0.05)] * 8,
-    "small and large": [Capacity(cores=n, queue=16 * n, thrash=0.05) for n in (1, 1, 2, 2, 4, 4, 8, 8)],
-    "slow and fast": [Capacity(cores=4, queue=64, speed=s, thrash=0.05) for s in (0.25, 0.25, 0.5, 0.5, 1, 1, 2, 2)],
+    "even": [Capacity(cores=4, queue_limit=64, queue_slowdown=0.05)] * 8,
+    "small and large": [Capacity(cores=n, queue_limit=16 * n, queue_slowdown=0.05) for n in (1, 1, 2, 2, 4, 4, 8, 8)],
+    "slow and fast": [
+        Capacity(cores=4, queue_limit=64, speed=s, queue_slowdown=0.05) for s in (0.25, 0.25, 0.5, 0.5, 1, 1, 2, 2)
+    ],
 }
 SETTINGS = interface.Settings(
     (interface.RequestClass("fetch", aim=0.4, deadline=1.0),),
@@ -77,20 +79,26 @@
         {f"w{n}": capacity for n, capacity in enumerate(capacities)},
         SETTINGS,
         planner=True,
-        paces=learn_capacity,
+        report_capacity=learn_capacity,
     )
 
     def set_speed(factor: float) -> None:
         for n in (5, 7):
             capacity = capacities[n]
-            cluster.become(
-                f"w{n}", Capacity(capacity.cores, capacity.queue, capacity.speed * factor, thrash=capacity.thrash)
+            cluster.set_capacity(
+                f"w{n}",
+                Capacity(
+                    capacity.cores,
+                    capacity.queue_limit,
+                    capacity.speed * factor,
+                    queue_slowdown=capacity.queue_slowdown,
+                ),
             )
 
     if case.slowing:
         cluster.clock.at(4.0 + seconds / 4, set_speed, 0.25)
         cluster.clock.at(4.0 + seconds * 5 / 8, set_speed, 1.0)
-    return cluster.served(4.0, 4.0 + seconds)
+    return cluster.served_ratio(4.0, 4.0 + seconds)
 
 
 @dataclass(slots=True)
@@ -116,12 +124,12 @@
         forwarders,
         2,
         capacities=capacities,
-        service=service_seconds,
+        service_seconds=service_seconds,
         plans=plans,
         seed=seed,
         terms=Terms(),
         paces=learn_capacity,
-        session=2.0,
+        session_seconds=2.0,
     ) as installation:
         await wait_for_shard_owners(installation)
 
@@ -132,16 +140,16 @@
                     "big",
                     lambda now: rate / forwarders,
                     lambda now, n=n: n,  # type: ignore
-                    top=rate / forwarders,
+                    peak_rate=rate / forwarders,
                 )
                 for n in range(forwarders)
             ]
-            return Traffic(installation.ports, customers, installation.plans, seed, timeout=1.5, aim=0.4)
+            return Traffic(installation.ports, customers, installation.plans, seed, timeout=1.5, latency_objective=0.4)
 
         await make_traffic(seed).run(4.0)
         report = await make_traffic(seed + 1000).run(seconds)
-        response_times = sorted(report.waits)
-        return Run(report.ends, response_times[int(0.99 * len(response_times))] if response_times else 0.0)
+        response_times = sorted(report.latencies)
+        return Run(report.outcomes, response_times[int(0.99 * len(response_times))] if response_times else 0.0)
 
 
 async def compare(seed: int, forwarders: int, seconds: float, load: float) -> tuple[Run, Run]:
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -29,12 +29,12 @@
 
 from benchmarks.planning_scale import measure
 from micagate.planning.terms import Terms
-from oliveloft.planners.status import gather
+from oliveloft.planners.status import query_planners
 from rig.capacity import Capacity
 from rig.installation import Installation
-from rig.limited_worker import overspent
-from rig.planning import World
-from rig.traffic import Customer, Report, Traffic
+from rig.limited_worker import max_overspending
+from rig.planning import PlanningSimulation
+from rig.traffic import Customer, Traffic, TrafficReport
 
 PLANS: list[dict[str, Any]] = [
     {"Name": "solo", "Refill": 6, "MostAtOnce": 12},
@@ -112,7 +112,7 @@
                 plan,
                 constant_rate,
                 route,
-                top=rate,
+                peak_rate=rate,
                 spread=FORWARDERS_PER_CUSTOMER,
                 first=first,
                 klass="write" if n % 4 == 3 else "read",
@@ -125,7 +125,7 @@
 class Run:
     """The results of one installation."""
 
-    report: Report
+    report: TrafficReport
     failover_seconds: float = 0.0  # seconds from the kill of one planner until every shard has an owner
     bytes_per_second: float = 0.0  # planner traffic of one forwarder
     excess: float = 0.0  # units beyond a ceiling, of the worst customer; negative if none exceeded it
@@ -136,7 +136,7 @@
 async def all_shards_owned_by(fleet: Installation, names: set[str]) -> bool:
     """Return whether every shard has an owner among these planners that responds."""
     config = fleet.config()
-    statuses = await gather(
+    statuses = await query_planners(
         replace(config, planners={name: address for name, address in config.planners.items() if name in names})
     )
     return len({shard for status in statuses.values() for shard in status.get("shards", {})}) == config.terms.shards
@@ -145,7 +145,7 @@
 async def wait_for_shard_owners(fleet: Installation) -> None:
     """Wait until every shard has an owner and every planner owns shards; return without error after 200 polls."""
     for _ in range(200):
-        statuses = await gather(fleet.config())
+        statuses = await query_planners(fleet.config())
         shard_counts = [len(status.get("shards", {})) for status in statuses.values()]
         if sum(shard_counts) == fleet.terms.shards and all(shard_counts):
             return
@@ -162,18 +162,23 @@
         size.forwarders,
         planners,
         workers=8,
-        capacity=Capacity(cores=4, queue=64),
-        service=0.02,
+        capacity=Capacity(cores=4, queue_limit=64),
+        service_seconds=0.02,
         plans=PLANS,
         seed=seed,
         terms=Terms(),
-        session=2.0,
+        session_seconds=2.0,
     ) as fleet:
         if planners:
             await wait_for_shard_owners(fleet)
-        fleet.record.keep_units = True
+        fleet.record.records_units = True
         traffic = Traffic(
-            fleet.ports, moving_customers(seed, size, fleet.plans), fleet.plans, seed, timeout=1.0, aim=0.4
+            fleet.ports,
+            moving_customers(seed, size, fleet.plans),
+            fleet.plans,
+            seed,
+            timeout=1.0,
+            latency_objective=0.4,
         )
         ready.release()
         await begin.wait()
@@ -181,7 +186,7 @@
         failover_seconds = 0.0
         if variant.endswith("killed"):
             await asyncio.sleep(size.seconds / 3)
-            names = set(fleet.names)
+            names = set(fleet.planner_names)
             victims = {"p1"} if variant.startswith("one") else names
             for name in victims:
                 fleet.planners[name].process.kill()
@@ -193,17 +198,17 @@
         report = await load_task
         run = Run(report, failover_seconds)
         if variant == "undisturbed":
-            statuses = (await gather(fleet.config())).values()
+            statuses = (await query_planners(fleet.config())).values()
             uptime_seconds = min(status["up_s"] for status in statuses)
             run.bytes_per_second = sum(
                 entry["bytes"] for status in statuses for entry in status["forwarders"].values()
             ) / (size.forwarders * uptime_seconds)
         run.excess = max(
-            (overspent(units, 14, 28) for (_, plan), units in fleet.record.units.items() if plan == "firm"),
+            (max_overspending(units, 14, 28) for (_, plan), units in fleet.record.units.items() if plan == "firm"),
             default=-28.0,
         )
-        run.duplicate_count = sum(fleet.record.begun[name] > 1 for name in traffic.filings)
-        run.series = [report.series.get(second, Counter())["served"] for second in range(int(size.seconds))]
+        run.duplicate_count = sum(fleet.record.start_counts[name] > 1 for name in traffic.unrepeatable_ids)
+        run.series = [report.outcomes_by_second.get(second, Counter())["served"] for second in range(int(size.seconds))]
         return run
 
 
@@ -235,24 +240,25 @@
             1,
             planners,
             workers=4,
-            capacity=Capacity(cores=16, queue=256),
-            service=0.001,
+            capacity=Capacity(cores=16, queue_limit=256),
+            service_seconds=0.001,
             plans=[{"Name": "big", "Refill": 5000, "MostAtOnce": 5000}],
             seed=seed,
             terms=Terms(),
         ) as fleet:
             if planners:
-                while not await all_shards_owned_by(fleet, set(fleet.names)):
+                while not await all_shards_owned_by(fleet, set(fleet.planner_names)):
                     await asyncio.sleep(0.05)
             customers = [
-                Customer(f"{n + 1:016x}", "big", lambda now: rate / 50, lambda now: 0, top=rate / 50) for n in range(50)
+                Customer(f"{n + 1:016x}", "big", lambda now: rate / 50, lambda now: 0, peak_rate=rate / 50)
+                for n in range(50)
             ]
-            traffic = Traffic(fleet.ports, customers, fleet.plans, seed, timeout=1.0, aim=0.5)
-            await traffic.run(1.0, settle=False)
+            traffic = Traffic(fleet.ports, customers, fleet.plans, seed, timeout=1.0, latency_objective=0.5)
+            await traffic.run(1.0, wait_for_in_flight=False)
             pid = fleet.forwarders[0].process.pid
-            cpu_before, ended_before = cpu_seconds_used(pid), sum(traffic.report.ends.values())
+            cpu_before, ended_before = cpu_seconds_used(pid), sum(traffic.report.outcomes.values())
             await traffic.run(seconds)
-            return 1e6 * (cpu_seconds_used(pid) - cpu_before) / (sum(traffic.report.ends.values()) - ended_before)
+            return 1e6 * (cpu_seconds_used(pid) - cpu_before) / (sum(traffic.report.outcomes.values()) - ended_before)
 
     without, with_planner = await asyncio.gather(measure_one(0), measure_one(1))
     return {"without": without, "with": with_planner}
@@ -260,8 +266,8 @@
 
 def run_schedule(seed: int) -> tuple[bool, bool]:
     """Return whether the fault schedule of this seed grants a share twice, and whether it exceeds a ceiling."""
-    result = World(seed).run(20.0)
-    return result.excess > 1e-6, result.overspent > 1e-6
+    result = PlanningSimulation(seed).run(20.0)
+    return result.max_excess > 1e-6, result.max_overspent > 1e-6
 
 
 def min_median_max(values: list[float]) -> list[float]:
@@ -291,7 +297,7 @@
         costs = []
         for seed in size.seeds:
             runs.append(uvloop.run(compare(seed, size)))
-            served_shares = {variant: round(run.report.share, 4) for variant, run in runs[-1].items()}
+            served_shares = {variant: round(run.report.served_value_share, 4) for variant, run in runs[-1].items()}
             print(f"seed {seed}: {json.dumps(served_shares)}", flush=True)
         for number in range(size.cpu_rounds):
             costs.append(uvloop.run(cpu_per_request(size.cpu_seconds, number)))
@@ -306,7 +312,7 @@
         print(f"scale: {json.dumps(scale_result)}")
     if options.picture:
         plot_served(runs, options.picture)
-    served = {variant: [run[variant].report.share for run in runs] for variant in VARIANTS}
+    served = {variant: [run[variant].report.served_value_share for run in runs] for variant in VARIANTS}
     kill_ratios = [
         numerator / denominator
         for numerator, denominator in zip(served["one_planner_killed"], served["undisturbed"], strict=True)
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -11,7 +11,7 @@
 import time
 from random import Random
 
-from micagate.planning.holder import Demand, Holder
+from micagate.planning.holder import Holder, ResourceNeed
 from micagate.planning.ledger import Ledger
 from micagate.planning.messages import RestartSession
 from micagate.planning.terms import Terms
@@ -40,10 +40,10 @@
 
     def report_demand(customer: int, offset: int, amount: float) -> None:
         index = (first_forwarders[customer] + offset) % forwarders
-        holders[index].demand(
+        holders[index].update_needs(
             now,
             [
-                Demand(
+                ResourceNeed(
                     customer_key("plan", f"{customer:016x}"),
                     first_forwarders[customer],
                     FORWARDERS_PER_CUSTOMER,
@@ -76,7 +76,7 @@
         report_demand(customer, offsets[customer], random.uniform(0.1, 0.9))
     for n in range(workers):
         for holder in holders:
-            holder.demand(now, [Demand(worker_key(f"w{n}"), 0, forwarders, 0.02)])
+            holder.update_needs(now, [ResourceNeed(worker_key(f"w{n}"), 0, forwarders, 0.02)])
     exchange()
     first_plan_seconds = planner_seconds
     message_bytes.update(up=0, down=0)
--- a/benchmarks/power_loss.py
+++ b/benchmarks/power_loss.py
@@ -26,23 +26,23 @@
 
 from benchmarks.operations import measure_handoff
 from micagate import Gateway, Plan, RequestClass, Settings
-from micagate.recovery.persisted_state import Walk
-from micagate.recovery.stages import Limits, Recovery
-from oliveloft.memory.files import PlainDisk
-from oliveloft.memory.log import Log
+from micagate.recovery.persisted_state import ChangedRows
+from micagate.recovery.stages import Limits, StartProgress
+from oliveloft.memory.files import SystemDisk
+from oliveloft.memory.log import RecordLog
 from rig.capacity import Capacity
-from rig.crash_recovery import SURE, Variant, play
+from rig.crash_recovery import TOLERANCE, Variant, play
 from rig.engines import compare
-from rig.fleet_restart import Return
-from rig.gossip import Gossip
-from rig.limited_worker import overspent
-from rig.members import MemberSite
-from rig.power import Loss, all_knowing, asked, back, everywhere, served
+from rig.fleet_restart import PowerLossSimulation
+from rig.gossip import MembershipSimulation
+from rig.limited_worker import max_overspending
+from rig.members import MemberInstallation
+from rig.power import PowerLoss, ideal_served_share, recovery_seconds, sent_between, served_between, spread_customers
 from rig.traffic import Traffic
 
 Figures = dict[str, Any]
 # Workers of the power loss: in slow start after it.
-COLD_CAPACITY = Capacity(cores=2, queue=24, cold_from=0.25, ramp=6.0, thrash=0.05)
+COLD_CAPACITY = Capacity(cores=2, queue_limit=24, min_warm_up_factor=0.25, warm_up_seconds=6.0, queue_slowdown=0.05)
 # Six workers serve 360 requests per second once warm.
 REQUESTS_PER_SECOND, SERVICE_SECONDS, LATENCY_OBJECTIVE_SECONDS = 340.0, 1 / 30, 0.4
 # Customers stay well inside this quota, so that requests fail only because of the power loss. The ceiling is checked.
@@ -59,7 +59,7 @@
 def _units_beyond_ceiling(units: list[list[tuple[float, float]]], plan: dict[str, Any]) -> float:
     """Return the units beyond the ceiling and its slack of the worst customer; negative if all stayed within."""
     return max(
-        overspent(customer_units, plan["HardRate"], plan["CapDepth"]) for customer_units in units
+        max_overspending(customer_units, plan["HardRate"], plan["CapDepth"]) for customer_units in units
     ) - ceiling_slack_units(plan)
 
 
@@ -85,24 +85,24 @@
 
 async def measure_power_loss(seed: int, fleet: bool, seconds: int) -> Figures:
     """Cut the power of gatekeepers and workers for 0.7 s under load; return what is served after it."""
-    async with MemberSite(
+    async with MemberInstallation(
         5,
         fleet=fleet,
         workers=6,
         capacity=COLD_CAPACITY,
-        service=SERVICE_SECONDS,
+        service_seconds=SERVICE_SECONDS,
         plans=[AMPLE_PLAN],
         seed=seed,
         settings={"Rules": {"ColdFrom": 0.25, "RampTimeUs": 6_000_000}},
     ) as site:
-        site.record.keep_units = True
+        site.record.records_units = True
         traffic = Traffic(
             site.ports,
-            everywhere(34, REQUESTS_PER_SECOND / 34, "team", 5),
+            spread_customers(34, REQUESTS_PER_SECOND / 34, "team", 5),
             site.plans,
             seed,
             timeout=1.5,
-            aim=LATENCY_OBJECTIVE_SECONDS,
+            latency_objective=LATENCY_OBJECTIVE_SECONDS,
         )
         traffic_task = asyncio.create_task(traffic.run(5.0 + seconds))
         await asyncio.sleep(4.0)
@@ -112,29 +112,32 @@
             await site.forwarders[0].call("ONLINE worker-6")
             # This worker is unknown: the call fails, and there is nothing to persist.
             maintenance_reply = await site.forwarders[1].call("OFFLINE worker-none")
-        loss = Loss(site, traffic)
+        loss = PowerLoss(site, traffic)
         # Power returns within hundredths of a second of a full second of the report, which counts by seconds.
-        await asyncio.sleep(traffic._began + 4.27 - asyncio.get_running_loop().time())
-        await loss.strike(0.7)
+        await asyncio.sleep(traffic._started_at + 4.27 - asyncio.get_running_loop().time())
+        await loss.cut_power(0.7)
         report = await traffic_task
-        lost_at = round(loss.at)
-        calm_rate = served(report, 2, 4) / 2
-        ideal_share = all_knowing(
+        lost_at = round(loss.restored_at)
+        calm_rate = served_between(report, 2, 4) / 2
+        ideal_share = ideal_served_share(
             REQUESTS_PER_SECOND, seconds, [COLD_CAPACITY] * 6, SERVICE_SECONDS, LATENCY_OBJECTIVE_SECONDS, seed
         )
-        served_count = served(report, lost_at, lost_at + seconds)
-        requested = asked(report, lost_at, lost_at + seconds)
+        served_count = served_between(report, lost_at, lost_at + seconds)
+        requested = sent_between(report, lost_at, lost_at + seconds)
         units = list(site.record.units.values())
-        peak = max(worker.peak for worker in site.workers)
+        peak = max(worker.peak_completion_seconds for worker in site.workers)
         return {
             "ratio": served_count / (requested * ideal_share),
-            "back": back(report, lost_at, calm_rate, lost_at + seconds),
+            "back": recovery_seconds(report, lost_at, calm_rate, lost_at + seconds),
             "by_second": [
-                round(served(report, second, second + 1) / calm_rate, 2) for second in range(lost_at, lost_at + seconds)
+                round(served_between(report, second, second + 1) / calm_rate, 2)
+                for second in range(lost_at, lost_at + seconds)
             ],
             "excess": _units_beyond_ceiling(units, AMPLE_PLAN),
-            "twice": sum(count > 1 for name, count in site.record.begun.items() if name in traffic.filings),
-            "listened": max(loss.listened),
+            "twice": sum(
+                count > 1 for name, count in site.record.start_counts.items() if name in traffic.unrepeatable_ids
+            ),
+            "listened": max(loss.start_seconds),
             "peak": peak,
             "banned": maintenance_reply,
         }
@@ -145,36 +148,43 @@
 
     Customers stay inside their ceiling. With `fleet`, a worker is taken out for maintenance first and must stay out.
     """
-    async with MemberSite(count, fleet=fleet, workers=6, plans=[TIGHT_PLAN], seed=seed) as site:
-        site.record.keep_units = True
+    async with MemberInstallation(count, fleet=fleet, workers=6, plans=[TIGHT_PLAN], seed=seed) as site:
+        site.record.records_units = True
         traffic = Traffic(
-            site.ports, everywhere(4, 18.0, "team", count), site.plans, seed, timeout=1.5, aim=LATENCY_OBJECTIVE_SECONDS
+            site.ports,
+            spread_customers(4, 18.0, "team", count),
+            site.plans,
+            seed,
+            timeout=1.5,
+            latency_objective=LATENCY_OBJECTIVE_SECONDS,
         )
-        await traffic.run(5.0, settle=False)
-        usual_share = served(traffic.report, 2, 5) / asked(traffic.report, 2, 5)
-        await traffic.settle()
+        await traffic.run(5.0, wait_for_in_flight=False)
+        usual_share = served_between(traffic.report, 2, 5) / sent_between(traffic.report, 2, 5)
+        await traffic.wait_for_in_flight()
         if fleet:
             assert (await site.forwarders[0].call("OFFLINE worker-1")).startswith("ok")
-            await site.agree(count)
-        loss = Loss(site, traffic)
-        await loss.strike(0.2, workers=False)
+            await site.wait_for_agreement(count)
+        loss = PowerLoss(site, traffic)
+        await loss.cut_power(0.2, workers=False)
         second_traffic = Traffic(
             site.ports,
-            everywhere(4, 18.0, "team", count),
+            spread_customers(4, 18.0, "team", count),
             site.plans,
             seed + 1,
             timeout=1.5,
-            aim=LATENCY_OBJECTIVE_SECONDS,
+            latency_objective=LATENCY_OBJECTIVE_SECONDS,
         )
         served_before = site.workers[0].load.served
         await second_traffic.run(1.0)
         maintenance_lost = 0
         if fleet:
-            states = (await site.states()).values()
+            states = (await site.member_states()).values()
             maintenance_lost = sum(not state.get("bans", {}).get("worker-1", {}).get("out") for state in states)
             maintenance_lost += site.workers[0].load.served > served_before
         return {
-            "first": served(second_traffic.report, 0, 1) / asked(second_traffic.report, 0, 1) / usual_share,
+            "first": served_between(second_traffic.report, 0, 1)
+            / sent_between(second_traffic.report, 0, 1)
+            / usual_share,
             "usual": usual_share,
             "excess": _units_beyond_ceiling(list(site.record.units.values()), TIGHT_PLAN),
             "bans_lost": maintenance_lost,
@@ -187,48 +197,57 @@
     Returns how often such a disk was not recognized or a ceiling was exceeded (`old_believed`), and the requests that
     workers started twice.
     """
-    async with MemberSite(3, plans=[TIGHT_PLAN], seed=seed) as site:
-        site.record.keep_units = True
-        traffic = Traffic(site.ports, everywhere(1, 60.0, "team", 3, "write"), site.plans, seed, timeout=1.0, aim=0.5)
-        await traffic.run(1.5, settle=False)
+    async with MemberInstallation(3, plans=[TIGHT_PLAN], seed=seed) as site:
+        site.record.records_units = True
+        traffic = Traffic(
+            site.ports,
+            spread_customers(1, 60.0, "team", 3, "write"),
+            site.plans,
+            seed,
+            timeout=1.0,
+            latency_objective=0.5,
+        )
+        await traffic.run(1.5, wait_for_in_flight=False)
         site.kill(0)
-        await site.dead(0)
-        shutil.copytree(site.folder(0), str(site.folder(0)) + "-old")
-        traffic.ports[0] = (await site.forward(0)).port
-        await traffic.run(1.0, settle=False)
+        await site.wait_until_exited(0)
+        shutil.copytree(site.disk_directory(0), str(site.disk_directory(0)) + "-old")
+        traffic.ports[0] = (await site.start_forwarder(0)).port
+        await traffic.run(1.0, wait_for_in_flight=False)
         site.kill()
-        await site.dead()
-        shutil.rmtree(site.folder(0))
-        shutil.move(str(site.folder(0)) + "-old", site.folder(0))
+        await site.wait_until_exited()
+        shutil.rmtree(site.disk_directory(0))
+        shutil.move(str(site.disk_directory(0)) + "-old", site.disk_directory(0))
         site.copy_disk(2, 1)
-        for number, gatekeeper in enumerate(await asyncio.gather(*(site.forward(n) for n in range(3)))):
+        for number, gatekeeper in enumerate(await asyncio.gather(*(site.start_forwarder(n) for n in range(3)))):
             traffic.ports[number] = gatekeeper.port
-        disks = {name: state["disk"] for name, state in (await site.states()).items()}
+        disks = {name: state["disk"] for name, state in (await site.member_states()).items()}
         await traffic.run(2.0)
         excess = _units_beyond_ceiling(list(site.record.units.values()), TIGHT_PLAN)
         wrong_count = (disks["f0"] != "old") + (disks["f1"] != "other") + (excess > 0)
         return {
             "old_believed": wrong_count,
             "excess": excess,
-            "twice": sum(count > 1 for count in site.record.begun.values()),
+            "twice": sum(count > 1 for count in site.record.start_counts.values()),
         }
 
 
 async def measure_start_with_planners(seed: int, fleet: bool) -> float:
     """Return the seconds until gatekeepers with planners listen again after both lost power."""
-    async with MemberSite(3, fleet=fleet, planners=3, plans=[TIGHT_PLAN], seed=seed) as site:
-        traffic = Traffic(site.ports, everywhere(2, 10.0, "team", 3), site.plans, seed, timeout=1.0, aim=0.5)
-        await traffic.run(2.0, settle=False)
+    async with MemberInstallation(3, fleet=fleet, planners=3, plans=[TIGHT_PLAN], seed=seed) as site:
+        traffic = Traffic(
+            site.ports, spread_customers(2, 10.0, "team", 3), site.plans, seed, timeout=1.0, latency_objective=0.5
+        )
+        await traffic.run(2.0, wait_for_in_flight=False)
         for planner in site.planners.values():
             planner.process.kill()
         site.kill()
-        await site.dead()
+        await site.wait_until_exited()
         for planner in site.planners.values():
             await planner.process.wait()
         await asyncio.sleep(0.7)
         started = time.monotonic()
-        starting = [asyncio.create_task(site.plan(name)) for name in site.names]
-        await asyncio.gather(*(site.forward(number) for number in range(3)))
+        starting = [asyncio.create_task(site.start_planner(name)) for name in site.planner_names]
+        await asyncio.gather(*(site.start_forwarder(number) for number in range(3)))
         listen_seconds = time.monotonic() - started
         await asyncio.gather(*starting)
         return listen_seconds
@@ -243,36 +262,41 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     sites = {
-        fleet: MemberSite(
+        fleet: MemberInstallation(
             3,
             fleet=fleet,
             plans=[AMPLE_PLAN],
             seed=seed,
             workers=4,
-            capacity=Capacity(cores=8, queue=64),
-            service=0.002,
+            capacity=Capacity(cores=8, queue_limit=64),
+            service_seconds=0.002,
         )
         for fleet in (True, False)
     }
     cpu_per_request: dict[bool, list[float]] = {True: [], False: []}
     async with sites[True], sites[False]:
         traffic_by_fleet = {
-            fleet: Traffic(site.ports, everywhere(60, 20.0, "team", 3), site.plans, seed, timeout=1.0, aim=0.5)
+            fleet: Traffic(
+                site.ports, spread_customers(60, 20.0, "team", 3), site.plans, seed, timeout=1.0, latency_objective=0.5
+            )
             for fleet, site in sites.items()
         }
         for fleet in (True, False):
-            await traffic_by_fleet[fleet].run(1.0, settle=False)
+            await traffic_by_fleet[fleet].run(1.0, wait_for_in_flight=False)
         for round_number in range(6):
             for fleet in (True, False) if round_number % 2 else (False, True):
                 pids = [gatekeeper.process.pid for gatekeeper in sites[fleet].forwarders]
-                cpu_before, ended_before = sum(map(cpu_seconds_used, pids)), traffic_by_fleet[fleet].report.ends.total()
-                await traffic_by_fleet[fleet].run(seconds / 12, settle=False)
+                cpu_before, ended_before = (
+                    sum(map(cpu_seconds_used, pids)),
+                    traffic_by_fleet[fleet].report.outcomes.total(),
+                )
+                await traffic_by_fleet[fleet].run(seconds / 12, wait_for_in_flight=False)
                 cpu_per_request[fleet].append(
                     (sum(map(cpu_seconds_used, pids)) - cpu_before)
-                    / max(1, traffic_by_fleet[fleet].report.ends.total() - ended_before)
+                    / max(1, traffic_by_fleet[fleet].report.outcomes.total() - ended_before)
                 )
         for traffic in traffic_by_fleet.values():
-            await traffic.settle()
+            await traffic.wait_for_in_flight()
     ratios = [on / off for on, off in zip(cpu_per_request[True], cpu_per_request[False], strict=True) if off > 0]
     return {
         "cpu_ratio": round(statistics.median(ratios), 3),
@@ -287,7 +311,7 @@
     gateway = Gateway(Settings((RequestClass("read", 1.0, 2.0),), (plan,), max_accounts=2 * customers), 1, 0.0)
     for n in range(customers):
         gateway.quotas.account(0.0, f"{n:016x}", plan, 2)
-    state_walk, random, longest_step, now, rows = Walk(gateway, 0.0), Random(1), 0.0, 0.0, 0
+    state_walk, random, longest_step, now, rows = ChangedRows(gateway, 0.0), Random(1), 0.0, 0.0, 0
     gc.collect()
     gc.freeze()
     for _ in range(100):
@@ -302,27 +326,28 @@
 
 def measure_membership(count: int, seed: int) -> Figures:
     """Return how soon members notice a kill and a stall and agree on a restart, and the rate of false suspicions."""
-    fleet = Gossip(count, seed)
+    fleet = MembershipSimulation(count, seed)
     for name in fleet.names:
         fleet.start(name)
-    fleet.settled(10.0)
-    fleet.loss = 0.01
+    fleet.seconds_to_converge(10.0)
+    fleet.retransmission_rate = 0.01
     fleet.run(5.0)
-    false_suspicions = sum(update.what == "down" for node in fleet.nodes.values() for _, update in node.news)
+    false_suspicions = sum(update.kind == "down" for node in fleet.nodes.values() for _, update in node.updates)
     sent_before, name = sum(fleet.sent.values()), fleet.names[count // 2]
     started = fleet.clock.now
     fleet.run(3.0)
     message_rate = (sum(fleet.sent.values()) - sent_before) / count / (fleet.clock.now - started)
     fleet.stop(name)
-    kill_seconds = fleet.settled(10.0)
+    kill_seconds = fleet.seconds_to_converge(10.0)
     fleet.start(name)
-    restart_seconds = fleet.settled(10.0)
-    fleet.sleep(name, 6.0)
+    restart_seconds = fleet.seconds_to_converge(10.0)
+    fleet.pause(name, 6.0)
     started, stall_seconds = fleet.clock.now, None
     while stall_seconds is None and fleet.clock.now - started < 6.0:
         fleet.run(0.05)
         if all(
-            node.life is None or other == name or not node.life.is_alive(name) for other, node in fleet.nodes.items()
+            node.member is None or other == name or not node.member.is_alive(name)
+            for other, node in fleet.nodes.items()
         ):
             stall_seconds = fleet.clock.now - started
     return {
@@ -338,7 +363,7 @@
 def count_exceeded_ceilings(first: int, count: int, variant: Variant = Variant.NONE) -> int:
     """Return how many schedules of persisted high-water marks exceed a ceiling."""
     seconds = 6.0 if variant is Variant.NONE else 30.0
-    return sum(play(seed, variant, seconds=seconds).excess > SURE for seed in range(first, first + count))
+    return sum(play(seed, variant, seconds=seconds).excess > TOLERANCE for seed in range(first, first + count))
 
 
 def count_late_starts(first: int, count: int, endless: bool = False) -> int:
@@ -347,16 +372,18 @@
     With `endless`, the stage that waits for the list of workers has no limit.
     """
     limits, late_count = Limits(list=1e9) if endless else Limits(), 0
-    limit_seconds = sum(Limits().of(stage) for stage in ("memory", "peers", "list", "planners", "room", "gather")) + 0.7
+    limit_seconds = (
+        sum(Limits().limit(stage) for stage in ("memory", "peers", "list", "planners", "room", "gather")) + 0.7
+    )
     for seed in range(first, first + count):
         random = Random(seed)
         completion_times = {
             stage: 10.0 + random.expovariate(1 / random.choice((0.1, 1.0, 1e9)))
             for stage in ("memory", "peers", "list", "planners", "room", "gather")
         }
-        recovery, now = Recovery(10.0, limits), 10.0
-        while not recovery.open and now < 30.0:
-            recovery.look(now, {stage: "it" for stage, completed in completion_times.items() if completed > now})
+        recovery, now = StartProgress(10.0, limits), 10.0
+        while not recovery.is_open and now < 30.0:
+            recovery.advance(now, {stage: "it" for stage, completed in completion_times.items() if completed > now})
             now += random.random() * 0.1
         late_count += now - 10.0 > limit_seconds
     return late_count
@@ -377,59 +404,62 @@
 
     A worker is taken out of service and later put back; all five members must end with it in service.
     """
-    random, fleet = Random(seed), Gossip(5, seed, digests=digests, boots=boots)
+    random, fleet = Random(seed), MembershipSimulation(5, seed, send_summaries=digests, new_incarnations=boots)
     for name in fleet.names:
         fleet.start(name)
     fleet.run(1.0)
     node = fleet.nodes["g000"]
-    assert node.life is not None
-    node.life.publish_fact(fleet.wall(node), "ban", "w", "out")
+    assert node.member is not None
+    node.member.publish_fact(fleet.wall_clock(node), "ban", "w", "out")
     fleet.run(0.5)
-    old_facts = list(node.life.facts)
+    old_facts = list(node.member.facts)
     for name in fleet.names:
-        fleet.nodes[name].wall = random.choice((0.0, 3600.0, -3600.0))  # wall clocks are stepped
+        fleet.nodes[name].wall_clock_offset = random.choice((0.0, 3600.0, -3600.0))  # wall clocks are stepped
     publisher = fleet.nodes["g001"]
-    assert publisher.life is not None
-    publisher.life.publish_fact(fleet.wall(publisher), "ban", "w", "in")  # a later call puts the worker back in service
-    fleet.lost = 0.05
+    assert publisher.member is not None
+    # A later call puts the worker back in service.
+    publisher.member.publish_fact(fleet.wall_clock(publisher), "ban", "w", "in")
+    fleet.disconnect_rate = 0.05
     fleet.run(0.3)
     restarted = []
     for _ in range(random.randrange(1, 4)):
         name = random.choice(fleet.names[2:])
-        if fleet.nodes[name].life is not None and random.random() < 0.5:
+        if fleet.nodes[name].member is not None and random.random() < 0.5:
             fleet.stop(name)
             fleet.run(random.random() * 0.1)  # so soon that no other member need have noticed
             fleet.start(name)
-            restarted.append((name, fleet.nodes[name].boot))
+            restarted.append((name, fleet.nodes[name].incarnation))
         elif random.random() < 0.5:
-            fleet.cut([name], fleet.names[:2], both=random.random() < 0.5)
+            fleet.block([name], fleet.names[:2], both=random.random() < 0.5)
             fleet.run(random.random() * 3)
             fleet.heal()
     fleet.stop("g000")
-    node.kept = old_facts  # an outdated disk, on which the worker is still out
+    node.persisted_facts = old_facts  # an outdated disk, on which the worker is still out
     if not last_word:
         # Without the rule: facts on the disk are published anew at the start, and so count as the latest.
-        node.kept = []
+        node.persisted_facts = []
     life = fleet.start("g000")
     if not last_word:
         for fact in old_facts:
-            life.publish_fact(fleet.wall(node) + 7200, fact.kind, fact.key, fact.value)
-    fleet.lost = 0.0
-    if fleet.settled(12.0) is None:
+            life.publish_fact(fleet.wall_clock(node) + 7200, fact.kind, fact.key, fact.value)
+    fleet.disconnect_rate = 0.0
+    if fleet.seconds_to_converge(12.0) is None:
         return False
-    if any(fleet.nodes[name].life is not None and not _restart_noticed(fleet, name, boot) for name, boot in restarted):
+    if any(
+        fleet.nodes[name].member is not None and not _restart_noticed(fleet, name, boot) for name, boot in restarted
+    ):
         return False
-    facts = [node.life.facts.get("ban", "w") for node in fleet.nodes.values() if node.life is not None]
+    facts = [node.member.facts.get("ban", "w") for node in fleet.nodes.values() if node.member is not None]
     return len(facts) == 5 and all(fact is not None and fact.value == "in" for fact in facts)
 
 
-def _restart_noticed(fleet: Gossip, name: str, boot: int) -> bool:
+def _restart_noticed(fleet: MembershipSimulation, name: str, boot: int) -> bool:
     """Return whether another member noticed that a new incarnation of this member began."""
     return any(
-        update.what == "restarted" and update.name == name
+        update.kind == "restarted" and update.name == name
         for other, node in fleet.nodes.items()
         if other != name
-        for seconds, update in node.news
+        for seconds, update in node.updates
         if seconds > 1001.0
     )
 
@@ -439,13 +469,13 @@
 
     With `by_who_is_up`, they divide the workers' capacity by the gateways that are up, otherwise by all five.
     """
-    simulation = Return(seed, room=1.06)
-    simulation.served(3.0)
-    simulation.lose()
-    simulation.front = [0, 1]
-    for gateway in simulation.gates:
+    simulation = PowerLossSimulation(seed, capacity_factor=1.06)
+    simulation.served_per_tenth(3.0)
+    simulation.lose_power()
+    simulation.reachable_gateways = [0, 1]
+    for gateway in simulation.gateways:
         gateway.fleet.gateway_count = 2 if by_who_is_up else simulation.count
-    return sum(simulation.served(3.0))
+    return sum(simulation.served_per_tenth(3.0))
 
 
 RULES = (
@@ -484,12 +514,12 @@
 def measure_log_read(customers: int) -> Figures:
     """Return the time to read a log with a record for each of `customers` customers."""
     with tempfile.TemporaryDirectory() as folder:
-        log = Log(PlainDisk(folder), "g")
-        log.find()
-        log.begin([("mark", f"c/team/{n:016x}", [1.0, 2.0, 3.0, 4.0, 5]) for n in range(customers)])
+        log = RecordLog(SystemDisk(folder), "g")
+        log.load()
+        log.rewrite([("mark", f"c/team/{n:016x}", [1.0, 2.0, 3.0, 4.0, 5]) for n in range(customers)])
         log.close()
         started = time.perf_counter()
-        recovered = Log(PlainDisk(folder), "g").find()
+        recovered = RecordLog(SystemDisk(folder), "g").load()
         duration = time.perf_counter() - started
     assert len(recovered.records) == customers
     return {"read_ms": round(1000 * duration, 1)}
@@ -517,7 +547,8 @@
         "twice": sum(result["twice"] for result in with_members),
         # A worker in slow start is overloaded if its requests in flight exceed the bound of its queue.
         "cold_falls": sum(
-            result["peak"] > COLD_CAPACITY.queue * SERVICE_SECONDS / COLD_CAPACITY.cold_from for result in with_members
+            result["peak"] > COLD_CAPACITY.queue_limit * SERVICE_SECONDS / COLD_CAPACITY.min_warm_up_factor
+            for result in with_members
         ),
     }
 
--- a/benchmarks/quiet_quotas.py
+++ b/benchmarks/quiet_quotas.py
@@ -15,7 +15,7 @@
 from statistics import mean, stdev
 
 from micagate import interface
-from rig.customers import PLANS, Day, play, wide
+from rig.customers import PLANS, Scenario, play, scenario_for
 
 REFERENCE_STATE_AGE_SECONDS = 0.25  # age of the true state when the reference policy sees it
 MAX_EXTRA_COST = 0.1  # bound on the cost beyond the reference policy's, as a share of the value offered
@@ -39,20 +39,26 @@
         ceiling_slack=34.0,
     ),
 )
-# By name of a case: the fields of `Day` in which it differs.
+# By name of a case: the fields of `Scenario` in which it differs.
 CASES: dict[str, dict[str, object]] = {
     "metered": {"plans": PLANS},
-    "sized": {"plans": MULTI_UNIT_PLANS, "units": 4, "meter": False, "marked": False},
+    "sized": {"plans": MULTI_UNIT_PLANS, "max_units": 4, "meter": False, "mark_retries": False},
     "capped": {"plans": CEILING_PLANS, "meter": False, "seconds": 6.0},
-    "slow_meter": {"plans": MULTI_UNIT_PLANS, "units": 4, "period": 2.0, "late": 0.7, "marked": False},
+    "slow_meter": {
+        "plans": MULTI_UNIT_PLANS,
+        "max_units": 4,
+        "meter_period": 2.0,
+        "meter_delay": 0.7,
+        "mark_retries": False,
+    },
 }
 
 
-def cost_and_earnings(day: Day, seed: int) -> tuple[float, float]:
+def cost_and_earnings(day: Scenario, seed: int) -> tuple[float, float]:
     """Return the cost and the value earned inside quotas, both as shares of the value offered."""
     results = play(day, seed).values()
-    worth = max(1.0, sum(result.worth for result in results))
-    return sum(result.cost for result in results) / worth, sum(result.earned for result in results) / worth
+    worth = max(1.0, sum(result.revenue_offered for result in results))
+    return sum(result.cost for result in results) / worth, sum(result.revenue_served for result in results) / worth
 
 
 def main() -> int:
@@ -65,13 +71,13 @@
     figures: dict[str, float] = {}
     for name, changes in CASES.items():
         for gateways in (4, 40) if short else (4, 40, 200):
-            customers = min(360, wide(gateways).customers)
-            options = {"customers": customers, "mix": CUSTOMER_MIX, "seconds": 12.0, **changes}
-            day = replace(wide(gateways), **options)  # type: ignore[arg-type]
+            customers = min(360, scenario_for(gateways).customers)
+            options = {"customers": customers, "kind_shares": CUSTOMER_MIX, "seconds": 12.0, **changes}
+            day = replace(scenario_for(gateways), **options)  # type: ignore[arg-type]
             seeds = range(2 if short else 5)
             gatekeepers, reference = (
                 [cost_and_earnings(variant, seed) for seed in seeds]
-                for variant in (day, replace(day, sees=REFERENCE_STATE_AGE_SECONDS))
+                for variant in (day, replace(day, global_view_delay=REFERENCE_STATE_AGE_SECONDS))
             )
             extra = [run[0] - ref[0] for run, ref in zip(gatekeepers, reference, strict=True)]
             figures[f"{name}_{gateways}"] = round(mean(extra), 3)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -23,9 +23,9 @@
 
 from benchmarks.planners import min_median_max
 from micagate import Gateway, interface
-from rig.customers import play, total, wide
-from rig.memory import resident
-from rig.worker_selection import Field, served
+from rig.customers import play, scenario_for, total
+from rig.memory import resident_bytes
+from rig.worker_selection import Scenario, served_ratio
 
 CLASSES = (interface.RequestClass("fetch", aim=0.4, deadline=1.0),)
 PLANS = (interface.Plan("capped", rate=10.0, burst=20.0, ceiling_rate=20.0, ceiling_capacity=40.0),)
@@ -62,10 +62,10 @@
     gc.collect()
     gc.freeze()
     gc.disable()  # collector pauses are not measured here: a serving process freezes its startup objects
-    resident_before = resident()
+    resident_before = resident_bytes()
     for n in range(count):
         gateway.quotas.account(n / 16_000, f"{n:016x}", PLANS[0], 1)
-    memory_mb = (resident() - resident_before) / 1e6
+    memory_mb = (resident_bytes() - resident_before) / 1e6
     longest_seconds = 0.0
     now = count / 16_000
     for n in range(count // 4):
@@ -107,15 +107,15 @@
     print(f"customers: {json.dumps(accounts)}", flush=True)
     quota_shares = {}
     for gateways in (4, 10):
-        days = [total([play(wide(gateways), seed)]) for seed in range(1 if short else 12)]
+        days = [total([play(scenario_for(gateways), seed)]) for seed in range(1 if short else 12)]
         quota_shares[str(gateways)] = {name: min_median_max([shares[name] for shares in days]) for name in days[0]}
         print(f"local quota shares, {gateways} gatekeepers: {json.dumps(quota_shares[str(gateways)])}", flush=True)
-    field = Field(seconds=1.0, warm_up=4.0) if short else Field(seconds=10.0, warm_up=10.0)
+    field = Scenario(seconds=1.0, warm_up=4.0) if short else Scenario(seconds=10.0, warm_up=10.0)
     reference_field = replace(field, warm_up=1.5)  # this policy learns nothing, so it needs less warm-up
     ideal, ratios = [], []
     for seed in range(1 if short else 5):
-        ideal.append(served("sees_all", reference_field, seed))
-        ratios.append(served("module", field, seed) / ideal[-1])
+        ideal.append(served_ratio("sees_all", reference_field, seed))
+        ratios.append(served_ratio("module", field, seed) / ideal[-1])
         print(
             f"served by {field.workers} workers, seed {seed}: {ideal[-1]:.4f} when every queue is seen, "
             f"{ratios[-1]:.4f} of that by the gateway",
--- a/benchmarks/slow_discovery.py
+++ b/benchmarks/slow_discovery.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 from rig.agent import AgentFaults, FakeAgent
-from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch
+from rig.fake_servers import Client, FakeWorker, GatekeeperProcess, Message, config, launch
 
 DRAIN_GRACE_SECONDS = 0.25  # seconds in which a draining worker may still receive requests
 MAX_NOTIFICATION_SECONDS = 6.0  # seconds after the change within which the gatekeeper must know of it
@@ -40,7 +40,7 @@
     pushed: bool = True  # the agent pushes updates; otherwise the gatekeeper requests them
 
 
-class TimedWorker(Worker):
+class TimedWorker(FakeWorker):
     """A fake worker that records the time of each request."""
 
     def __init__(self, name: str) -> None:
@@ -67,7 +67,7 @@
         agent.faults.trickle_seconds = case.delay / agent.faults.pieces
 
 
-async def _cause_event(case: Case, gatekeeper: Gatekeeper, agent: FakeAgent, second: FakeAgent) -> None:
+async def _cause_event(case: Case, gatekeeper: GatekeeperProcess, agent: FakeAgent, second: FakeAgent) -> None:
     """Cause the event that precedes the change."""
     if case.event == "reset":
         agent.reset_connections()
@@ -83,12 +83,12 @@
             await gatekeeper.reload(json.dumps(configuration), "reloaded")
 
 
-async def _send_requests(gatekeeper: Gatekeeper, end_time: float) -> None:
+async def _send_requests(gatekeeper: GatekeeperProcess, end_time: float) -> None:
     client: Client | None = None
     while time.monotonic() < end_time:
         with contextlib.suppress(AssertionError, OSError):
             client = client or await gatekeeper.client()
-            await client.ask("read", timeout="1.0")
+            await client.fetch("read", timeout="1.0")
         await asyncio.sleep(0.005)
 
 
--- a/micagate/accounts.py
+++ b/micagate/accounts.py
@@ -8,8 +8,8 @@
 import math
 
 from micagate import interface
-from micagate.estimates.metering import UNSEEN, Meter, QuotaEstimate
-from micagate.recovery.high_water_mark import Mark
+from micagate.estimates.metering import INITIAL_USE_RATIO, Meter, QuotaEstimate
+from micagate.recovery.high_water_mark import HighWaterMark
 
 METER_SMOOTHING_SECONDS = 2.0  # period that a meter reading should span; readings of shorter periods are averaged
 
@@ -52,7 +52,7 @@
         "uses_counter",
         "counter_unresponsive_since",
         "ceiling_filled_until",
-        "ceiling_mark",
+        "ceiling_high_water_mark",
     )
 
     def __init__(
@@ -71,7 +71,7 @@
         # The local balance of the quota, and an estimate of the whole bucket's level from the meter's readings.
         self.balance, self.quota_estimate = (
             self.capacity,
-            QuotaEstimate(plan.rate, plan.burst, gateway_count, now, UNSEEN * plan.burst),
+            QuotaEstimate(plan.rate, plan.burst, gateway_count, now, INITIAL_USE_RATIO * plan.burst),
         )
         # An earlier incarnation of this gateway may have spent its share of the ceiling, so it fills from this start.
         self.ceiling_balance = (
@@ -81,12 +81,12 @@
         # Units requested since `ticked_at`, forecasts of that in units a second, and the most units of one request.
         self.demand = self.forecast = self.long_forecast = self.largest_request = 0.0
         # The smoothed use by the meter, as a fraction of the plan's rate, and the time of the last reading.
-        self.metered_use, self.read_at, self.reading_count, self.has_new_reading = UNSEEN, now, 0, False
-        self.uses_counter = False  # if so, `Counting` fills its local share of the ceiling
+        self.metered_use, self.read_at, self.reading_count, self.has_new_reading = INITIAL_USE_RATIO, now, 0, False
+        self.uses_counter = False  # if so, `QuotaCounter` fills its local share of the ceiling
         self.counter_unresponsive_since: float | None = None  # None while the shared counter responds to its calls
-        self.ceiling_filled_until = now  # time up to which `Counting` filled it while the counter did not respond
+        self.ceiling_filled_until = now  # time up to which `QuotaCounter` filled it while the counter did not respond
         self.ceiling_full_until = now  # before then there is no room, according to the shared counter's total
-        self.ceiling_mark: Mark | None = None  # persisted level that the ceiling must stay above
+        self.ceiling_high_water_mark: HighWaterMark | None = None  # persisted level that the ceiling must stay above
         self.in_flight, self.mean_duration = 0, 0.0  # attempts, and their mean duration; 0 if none has ended yet
 
     def record_reading(self, now: float, used: float, meter: Meter, age: float = 0.0) -> None:
@@ -96,7 +96,7 @@
         the whole bucket's level takes them as they are, since it sums them up.
         """
         if self.plan.rate:  # without a rate, readings are of the attempts in flight
-            self.quota_estimate.reading(now, used, meter, age)
+            self.quota_estimate.record_reading(now, used, meter, age)
         smoothing_seconds = max(1e-9, METER_SMOOTHING_SECONDS - meter.period)
         self.reading_count += 1
         weight = max(1 - math.exp((self.read_at - now) / smoothing_seconds), 1 / (1 + self.reading_count))
--- a/micagate/adapter.py
+++ b/micagate/adapter.py
@@ -44,7 +44,7 @@
     return round(value * MICROSECONDS_PER_SECOND)
 
 
-def settings(facts: dict[str, Any]) -> interface.Settings:
+def parse_settings(facts: dict[str, Any]) -> interface.Settings:
     """Return the settings from the `Facts` of a LAUNCH. Ignores unknown keys; raises ValueError for invalid values."""
     check(facts)
     caps, rules, family = facts["Caps"], facts["Rules"], facts["FamilyInfo"]
@@ -257,7 +257,7 @@
             )
         elif command == "LAUNCH":
             instance, seed, facts = rest.split(" ", 2)
-            self._gateways[int(instance)] = Gateway(settings(json.loads(facts)), int(seed), now)
+            self._gateways[int(instance)] = Gateway(parse_settings(json.loads(facts)), int(seed), now)
         elif command == "DOWN":
             self._gateways.pop(int(values[0]), None)
         elif command == "UPDATE":
--- a/micagate/bodies/buffering.py
+++ b/micagate/bodies/buffering.py
@@ -21,51 +21,51 @@
 
 from collections.abc import Callable
 
-LONGEST = 48 * 1024 * 1024  # default limit of a body in bytes
-HELD = 24 * 1024 * 1024  # default limit, in bytes, of what all long bodies buffer beyond their windows
+MAX_BODY_BYTES = 48 * 1024 * 1024  # default limit of a body in bytes
+MAX_BUFFERED_BYTES = 24 * 1024 * 1024  # default limit, in bytes, of what all long bodies buffer beyond their windows
 WINDOW_BYTES = 128 * 1024  # bytes of a body that may wait to be forwarded when nothing more can be buffered
 MIN_GATHERED_BYTES = 1024 * 1024  # bytes gathered before an incomplete body is forwarded, while there is memory
 
 
-class Budget:
+class BufferBudget:
     """The bytes that all long bodies together may buffer beyond their windows.
 
     Callers that got none can register a callback for when some are released; each is called once.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes, self.used_bytes = limit_bytes, 0
         self._waiters: list[Callable[[], None]] = []
 
-    def take(self, size: int) -> bool:
+    def acquire(self, size: int) -> bool:
         """Acquire `size` bytes; return False, and acquire none, if they are not available."""
-        if self.held + size > self.most:
+        if self.used_bytes + size > self.limit_bytes:
             return False
-        self.held += size
+        self.used_bytes += size
         return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release `size` bytes and call the waiting callbacks."""
-        self.held -= size
+        self.used_bytes -= size
         if size and self._waiters:
             waiters, self._waiters = self._waiters, []
             for waiter in waiters:
                 waiter()
 
-    def wait(self, callback: Callable[[], None]) -> None:
+    def on_release(self, callback: Callable[[], None]) -> None:
         """Register a callback for the next release."""
         self._waiters.append(callback)
 
 
-def begins(size: int, whole: bool, scarce: bool) -> bool:
+def should_forward(size: int, complete: bool, scarce: bool) -> bool:
     """Return whether to start forwarding a body of which `size` bytes have arrived.
 
     Earlier when memory is scarce, since a streaming body holds only a window. Otherwise later is better: a slow sender
     then occupies neither a connection to a worker nor a concurrency slot of the customer.
     """
-    return whole or size >= MIN_GATHERED_BYTES or scarce
+    return complete or size >= MIN_GATHERED_BYTES or scarce
 
 
-def reads_on(waiting: int, scarce: bool) -> bool:
+def should_read(waiting: int, scarce: bool) -> bool:
     """Return whether to read more of a body of which `waiting` bytes wait to be forwarded."""
     return not scarce or waiting < WINDOW_BYTES
--- a/micagate/counting/budget.py
+++ b/micagate/counting/budget.py
@@ -31,11 +31,11 @@
 MIN_PROBE_INTERVAL_SECONDS = 0.4  # between probes of an unresponsive counter; random, up to twice that
 
 
-class Budget:
-    """One gateway's level, from near 0 to `most`; `timeout` is that of a call in seconds."""
+class CounterCallLimit:
+    """One gateway's level, from near 0 to `max_level`; `timeout` is that of a call in seconds."""
 
-    def __init__(self, now: float, most: float, timeout: float, random: Random) -> None:
-        self.most, self._timeout, self._random = most, timeout, random
+    def __init__(self, now: float, max_level: float, timeout: float, random: Random) -> None:
+        self.max_level, self._timeout, self._random = max_level, timeout, random
         self._mean_latency_ratio = 0.0  # mean latency relative to the timeout
         self._last_response_at, self._unanswered_count, self._next_probe_at = now, 0, now
         self._consecutive_slow_count, self._paused_until = 0, now
@@ -43,7 +43,7 @@
     @property
     def level(self) -> float:
         """Customers whose rank is below this are counted."""
-        return self.most * min(
+        return self.max_level * min(
             1.0,
             max(
                 MIN_LEVEL_RATIO,
@@ -51,7 +51,7 @@
             ),
         )
 
-    def heard(self, now: float, status: str, took: float) -> None:
+    def record_response(self, now: float, status: str, took: float) -> None:
         """Record a response and its latency in seconds, or that none arrived in time."""
         if status == interface.LATE_RESPONSE:
             self._last_response_at, self._unanswered_count = now, 0
@@ -78,7 +78,7 @@
         """Return whether the counter has answered nothing lately."""
         return self._unanswered_count >= UNRESPONSIVE_CALL_COUNT and now - self._last_response_at > UNRESPONSIVE_SECONDS
 
-    def may(self, now: float) -> bool:
+    def may_call(self, now: float) -> bool:
         """Return whether a call may be made now; to an unresponsive counter only a probe may."""
         if now < self._paused_until:
             return False
--- a/micagate/counting/counting.py
+++ b/micagate/counting/counting.py
@@ -9,7 +9,7 @@
 
 from micagate import interface
 from micagate.accounts import Account
-from micagate.counting.budget import Budget
+from micagate.counting.budget import CounterCallLimit
 from micagate.counting.stores import (
     CORRECTION_LAG_RATIO,
     COUNTER_TTL_SECONDS,
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class CounterCall:
     """A call to the counter that awaits its result; `kind` is one of the constants above."""
 
     kind: str
@@ -45,14 +45,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """Whether a request that waited for the counter is within its quota; `inside` is None if there is no answer."""
+class CounterVerdict:
+    """Whether a request that waited for the counter is within its quota; `within_quota` is None without an answer."""
 
-    call: Call
-    inside: bool | None
+    call: CounterCall
+    within_quota: bool | None
 
 
-class Counting:
+class QuotaCounter:
     """Decides which requests are counted, makes the calls and interprets their results."""
 
     def __init__(self, settings: interface.Settings, now: float, offset: float, random: Random) -> None:
@@ -61,14 +61,14 @@
         self._longest_deadline = max(c.deadline for c in settings.classes)
         order = self._rank_plans(settings.plans) if settings.counter_timeout else []
         self.ranks = {name: rank for rank, name in enumerate(order)}
-        self.budget = Budget(now, MAX_COUNTED_RATIO * len(order), settings.counter_timeout or 1.0, random)
+        self.budget = CounterCallLimit(now, MAX_COUNTED_RATIO * len(order), settings.counter_timeout or 1.0, random)
         # By counter name. Results for one name arrive in the order of the calls.
-        self._in_flight: dict[int, deque[Call]] = {}
-        self._timed_out: OrderedDict[int, deque[Call]] = OrderedDict()  # timed out calls, oldest name first
-        self._retry_queue: list[Call] = []
+        self._in_flight: dict[int, deque[CounterCall]] = {}
+        self._timed_out: OrderedDict[int, deque[CounterCall]] = OrderedDict()  # timed out calls, oldest name first
+        self._retry_queue: list[CounterCall] = []
         self.actions: list[interface.CounterAdd] = []  # calls to make, collected by the gateway
 
-    def clock(self, offset: float) -> None:
+    def set_clock_offset(self, offset: float) -> None:
         """Set the offset of the clock to Unix time to that of the predecessor, so that epochs stay the same."""
         self._offset = offset
 
@@ -94,15 +94,15 @@
         counted_plans.sort(key=lambda plan: -plan.price * plan.excess_cost)
         return [plan.name for plan in counted_plans]
 
-    def counts(self, now: float, account: Account, first: int = 0) -> bool:
+    def should_count(self, now: float, account: Account, first_gateway: int = 0) -> bool:
         """Return whether a request is counted; either all gateways count a customer's requests or none does.
 
         Under a ceiling the local balance is empty while the customer is counted. While it is not counted, or its calls
         get no answer, the balance refills at the difference between the ceiling's rate and the quota's: together with
         what other gateways count meanwhile this stays within the ceiling. All local balances together hold the
         ceiling's capacity minus two bursts of the quota, one of which allows for a counter that was reset. If that is
-        less than a request per gateway, the first gateways of the customer's set get whole requests. `first` is the
-        number of the first of them.
+        less than a request per gateway, the first gateways of the customer's set get whole requests.
+        `first_gateway` is the number of the first of them.
         """
         rank = self.ranks.get(account.plan.name)
         # Avoids starvation: if the counter has little capacity, most such customers depend on their local balances.
@@ -116,7 +116,7 @@
         )
         if rank is None or not account.uses_counter:
             return False
-        calls_counter = rank + rank_fraction(account.key) < self.budget.level and self.budget.may(now)
+        calls_counter = rank + rank_fraction(account.key) < self.budget.level and self.budget.may_call(now)
         if not calls_counter and account.counter_unresponsive_since is None:
             account.counter_unresponsive_since = now
         if account.plan.ceiling_rate:
@@ -127,7 +127,10 @@
                 account.ceiling_balance = 0.0
             if account.counter_unresponsive_since is not None:
                 holders = min(account.gateway_count, int(spare_capacity / max(1.0, account.largest_request)))
-                if self._gateway_number is not None and (self._gateway_number - first) % self._gateway_count < holders:
+                if (
+                    self._gateway_number is not None
+                    and (self._gateway_number - first_gateway) % self._gateway_count < holders
+                ):
                     rate, since = (
                         account.plan.ceiling_rate - account.plan.rate,
                         max(account.ceiling_filled_until, account.counter_unresponsive_since),
@@ -138,11 +141,11 @@
             account.ceiling_filled_until = now
         return calls_counter
 
-    def ask(self, now: float, account: Account, units: float, request: str = "") -> None:
+    def count(self, now: float, account: Account, units: float, request: str = "") -> None:
         """Count a request; `request` is the name of one that waits for the result."""
         amount = units / account.plan.rate + (SLOT_AMOUNT if account.plan.concurrency_limit else 0.0)
         self._call(
-            Call(
+            CounterCall(
                 ADMISSION_CALL if request else RECORD_CALL,
                 account,
                 epoch_at(now, self._offset, account.key),
@@ -151,14 +154,14 @@
             )
         )
 
-    def leave(self, call: Call) -> None:
+    def release_slot(self, call: CounterCall) -> None:
         """Release the concurrency slot of a counted request that has ended."""
         if call.account.plan.concurrency_limit:
-            self._call(Call(REFUND_CALL, call.account, call.epoch, -SLOT_AMOUNT))
+            self._call(CounterCall(REFUND_CALL, call.account, call.epoch, -SLOT_AMOUNT))
 
-    def give_back(self, call: Call) -> None:
+    def refund(self, call: CounterCall) -> None:
         """Refund a counted request that is not sent."""
-        self._call(Call(REFUND_CALL, call.account, call.epoch, -call.amount))
+        self._call(CounterCall(REFUND_CALL, call.account, call.epoch, -call.amount))
 
     def retry_rejected(self) -> None:
         """Repeat up to two calls that were rejected and without which units or slots would stay taken."""
@@ -166,11 +169,11 @@
             self._call(call)
         del self._retry_queue[:2]
 
-    def _call(self, call: Call) -> None:
+    def _call(self, call: CounterCall) -> None:
         self._in_flight.setdefault(call.epoch.name, deque()).append(call)
         self.actions.append(interface.CounterAdd(call.epoch.name, call.amount, COUNTER_TTL_SECONDS))
 
-    def answered(self, now: float, event: interface.CounterResult) -> Verdict | None:
+    def record_result(self, now: float, event: interface.CounterResult) -> CounterVerdict | None:
         """Process a result; return the verdict on the request that waited for it, if any."""
         table = self._timed_out if event.status == interface.LATE_RESPONSE else self._in_flight
         calls = table.get(event.name)
@@ -180,13 +183,13 @@
         if not calls:
             del table[event.name]
         account = call.account
-        self.budget.heard(now, event.status, event.took)
+        self.budget.record_response(now, event.status, event.took)
         if event.status == interface.SUCCESS:
             account.counter_unresponsive_since = None
         elif account.counter_unresponsive_since is None:
             account.counter_unresponsive_since = now
         if event.status == interface.LATE_RESPONSE and call.kind == ADMISSION_CALL and not call.sent:
-            self.give_back(call)  # the request was refused: frees its slot and units
+            self.refund(call)  # the request was refused: frees its slot and units
         elif event.status == interface.TIMED_OUT:
             self._timed_out.setdefault(event.name, deque()).append(call)
             if len(self._timed_out) > MAX_TIMED_OUT_COUNTERS:  # bounds the table if late results are never reported
@@ -195,7 +198,9 @@
                 # This may have been the first call of the epoch, and then nobody would carry over the number of the
                 # previous one. Trade-off: it may be carried over twice.
                 self._call(
-                    Call(PREVIOUS_EPOCH_CALL, account, previous_epoch(call.epoch, self._offset, account.key), 0.0)
+                    CounterCall(
+                        PREVIOUS_EPOCH_CALL, account, previous_epoch(call.epoch, self._offset, account.key), 0.0
+                    )
                 )
         elif (
             event.status in (interface.OVERLOADED, interface.UNREACHABLE)
@@ -205,7 +210,9 @@
             self._retry_queue.append(call)
         if event.status != interface.SUCCESS:
             return (
-                Verdict(call, None) if call.kind == ADMISSION_CALL and event.status != interface.LATE_RESPONSE else None
+                CounterVerdict(call, None)
+                if call.kind == ADMISSION_CALL and event.status != interface.LATE_RESPONSE
+                else None
             )
         self.retry_rejected()
         elapsed, burst_seconds = now - call.epoch.started_at, account.plan.burst / account.plan.rate
@@ -214,11 +221,11 @@
         total_slots, total_seconds = split_total(event.total)
         if call.kind == PREVIOUS_EPOCH_CALL:
             if (ahead := total_seconds - EPOCH_SECONDS) > ROUNDING_ERROR_SECONDS:
-                self._call(Call(REFUND_CALL, account, epoch_at(now, self._offset, account.key), ahead))
+                self._call(CounterCall(REFUND_CALL, account, epoch_at(now, self._offset, account.key), ahead))
             return None
         if call.kind == CORRECTION_CALL:
             if duplicate := duplicate_correction(event.total, call.amount, elapsed, burst_seconds):
-                self._call(Call(REFUND_CALL, account, call.epoch, -duplicate))
+                self._call(CounterCall(REFUND_CALL, account, call.epoch, -duplicate))
             return None
         call_slots, call_seconds = split_total(call.amount)
         previous_seconds, other_slots = total_seconds - call_seconds, total_slots - call_slots
@@ -226,7 +233,9 @@
         if previous_seconds <= ROUNDING_ERROR_SECONDS and not other_slots and elapsed < burst_seconds:
             # The first call of an epoch carries over the previous number; otherwise a new epoch would look like a full
             # bucket.
-            self._call(Call(PREVIOUS_EPOCH_CALL, account, previous_epoch(call.epoch, self._offset, account.key), 0.0))
+            self._call(
+                CounterCall(PREVIOUS_EPOCH_CALL, account, previous_epoch(call.epoch, self._offset, account.key), 0.0)
+            )
         # Corrects slots that crashed gateways left occupied, seen by nothing having been sent for long, and slots that
         # were released on a counter which had lost their acquisition.
         leaked_slots = (
@@ -236,7 +245,7 @@
         )
         if leaked_slots or lag_seconds > burst_seconds * CORRECTION_LAG_RATIO:
             self._call(
-                Call(
+                CounterCall(
                     CORRECTION_CALL,
                     account,
                     call.epoch,
@@ -252,5 +261,5 @@
             not call_slots or other_slots - leaked_slots < int(account.plan.concurrency_limit)
         )
         if not inside:
-            self.give_back(call)
-        return Verdict(call, inside)
+            self.refund(call)
+        return CounterVerdict(call, inside)
--- a/micagate/deficit_sketch.py
+++ b/micagate/deficit_sketch.py
@@ -45,7 +45,7 @@
         return max(0.0, min(self._rows[0][first], self._rows[1][second]) - now)
 
     def copy(self) -> Iterator[dict[str, object]]:
-        """Yield the salt and the contents in chunks; changes made meanwhile are returned by `rest`."""
+        """Yield the salt and the contents in chunks; changes made meanwhile are returned by `take_changes`."""
         self._changed_slots = []
         for number, row in enumerate(self._rows):
             for first in range(0, SLOTS_PER_ROW, SLOTS_PER_CHUNK):
@@ -58,7 +58,7 @@
                     ]
                 )
 
-    def rest(self) -> dict[str, object]:
+    def take_changes(self) -> dict[str, object]:
         """Return the changes since the copy began, and end it."""
         changed_slots, self._changed_slots = self._changed_slots or [], None
         return self._chunk(changed_slots)
--- a/micagate/demand_reports.py
+++ b/micagate/demand_reports.py
@@ -25,7 +25,11 @@
         if worker.usable
     }
     return resource_demands(
-        workers, fleet.workload, fleet.rate(now) * elapsed, 1.0 / fleet.shortest_usual_latency, gateway_count
+        workers,
+        fleet.workload,
+        fleet.warm_worker_rate(now) * elapsed,
+        1.0 / fleet.shortest_usual_latency,
+        gateway_count,
     )
 
 
--- a/micagate/estimates/metering.py
+++ b/micagate/estimates/metering.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterator, Sequence
 from statistics import NormalDist
 
-BINS = 32  # intervals into which a period is divided to locate its phase
+PHASE_BIN_COUNT = 32  # intervals into which a period is divided to locate its phase
 LATENESS_CANDIDATE_COUNT = 32  # candidate publication delays that are compared
 # Distance between two candidates as a fraction of the period, and the longest candidate in seconds.
 LATENESS_STEP_RATIO, MAX_LATENESS_SECONDS = 1 / 8, 3.2
@@ -31,7 +31,7 @@
 # Time constant with which the usual rate returns to its initial value while a thin share gets no readings.
 THIN_SHARE_DECAY_SECONDS = 6.0
 # Use that is assumed before any reading, as a fraction of the quota, and for how many seconds of use it counts.
-UNSEEN, INITIAL_USE_SECONDS = 0.5, 2.0
+INITIAL_USE_RATIO, INITIAL_USE_SECONDS = 0.5, 2.0
 SHARE_DECAY_SECONDS = 8.0  # time constant over which a gateway's share of the metered use is averaged
 # Weight of the past rate, in mean attempt durations, in the estimate of attempts in flight.
 IN_FLIGHT_PRIOR_WEIGHT = 0.4
@@ -41,8 +41,8 @@
 # Gateways up to which that holds in full; with more, each having a thin share, they know too little to hold back.
 LOW_LEVEL_GATEWAY_COUNT = 4.0
 # A share of less than so many requests is thin: it holds too little to decide by. It never is among few gateways.
-SLIVER, MAX_GATEWAYS_FOR_FULL_SHARE = 2.0, 3
-STALE = 8.0  # age in seconds at which a reading no longer says anything about the current level
+THIN_SHARE_REQUESTS, MAX_GATEWAYS_FOR_FULL_SHARE = 2.0, 3
+MAX_READING_AGE_SECONDS = 8.0  # age in seconds at which a reading no longer says anything about the current level
 ASSUMED_LATENESS_SECONDS = 0.8  # used for a thin share while the lateness is unknown
 MEAN_UNITS_LEARNING_RATE = 0.1  # weight of a new request in the moving averages per request
 OTHERS_RELATIVE_DEVIATION = 0.5  # standard deviation of the others' expected use relative to it, beside Poisson noise
@@ -59,12 +59,13 @@
 
     def __init__(self, period: float) -> None:
         self.period = period
-        self._phase_misfits = [0.0] * BINS  # by interval of the period: changes that were not published in it
+        # By interval of the period: changes that were not published in it.
+        self._phase_misfits = [0.0] * PHASE_BIN_COUNT
         self._phase: float | None = None
         self._lateness_step = min(period * LATENESS_STEP_RATIO, MAX_LATENESS_SECONDS / LATENESS_CANDIDATE_COUNT)
         self._lateness_misfits = [0.0] * LATENESS_CANDIDATE_COUNT
         self._weighed_count = self._skipped_count = 0
-        self.late: float | None = None  # seconds from the end of a period to its publication; None: unknown
+        self.lateness: float | None = None  # seconds from the end of a period to its publication; None: unknown
 
     def record_change(self, previous_read_at: float, read_at: float) -> None:
         """Narrow down the phase: a reading changed between two reads, so it was published between them.
@@ -72,29 +73,30 @@
         Reads about a period or more apart carry no information. Old evidence decays, so that a meter that restarts
         with another phase is followed after about a hundred readings.
         """
-        width, size = read_at - previous_read_at, self.period / BINS
+        width, size = read_at - previous_read_at, self.period / PHASE_BIN_COUNT
         if not 0 < width < self.period - 2 * size:
             return
         first = int(previous_read_at / size)
         count = int(read_at / size) - first + 1
         self._phase_misfits = [
-            0.99 * misfit + ((interval - first) % BINS >= count) for interval, misfit in enumerate(self._phase_misfits)
+            0.99 * misfit + ((interval - first) % PHASE_BIN_COUNT >= count)
+            for interval, misfit in enumerate(self._phase_misfits)
         ]
-        cluster = _best_cluster(self._phase_misfits, BINS // 6)
+        cluster = _best_cluster(self._phase_misfits, PHASE_BIN_COUNT // 6)
         self._phase = None if cluster is None else (cluster[-1] + 1) * size
 
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Return whether phase and lateness are both known."""
-        return self.late is not None and self._phase is not None
+        return self.lateness is not None and self._phase is not None
 
-    def out(self, now: float) -> float | None:
+    def published_at(self, now: float) -> float | None:
         """Return when the reading visible at `now` was published; None while the phase is unknown."""
         return None if self._phase is None else now - (now - self._phase) % self.period
 
-    def end(self, now: float) -> float | None:
+    def period_end(self, now: float) -> float | None:
         """Return the end of the period that a reading taken at `now` covers; None while that is unknown."""
-        published_at = self.out(now)
-        return None if published_at is None or self.late is None else published_at - self.late
+        published_at = self.published_at(now)
+        return None if published_at is None or self.lateness is None else published_at - self.lateness
 
     def weigh_lateness(
         self, now: float, used: float, rate: float, sent_times: Sequence[float], cumulative_units: Sequence[float]
@@ -105,9 +107,9 @@
         `cumulative_units` holds, at the same indexes, the units sent up to and including each. They have to cover the
         last two periods plus `MAX_LATENESS_SECONDS`.
         """
-        if not sent_times or (published_at := self.out(now)) is None:
+        if not sent_times or (published_at := self.published_at(now)) is None:
             return
-        if self.late is not None:
+        if self.lateness is not None:
             self._skipped_count += 1
             if self._skipped_count % WEIGH_EVERY_NTH_READING:
                 return
@@ -130,7 +132,7 @@
             else None
         )
         if cluster is not None:
-            self.late = self._lateness_step * sum(cluster) / len(cluster)
+            self.lateness = self._lateness_step * sum(cluster) / len(cluster)
 
 
 def _units_between(times: Sequence[float], sums: Sequence[float], begin: float, end: float) -> float:
@@ -174,8 +176,8 @@
         "burst",
         "gateway_count",
         "level",
-        "at",
-        "told",
+        "updated_at",
+        "metered_until",
         "mean_units",
         "_metered_level",
         "_sent_times",
@@ -185,8 +187,8 @@
         "_recent_seconds",
         "_usual_units",
         "_usual_seconds",
-        "_mine",
-        "_all",
+        "_own_metered_units",
+        "_metered_units",
         "_last_reading",
         "_last_weighed_at",
         "_slot_granted_ratio",
@@ -195,19 +197,20 @@
 
     def __init__(self, rate: float, burst: float, gateway_count: int, now: float, level: float) -> None:
         self.rate, self.burst, self.gateway_count = rate, burst, gateway_count
-        self.level, self.at = level, now  # the estimated level, and the time it applies to
-        self.told: float | None = None  # end of the last metered period that is included; None: none yet
+        self.level, self.updated_at = level, now  # the estimated level, and the time it applies to
+        self.metered_until: float | None = None  # end of the last metered period that is included; None: none yet
         self.mean_units = 1.0  # average units of a request sent by this gateway
-        self._metered_level = level  # the level at `told`
+        self._metered_level = level  # the level at `metered_until`
         self._sent_times: list[float] = []  # own sends of the last periods, merged within a bin
         self._cumulative_units: list[float] = []  # units sent up to and including each
         self._own_recent_units = 0.0  # own units, decaying with `OWN_RATE_DECAY_SECONDS`
         # Units sent by all gateways in metered periods and the length of those periods, in seconds. They decay with
         # `RATE_DECAY_SECONDS` and `USUAL_RATE_DECAY_SECONDS`.
         self._recent_units = self._recent_seconds = 0.0
-        self._usual_units, self._usual_seconds = UNSEEN * rate * INITIAL_USE_SECONDS, INITIAL_USE_SECONDS
+        self._usual_units, self._usual_seconds = INITIAL_USE_RATIO * rate * INITIAL_USE_SECONDS, INITIAL_USE_SECONDS
         self._next_reading_due_at = now  # when the next reading is expected, if this gateway sends anything
-        self._mine = self._all = 0.0  # own units and those of all gateways in metered periods, decaying
+        # Own units and those of all gateways in metered periods, decaying.
+        self._own_metered_units = self._metered_units = 0.0
         self._last_reading: tuple[float, float] | None = None  # value and time of the last reading
         self._slot_granted_ratio = 1.0  # estimated fraction of the own units sent within the concurrency limit
         self._last_weighed_at = 0.0  # publication time of the last reading passed to the meter
@@ -215,7 +218,7 @@
     def share(self) -> float:
         """Return this gateway's share of what all gateways send; an equal share until periods were metered."""
         prior = self.rate or 1.0
-        return (self._mine + prior / self.gateway_count) / (self._all + prior)
+        return (self._own_metered_units + prior / self.gateway_count) / (self._metered_units + prior)
 
     def total_rate(self, own_recent_units: float) -> float:
         """Return the units per second that all gateways are expected to send, given the recent own units."""
@@ -232,11 +235,11 @@
 
     def advance(self, now: float) -> None:
         """Advance the estimate to `now`: the bucket refills, and the other gateways take from it."""
-        if (elapsed := now - self.at) <= 0:
+        if (elapsed := now - self.updated_at) <= 0:
             return
         own_decay, recent_decay = (
             math.exp(-elapsed / OWN_RATE_DECAY_SECONDS),
-            math.exp(min(0.0, max(self.at, self._next_reading_due_at) - now) / RATE_DECAY_SECONDS),
+            math.exp(min(0.0, max(self.updated_at, self._next_reading_due_at) - now) / RATE_DECAY_SECONDS),
         )
         self._recent_units, self._recent_seconds = (
             self._recent_units * recent_decay,
@@ -245,12 +248,13 @@
         if self.has_thin_share():  # a refused customer yields no readings, so old ones would apply forever
             usual_decay = math.exp(-elapsed / THIN_SHARE_DECAY_SECONDS)
             self._usual_units = (
-                UNSEEN * self.rate * INITIAL_USE_SECONDS * (1 - usual_decay) + self._usual_units * usual_decay
+                INITIAL_USE_RATIO * self.rate * INITIAL_USE_SECONDS * (1 - usual_decay)
+                + self._usual_units * usual_decay
             )
             self._usual_seconds = INITIAL_USE_SECONDS * (1 - usual_decay) + self._usual_seconds * usual_decay
         others_rate = self.others_rate(self._own_recent_units * (1 - own_decay) * OWN_RATE_DECAY_SECONDS / elapsed)
         self._own_recent_units *= own_decay
-        self.level, self.at = self._level_after(self.level, elapsed, others_rate), now
+        self.level, self.updated_at = self._level_after(self.level, elapsed, others_rate), now
 
     def record_sent(self, now: float, units: float, resolution: float, slot_probability: float = 1.0) -> None:
         """Record a request that this gateway sends; sends closer than `resolution` seconds are merged.
@@ -270,7 +274,7 @@
             self._sent_times.append(now)
             self._cumulative_units.append(cumulative)
             # Readings drop old sends; without readings they are dropped here.
-            if now - self._sent_times[0] > 2 * (retention := 3 * BINS * resolution + MAX_LATENESS_SECONDS):
+            if now - self._sent_times[0] > 2 * (retention := 3 * PHASE_BIN_COUNT * resolution + MAX_LATENESS_SECONDS):
                 self._drop_sent_until(now - retention)
 
     def record_unsent(self, now: float, units: float) -> None:
@@ -283,18 +287,18 @@
 
     def is_current(self, now: float) -> bool:
         """Return whether the last metered period is recent enough to say anything about the current level."""
-        return self.told is not None and now - self.told < STALE
+        return self.metered_until is not None and now - self.metered_until < MAX_READING_AGE_SECONDS
 
-    def spare(self, now: float, confidence: float) -> float:
+    def guaranteed_level(self, now: float, confidence: float) -> float:
         """Return the units that the bucket holds at least, with a probability of `confidence`."""
-        age = now - (self.at if self.told is None else self.told)
+        age = now - (self.updated_at if self.metered_until is None else self.metered_until)
         expected_units = self.others_rate() * max(0.0, age)
         deviation = math.sqrt(expected_units * self.mean_units + (OTHERS_RELATIVE_DEVIATION * expected_units) ** 2)
         return self.level - CONFIDENCE_DEVIATIONS[int(confidence * 20)] * min(
             deviation, MAX_DEVIATION_RATIO * self.burst
         )
 
-    def reading(self, now: float, used: float, meter: Meter, age: float = 0.0) -> None:
+    def record_reading(self, now: float, used: float, meter: Meter, age: float = 0.0) -> None:
         """Record a reading of the meter, as a fraction of the rate, and include the period it covers once.
 
         `age` is how long ago the worker wrote it, in seconds: a response may take seconds to arrive. A reading older
@@ -310,27 +314,38 @@
         if self._last_reading is not None and self._last_reading[0] != used:
             meter.record_change(self._last_reading[1], read_at)
         self._last_reading = used, read_at
-        if (published_at := meter.out(read_at)) is not None and published_at > self._last_weighed_at + meter.period / 2:
+        if (
+            published_at := meter.published_at(read_at)
+        ) is not None and published_at > self._last_weighed_at + meter.period / 2:
             self._last_weighed_at = published_at
             meter.weigh_lateness(now, used, self.rate, self._sent_times, self._cumulative_units)
-        end, period = meter.end(read_at), meter.period
+        end, period = meter.period_end(read_at), meter.period
         if end is None and period and self.has_thin_share():
             published_at = read_at - period / 2 if published_at is None else published_at
             end = published_at - ASSUMED_LATENESS_SECONDS
-        if published_at is None or end is None or self.told is not None and end <= self.told + period / 2:
+        if (
+            published_at is None
+            or end is None
+            or self.metered_until is not None
+            and end <= self.metered_until + period / 2
+        ):
             return
         begin, level = end - period, self._metered_level
         own_units = _units_between(self._sent_times, self._cumulative_units, begin, end)
         total_units = max(own_units, used * self.rate * period)
-        elapsed = period if self.told is None else end - self.told
-        if self.told is not None and begin > self.told + period / 2:  # periods were missed while nothing was sent
-            level = self._replay_level(level, self.told, begin, self.others_rate(0.0))
+        elapsed = period if self.metered_until is None else end - self.metered_until
+        # Periods were missed while nothing was sent.
+        if self.metered_until is not None and begin > self.metered_until + period / 2:
+            level = self._replay_level(level, self.metered_until, begin, self.others_rate(0.0))
         self._metered_level = self._replay_level(level, begin, end, (total_units - own_units) / period)
         share_decay, usual_decay = (
             math.exp(-period / SHARE_DECAY_SECONDS),
             math.exp(-elapsed / USUAL_RATE_DECAY_SECONDS),
         )
-        self._mine, self._all = self._mine * share_decay + own_units, self._all * share_decay + total_units
+        self._own_metered_units, self._metered_units = (
+            self._own_metered_units * share_decay + own_units,
+            self._metered_units * share_decay + total_units,
+        )
         self._usual_units, self._usual_seconds = (
             self._usual_units * usual_decay + total_units,
             self._usual_seconds * usual_decay + period,
@@ -339,13 +354,13 @@
             self._recent_units * (recent_decay := math.exp(-period / RATE_DECAY_SECONDS)) + total_units,
             self._recent_seconds * recent_decay + period,
         )
-        self.told, self._next_reading_due_at = end, published_at + period
+        self.metered_until, self._next_reading_due_at = end, published_at + period
         self._drop_sent_until(now - 2 * period - MAX_LATENESS_SECONDS)
         # Recompute from the end of that period to now.
         self._own_recent_units = sum(
             units * math.exp((sent_at - now) / OWN_RATE_DECAY_SECONDS) for sent_at, units in self._sent_between(end)
         )
-        self.level, self.at = self._replay_level(self._metered_level, end, now, self.others_rate()), now
+        self.level, self.updated_at = self._replay_level(self._metered_level, end, now, self.others_rate()), now
 
     def _level_after(self, level: float, elapsed: float, others_rate: float) -> float:
         """Return the level after `elapsed` seconds in which the others would send `others_rate` units per second.
@@ -374,10 +389,10 @@
         """Return whether so many gateways share the customer that the share of each holds hardly a request."""
         return (
             self.gateway_count > MAX_GATEWAYS_FOR_FULL_SHARE
-            and self.burst < SLIVER * self.mean_units * self.gateway_count
+            and self.burst < THIN_SHARE_REQUESTS * self.mean_units * self.gateway_count
         )
 
-    def places(self, in_flight: int, mean_duration: float, limit: int) -> float:
+    def slot_probability(self, in_flight: int, mean_duration: float, limit: int) -> float:
         """Return the probability that fewer than `limit` attempts are in flight over all gateways.
 
         `in_flight` are this gateway's, `mean_duration` is the average time of an attempt in seconds. By Little's law
--- a/micagate/estimates/recent.py
+++ b/micagate/estimates/recent.py
@@ -11,49 +11,53 @@
 REFUSE_NONE_RATIO, REFUSE_ALL_RATIO = FAST_RESPONSE_RATIO, 0.4
 # Divides the ratio where a gateway rarely sends to each worker, so that one or two slow ones would weigh too much.
 SPARSE_TRAFFIC_DIVISOR = 2.0
-OLD_SHARE = 0.15  # usual latency of a response, and mean age of certainly late attempts, relative to the aim
+USUAL_LATENCY_RATIO = 0.15  # usual latency of a response, and mean age of certainly late attempts, relative to the aim
 BURST_AGE_RATIO = 0.05  # mean age, relative to the aim, below which the attempts in flight are a burst, not a queue
 PRIOR_RESPONSE_COUNT = 1.0  # usual responses that are mixed in, so that few real ones say little
 SPARSE_TRAFFIC_SIGMAS = 2.0  # standard deviations of in-flight attempts that count as chance with sparse traffic
 
 
-class Recent:
+class RecentLatencies:
     """Decayed sums, in seconds, of latencies, of their aims, and of the aims of missed attempts.
 
     An aim is the latency objective of the attempt's class.
     """
 
     def __init__(self, now: float) -> None:
-        self._updated_at, self._latency_sum, self._aim_sum, self._missed = now, 0.0, 0.0, 0.0
+        self._updated_at, self._latency_sum, self._aim_sum, self._missed_aim_sum = now, 0.0, 0.0, 0.0
 
     def _add(self, now: float, latency: float, aim: float, missed: float) -> None:
         latency_sum, aim_sum, missed_sum = self.decayed_sums(now)
         self._updated_at = now
-        self._latency_sum, self._aim_sum, self._missed = latency_sum + latency, aim_sum + aim, missed_sum + missed
+        self._latency_sum, self._aim_sum, self._missed_aim_sum = (
+            latency_sum + latency,
+            aim_sum + aim,
+            missed_sum + missed,
+        )
 
-    def answered(self, now: float, latency: float, aim: float) -> None:
+    def record_response(self, now: float, latency: float, aim: float) -> None:
         """Record a response with its latency and aim in seconds."""
         self._add(now, latency, aim, 0.0)
 
-    def missed(self, now: float, aim: float) -> None:
+    def record_missed(self, now: float, aim: float) -> None:
         """Record an attempt that had no response within its aim."""
         self._add(now, 0.0, 0.0, aim)
 
     def decayed_sums(self, now: float) -> tuple[float, float, float]:
         """Return the sums of latencies, of their aims, and of the aims of missed attempts, decayed to `now`."""
         decay = math.exp((self._updated_at - now) / RESPONSE_DECAY_SECONDS)
-        return self._latency_sum * decay, self._aim_sum * decay, self._missed * decay
+        return self._latency_sum * decay, self._aim_sum * decay, self._missed_aim_sum * decay
 
-    def lossy(self) -> bool:
+    def indicates_losses(self) -> bool:
         """Return whether missing responses indicate losses rather than load.
 
         That is so while the responses that arrive are fast and at least as many as the missing ones. This keeps packet
         loss and hung or dying workers from starting overload control. Trade-off: while only part of the fleet is
         overloaded, missing responses start overload control only once responses are slow.
         """
-        return self._latency_sum < FAST_RESPONSE_RATIO * self._aim_sum and self._missed <= self._aim_sum
+        return self._latency_sum < FAST_RESPONSE_RATIO * self._aim_sum and self._missed_aim_sum <= self._aim_sum
 
-    def pressed(
+    def refusal_share(
         self,
         now: float,
         in_flight: Sequence[tuple[float, float]],
@@ -73,9 +77,9 @@
         """
         (latency_sum, aim_sum, missed_sum), prior_aim = self.decayed_sums(now), PRIOR_RESPONSE_COUNT * aim
         age_sum = sum(now - sent for sent, _ in in_flight)
-        missed_load = 0.0 if self.lossy() else missed_sum
+        missed_load = 0.0 if self.indicates_losses() else missed_sum
         in_flight_aim_sum = sum(aim for _, aim in in_flight)
-        latency_ratio = (OLD_SHARE * prior_aim + latency_sum + missed_load + age_sum) / (
+        latency_ratio = (USUAL_LATENCY_RATIO * prior_aim + latency_sum + missed_load + age_sum) / (
             prior_aim + aim_sum + missed_load + (in_flight_aim_sum if few_responses else 0.0)
         )
         usual_in_flight = max(1.0, latency_sum / RESPONSE_DECAY_SECONDS)
--- a/micagate/estimates/start_times.py
+++ b/micagate/estimates/start_times.py
@@ -22,7 +22,7 @@
     _known: dict[str, tuple[float, float | None]] = field(default_factory=dict)  # Unix and monotonic time by endpoint
     _has_previous_list: bool = False  # an earlier list had any endpoints
 
-    def started(self, now: float, endpoint: str, wall: float) -> float | None:
+    def start_time(self, now: float, endpoint: str, wall: float) -> float | None:
         """Return when a listed endpoint started; None for long ago (`wall` is 0)."""
         known = self._known.get(endpoint)
         if known is not None and known[0] == wall:
@@ -36,7 +36,7 @@
         self._known[endpoint] = wall, started
         return started
 
-    def listed(self, snapshot: bool, endpoints: set[str]) -> None:
+    def record_list(self, snapshot: bool, endpoints: set[str]) -> None:
         """Record the end of a list with these endpoints; a snapshot drops all others."""
         self._has_previous_list = self._has_previous_list or bool(endpoints)
         if snapshot:
--- a/micagate/estimates/tails.py
+++ b/micagate/estimates/tails.py
@@ -8,7 +8,7 @@
 PRIOR_SLOW_RESPONSE_COUNT = 2.0  # slow responses that are assumed, so that one or two losses by chance say little
 
 
-class Tails:
+class LateAttempts:
     """Counts what became of attempts that were in flight for several times the usual latency.
 
     A slow response still arrives, and a further attempt would do the work twice; a lost one never arrives. The two look
@@ -28,18 +28,18 @@
             self._lost_count * factor,
         )
 
-    def came(self, now: float, late: bool) -> None:
-        """Record the response of a slow attempt; `late` says that it had been counted as missed before."""
+    def record_response(self, now: float, was_missed: bool) -> None:
+        """Record the response of a slow attempt; `was_missed`: it had been counted as missed before."""
         self._decay(now)
         self._slow_response_count += 1
-        if late:
+        if was_missed:
             self._lost_count = max(0.0, self._lost_count - 1)
 
-    def missed(self, now: float) -> None:
+    def record_missed(self, now: float) -> None:
         """Record an attempt that passed its aim while later ones to the same worker were answered."""
         self._decay(now)
         self._lost_count += 1
 
-    def lost(self) -> bool:
+    def is_likely_lost(self) -> bool:
         """Return whether an attempt without a response for so long is more likely lost than slow."""
         return self._lost_count > PRIOR_SLOW_RESPONSE_COUNT + self._slow_response_count
--- a/micagate/estimates/waits.py
+++ b/micagate/estimates/waits.py
@@ -12,17 +12,17 @@
 MAX_WAITS_PER_CLASS, SIMILARITY_RATIO = 32, 0.02
 
 
-class Waits:
+class FirstRequestWaits:
     """Keeps how long clients recently waited for the response to a first request, by class."""
 
     def __init__(self, classes: Iterable[interface.RequestClass]) -> None:
         self._waits = {c.name: deque[float](maxlen=MAX_WAITS_PER_CLASS) for c in classes}
 
-    def first(self, klass: interface.RequestClass, time_left: float) -> None:
+    def record_first(self, klass: interface.RequestClass, time_left: float) -> None:
         """Record a first request, whose client waits `time_left` seconds."""
         self._waits[klass.name].append(time_left)
 
-    def too_late(self, klass: interface.RequestClass, time_left: float) -> bool:
+    def is_too_late(self, klass: interface.RequestClass, time_left: float) -> bool:
         """Return whether a client retry arrives after its aim has passed, so that it would spend units for nothing.
 
         A client waits as long for each retry as for its first request, unless the deadline leaves less. So a wait that
@@ -35,7 +35,7 @@
             return False
         return all(abs(wait - time_left) > SIMILARITY_RATIO * klass.deadline for wait in self._waits[klass.name])
 
-    def kept(self) -> dict[str, list[float]]:
+    def state(self) -> dict[str, list[float]]:
         """Return the waits by class, for `restore`."""
         return {name: list(waits) for name, waits in self._waits.items()}
 
--- a/micagate/fleet.py
+++ b/micagate/fleet.py
@@ -15,8 +15,8 @@
 from random import Random
 
 from micagate import interface
-from micagate.estimates.recent import OLD_SHARE, Recent
-from micagate.estimates.tails import Tails
+from micagate.estimates.recent import USUAL_LATENCY_RATIO, RecentLatencies
+from micagate.estimates.tails import LateAttempts
 from micagate.resource_keys import worker_key
 from micagate.shares import Shares
 from micagate.worker import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, Worker
@@ -29,10 +29,10 @@
 # In a fleet of more workers than SAMPLE_SIZE, a choice compares a sample of that size. If none of it can take the
 # request, up to MAX_SAMPLES samples are drawn in all.
 SAMPLE_SIZE, MAX_SAMPLES = 16, 3
-STALL = 4.0  # multiple of the usual latency after which an unanswered attempt counts as stalled
+STALL_FACTOR = 4.0  # multiple of the usual latency after which an unanswered attempt counts as stalled
 THROUGHPUT_WINDOW_SECONDS = 2.0  # time constant of the exponential average of the fleet's throughput
 # Share of the latency objective: a request whose expected latency is above it is rejected as likely to be late, if
-# the mean age of the attempts in flight is above `OLD_SHARE` of the objective too.
+# the mean age of the attempts in flight is above `USUAL_LATENCY_RATIO` of the objective too.
 MAX_EXPECTED_LATENCY_SHARE = 0.5
 MIN_SAMPLES = 10.0  # attempts in flight or recently answered that Little's law needs for a usable estimate
 # The same for a gateway that uses only a subset of the workers: there, several can be in flight by chance.
@@ -55,13 +55,14 @@
         self.workers: dict[str, Worker] = {}
         self.gateway_count = settings.gateways  # gateways that share the limit of a worker in slow start
         self.restored_at: dict[str, float] = {}  # by worker: when an operator put it back in service; until it responds
-        self._usual: dict[str, float] = {}  # by class: moving average of the latency, in seconds
-        self._done, self._done_at = 0.0, now  # decaying count of successful responses, and the time it is valid for
+        self._usual_latencies: dict[str, float] = {}  # by class: moving average of the latency, in seconds
+        # Decaying count of successful responses, and the time it is valid for.
+        self._decayed_response_count, self._decayed_at = (0.0, now)
         # Attempts without a response that are within their latency objective: send time, objective and worker.
-        self._waiting: dict[tuple[str, int], tuple[float, float, Worker]] = {}
-        self.usable_count, self.tails, self.recent = 0, Tails(now), Recent(now)
+        self._awaiting_response: dict[tuple[str, int], tuple[float, float, Worker]] = {}
+        self.usable_count, self.tails, self.recent = 0, LateAttempts(now), RecentLatencies(now)
         self.shortest_usual_latency = math.inf  # lowest value so far of the usual latency of the slowest class
-        self._answers = 0  # successful responses since the start
+        self._response_count = 0  # successful responses since the start
         self.reported_at = now  # time of the last demand report
         self.workload: Workload | None = None  # counted from the first demand query on
         self.subset = WorkerSubset(settings.number, settings.gateways)
@@ -77,7 +78,7 @@
         if update.whole:
             listed_names = {entry.worker for entry in update.entries}
             for worker in [worker for name, worker in self.workers.items() if name not in listed_names]:
-                self._leave(worker)
+                self._stop_sending_to(worker)
         sizes = [listed.size for listed in update.entries if listed.size > 0] or [1.0]
         mean_size = sum(sizes) / len(sizes)
         for entry in update.entries:
@@ -96,7 +97,7 @@
                 self.workers[entry.worker] = known = new_worker
             known.entry = entry
             if entry.state != interface.HEALTHY:
-                self._leave(known)
+                self._stop_sending_to(known)
             elif not known.usable:
                 known.usable = True
                 self.subset.add(known)
@@ -109,7 +110,7 @@
             worker.usable = False
             self.subset.remove(worker)
 
-    def _leave(self, worker: Worker) -> None:
+    def _stop_sending_to(self, worker: Worker) -> None:
         """Stop sending to a worker, and forget it unless it has attempts in flight."""
         self._mark_unusable(worker)
         if not worker.in_flight:
@@ -117,7 +118,7 @@
 
     def usual_latency(self, klass: interface.RequestClass) -> float:
         """Return the average latency of a class in seconds; a tenth of its objective before the first response."""
-        return self._usual.get(klass.name, klass.aim / 10)
+        return self._usual_latencies.get(klass.name, klass.aim / 10)
 
     def _is_stalled(self, now: float, worker: Worker) -> bool:
         """Return whether a worker leaves its latest attempts unanswered for much longer than usual.
@@ -136,7 +137,11 @@
 
     def _stall_timeout(self, worker: Worker) -> float:
         """Return how long a worker may leave an attempt unanswered before it counts as stalled, in seconds."""
-        return STALL * max(self._usual.values(), default=1.0) * max(1.0, min(2.0, worker.relative_latency))
+        return (
+            STALL_FACTOR
+            * max(self._usual_latencies.values(), default=1.0)
+            * max(1.0, min(2.0, worker.relative_latency))
+        )
 
     def _outstanding_send_times(self, now: float, worker: Worker) -> list[float]:
         """Return the send times of the attempts that a worker still has to answer, without those probably lost.
@@ -150,7 +155,7 @@
         return [
             sent_at
             for key, sent_at in worker.in_flight.items()
-            if key in self._waiting and not self._is_probably_lost(now, worker, sent_at)
+            if key in self._awaiting_response and not self._is_probably_lost(now, worker, sent_at)
         ]
 
     def _is_probably_lost(self, now: float, worker: Worker, sent_at: float) -> bool:
@@ -165,7 +170,7 @@
             return False
         return not self._is_stalled(now, worker)
 
-    def _has_room(self, now: float, worker: Worker) -> bool:
+    def _is_within_slow_start_limit(self, now: float, worker: Worker) -> bool:
         """Return whether this gateway may send one more attempt to a worker, given the limit of its slow start.
 
         Within `fall_time` a worker completes capacity x fall_time attempts, so at most
@@ -178,7 +183,12 @@
         divisor, _ = self._shares.divisors(now, worker_key(worker.entry.worker), self.gateway_count)
         if self.subset.is_partial and divisor == self.gateway_count:  # only gateways of its subsets send to it
             divisor = max(1.0, divisor * self.subset.overlap())
-        cap = (self._settings.overload_factor - 1) * warm_up_factor * self.rate(now) * self._settings.fall_time
+        cap = (
+            (self._settings.overload_factor - 1)
+            * warm_up_factor
+            * self.warm_worker_rate(now)
+            * self._settings.fall_time
+        )
         single_core_cap = (
             (self._settings.overload_factor - 1)
             * warm_up_factor
@@ -204,13 +214,13 @@
             worker.held_slots_until.popleft()
         return len(worker.in_flight) + len(worker.held_slots_until) < max(1, int(cap))
 
-    def rate(self, now: float) -> float:
+    def warm_worker_rate(self, now: float) -> float:
         """Return the rate at which one warm worker serves this gateway, in responses a second."""
         self._decay_throughput(now)
         return (
-            self._done
+            self._decayed_response_count
             / THROUGHPUT_WINDOW_SECONDS
-            / max(1, self.subset.fit if self.subset.is_partial else self.usable_count)
+            / max(1, self.subset.eligible_count if self.subset.is_partial else self.usable_count)
         )
 
     def warm_up_factor(self, now: float, worker: Worker) -> float | None:
@@ -231,13 +241,13 @@
         """
         latency = worker.slowness(now)
         if self.subset.is_partial and (send_times := self._outstanding_send_times(now, worker)):
-            latency = max(latency, (now - send_times[0]) / max(self._usual.values(), default=math.inf))
+            latency = max(latency, (now - send_times[0]) / max(self._usual_latencies.values(), default=math.inf))
         return latency / (self.warm_up_factor(now, worker) or 1.0) if self.subset.is_partial else latency
 
     def _decay_throughput(self, now: float) -> None:
         """Decay the count of responses to the present."""
-        self._done *= math.exp((self._done_at - now) / THROUGHPUT_WINDOW_SECONDS)
-        self._done_at = now
+        self._decayed_response_count *= math.exp((self._decayed_at - now) / THROUGHPUT_WINDOW_SECONDS)
+        self._decayed_at = now
 
     def _candidates(self, now: float) -> list[Worker]:
         """Return the workers to choose from, cached until the time or the state changes."""
@@ -303,12 +313,13 @@
         candidates = self._candidates(now)
         send_times = [self._outstanding_send_times(now, worker) for worker in candidates]
         in_flight = sum(map(len, send_times))
-        responses = self._done * min(1.0, SAMPLE_SIZE / max(1, self.subset.size))  # of the sampled workers
+        # Responses of the sampled workers.
+        responses = self._decayed_response_count * min(1.0, SAMPLE_SIZE / max(1, self.subset.size))
         if in_flight <= len(candidates) * min(1.0, MIN_FLEET_ATTEMPTS_PER_WORKER / self._settings.gateways):
             return False
         mean_age = now - sum(map(sum, send_times)) / in_flight
         return (
-            mean_age > OLD_SHARE * self._shortest_latency_objective
+            mean_age > USUAL_LATENCY_RATIO * self._shortest_latency_objective
             and in_flight
             > threshold_factor
             * MAX_EXPECTED_LATENCY_SHARE
@@ -319,7 +330,9 @@
 
     def has_few_samples(self) -> bool:
         """Return whether too few attempts are in flight or were answered lately to estimate a queue."""
-        return len(self._waiting) + self._done < (MIN_SAMPLES_IN_SUBSET if self.subset.is_partial else MIN_SAMPLES)
+        return len(self._awaiting_response) + self._decayed_response_count < (
+            MIN_SAMPLES_IN_SUBSET if self.subset.is_partial else MIN_SAMPLES
+        )
 
     def _rejection_probability(self, now: float) -> float:
         """Return the share of requests to reject by the recent latencies of all workers together.
@@ -328,11 +341,11 @@
         """
         waiting = [
             (sent_at, aim)
-            for sent_at, aim, worker in self._waiting.values()
+            for sent_at, aim, worker in self._awaiting_response.values()
             if not self._is_probably_lost(now, worker, sent_at)
         ]
-        return self.recent.pressed(
-            now, waiting, self._shortest_latency_objective, self._answers < MIN_SAMPLES, self.subset.is_partial
+        return self.recent.refusal_share(
+            now, waiting, self._shortest_latency_objective, self._response_count < MIN_SAMPLES, self.subset.is_partial
         )
 
     def pick(
@@ -361,7 +374,7 @@
             eligible = [
                 worker
                 for worker in candidates
-                if worker.entry.worker not in tried_workers and self._has_room(now, worker)
+                if worker.entry.worker not in tried_workers and self._is_within_slow_start_limit(now, worker)
             ]
             if eligible:
                 return self._pick_best(now, klass, eligible)
@@ -381,7 +394,10 @@
                 name not in tried_workers
                 and not self._outstanding_send_times(now, worker)
                 and self._is_healthy(now, worker)
-                and (self._has_room(now, worker) or now - restored_at > RESTORED_WORKER_MAX_WAIT_SECONDS)
+                and (
+                    self._is_within_slow_start_limit(now, worker)
+                    or now - restored_at > RESTORED_WORKER_MAX_WAIT_SECONDS
+                )
             ):
                 return name
         return None
@@ -395,8 +411,10 @@
         few random losses make the load uneven for seconds.
         """
         must_run_once = klass.effect == interface.SIDE_EFFECT
-        loss_cost = max(STALL, klass.aim / max(self.usual_latency(klass), 1e-6)) if must_run_once else STALL
-        waits = self._paced(now, klass, eligible) if self._shares.worker_capacities else None
+        loss_cost = (
+            max(STALL_FACTOR, klass.aim / max(self.usual_latency(klass), 1e-6)) if must_run_once else STALL_FACTOR
+        )
+        waits = self._waits_by_capacity(now, klass, eligible) if self._shares.worker_capacities else None
         waits = waits or [
             self._latency_factor(now, worker)
             * (1 + len(self._outstanding_send_times(now, worker)))
@@ -413,7 +431,9 @@
         """Return the factor of a worker's expected wait: above 1 in another zone."""
         return 1.0 if worker.entry.zone == self._settings.zone else REMOTE_ZONE_PENALTY
 
-    def _paced(self, now: float, klass: interface.RequestClass, eligible: list[Worker]) -> list[float] | None:
+    def _waits_by_capacity(
+        self, now: float, klass: interface.RequestClass, eligible: list[Worker]
+    ) -> list[float] | None:
         """Return the expected wait at each worker, over the usual latency, by its capacity as planners report it.
 
         None unless the capacity of every worker is known. By Little's law, the attempts in flight over this
@@ -449,20 +469,20 @@
         if self.workload is not None:
             self.workload.record_sent(now, name, len(worker.in_flight))
         worker.in_flight[key] = now
-        self._waiting[key] = (now, klass.aim, worker)
+        self._awaiting_response[key] = (now, klass.aim, worker)
         if worker.next_turn_at is not None:
             worker.next_turn_at = now + worker.turn_interval * (0.5 + self._random.random())
 
     def record_overdue(self, now: float, key: tuple[str, int]) -> None:
         """Record that an attempt is past its latency objective: it may be lost and no longer counts as load."""
         self._cached_candidates = None
-        if (waiting := self._waiting.pop(key, None)) is not None:
-            self.recent.missed(now, waiting[1])
+        if (waiting := self._awaiting_response.pop(key, None)) is not None:
+            self.recent.record_missed(now, waiting[1])
 
     def record_response_start(self, now: float, name: str, key: tuple[str, int]) -> None:
         """Record that a response has begun: the worker is alive, and the attempt waits in its queue no longer."""
         self._cached_candidates = None
-        waiting = self._waiting.pop(key, None)
+        waiting = self._awaiting_response.pop(key, None)
         if waiting is not None and key in waiting[2].in_flight:
             waiting[2].last_response_at, waiting[2].latest_answered_sent_at = (
                 now,
@@ -492,14 +512,14 @@
         self, now: float, name: str, key: tuple[str, int], klass: interface.RequestClass, status: str, latency: float
     ) -> None:
         """Record the outcome of an attempt; `latency` in seconds. Also called for attempts whose request has ended."""
-        self._waiting.pop(key, None)
+        self._awaiting_response.pop(key, None)
         self._cached_candidates = None
         worker = self.workers.get(name)
         sent_at = worker.in_flight.pop(key, None) if worker is not None else None
         if worker is None or sent_at is None:
             return
         if not worker.usable:
-            self._leave(worker)
+            self._stop_sending_to(worker)
         if self.workload is not None:
             self.workload.record_ended(
                 now, name, len(worker.in_flight) + 1, klass.name, self.usual_latency(klass), status, latency
@@ -519,9 +539,9 @@
             self.record_no_response(now, name, klass)
         if status == interface.SUCCESS:
             self._decay_throughput(now)
-            self._done += 1
-            usual_latency = self._usual.setdefault(klass.name, latency)
-            self.recent.answered(now, latency, klass.aim)
+            self._decayed_response_count += 1
+            usual_latency = self._usual_latencies.setdefault(klass.name, latency)
+            self.recent.record_response(now, latency, klass.aim)
             worker.relative_latency = worker.slowness(now)
             worker.response_count += 1
             # In a subset the first few responses weigh more, since each worker gets few requests.
@@ -532,10 +552,10 @@
                 min(10.0, latency / max(usual_latency, 1e-6)) - worker.relative_latency
             )
             worker.latency_updated_at, worker.consecutive_failures, worker.consecutive_overloads = now, 0, 0
-            self._usual[klass.name] = usual_latency + LEARNING_RATE / 3 * (latency - usual_latency)
-            self._answers += 1
-            if self._answers >= MIN_SAMPLES:
-                self.shortest_usual_latency = min(self.shortest_usual_latency, max(self._usual.values()))
+            self._usual_latencies[klass.name] = usual_latency + LEARNING_RATE / 3 * (latency - usual_latency)
+            self._response_count += 1
+            if self._response_count >= MIN_SAMPLES:
+                self.shortest_usual_latency = min(self.shortest_usual_latency, max(self._usual_latencies.values()))
         elif status not in (interface.OVERLOADED, interface.MALFORMED_RESPONSE):  # neither says that it is unhealthy
             # A worker that fails fast looks idle and attracts more requests, so it backs off at once. A gateway with
             # a subset sends to each worker too seldom to wait for several failures in a row.
--- a/micagate/gateway.py
+++ b/micagate/gateway.py
@@ -12,10 +12,10 @@
 from random import Random
 
 from micagate import interface
-from micagate.counting.counting import Counting, Verdict
+from micagate.counting.counting import CounterVerdict, QuotaCounter
 from micagate.demand_reports import worker_demand, worker_loads
-from micagate.estimates.waits import Waits
-from micagate.fleet import STALL, Fleet
+from micagate.estimates.waits import FirstRequestWaits
+from micagate.fleet import STALL_FACTOR, Fleet
 from micagate.operating.maintenance import Maintenance
 from micagate.pending import Attempt, Pending
 from micagate.quotas import Quotas
@@ -25,7 +25,7 @@
 from micagate.throttle import Throttle
 
 # The retry budget: further attempts that each new request adds to it, and the most that it can hold.
-RETRY_BUDGET_PER_REQUEST, RETRY_DEPTH = 0.2, 10.0
+RETRY_BUDGET_PER_REQUEST, RETRY_BUDGET_CAPACITY = 0.2, 10.0
 MIN_CLASS_SHARE = 0.5  # share of the overload thresholds that a class of almost no importance still has
 RETRY_AFTER_AIM_FRACTION = 0.2  # longest `retry_after` of a refusal, as a fraction of the class's latency objective
 MEAN_DURATION_WEIGHT = 0.03  # weight of a new attempt in the mean duration of all customers' attempts
@@ -56,14 +56,14 @@
         self.quotas = Quotas(now, shares, settings.max_accounts, str(seed), settings.meter_period)
         self.fleet = Fleet(settings, self._random, now, shares)
         self.maintenance = Maintenance()
-        self.counting = Counting(settings, now, clock_offset, self._random)
+        self.counting = QuotaCounter(settings, now, clock_offset, self._random)
         self._awaiting_counter: dict[str, Pending] = {}  # by request, not sent until the shared counter responds
         self._pending: dict[str, Pending] = {}  # by request, sent to a worker and without a final response yet
         self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request and number of the attempt, from 0
         self._timers: dict[int, tuple[str, str, int]] = {}  # by ref: kind of timer, request, number of the attempt
         self._last_timer_ref = 0
-        self.waits = Waits(settings.classes)
-        self.retry_budget = RETRY_DEPTH
+        self.waits = FirstRequestWaits(settings.classes)
+        self.retry_budget = RETRY_BUDGET_CAPACITY
         self._subscribed = not settings.requires_subscription
         self._actions: list[interface.Action] = []
 
@@ -91,7 +91,7 @@
             case interface.StopRetrying(request):
                 self._on_stop_retrying(now, request)
             case interface.CounterResult():
-                if (verdict := self.counting.answered(now, event)) is not None:
+                if (verdict := self.counting.record_result(now, event)) is not None:
                     self._on_counter_verdict(now, verdict)
             case interface.ShareUpdate():
                 if released := apply_share_update(self.quotas, now, event, self.plans):
@@ -112,7 +112,7 @@
     def _on_worker_list(self, now: float, event: interface.WorkerList) -> None:
         """Apply a discovery update, and subscribe to further ones if that is required and not done or has failed."""
         if not event.failed:
-            self.fleet.update(now, self.maintenance.follow(event))
+            self.fleet.update(now, self.maintenance.apply_update(event))
             self.throttle.set_workers(self.fleet.subset.reachable_count, self.fleet.subset.is_partial)
         if self._settings.requires_subscription and (event.failed or not self._subscribed):
             self._subscribed = True
@@ -123,7 +123,7 @@
 
     def _on_set_maintenance(self, now: float, event: interface.SetMaintenance) -> None:
         """Take a worker out of service for maintenance, or put it back."""
-        apply_change = self.maintenance.out if event.out_of_service else self.maintenance.online
+        apply_change = self.maintenance.take_out if event.out_of_service else self.maintenance.bring_back
         if (update := apply_change(now, event.worker, event.since)) is not None:
             self.fleet.update(now, update)
             if not event.out_of_service and update.entries:
@@ -139,16 +139,16 @@
         account = self.quotas.account(now, event.customer, plan, event.gateway_count)
         self.quotas.record_demand(account, event)
         pending = Pending(event, klass, account, now + event.time_left)
-        on_counter = self.counting.counts(now, account, event.first_gateway)
+        on_counter = self.counting.should_count(now, account, event.first_gateway)
         pending.within_quota = not (on_counter and now < account.ceiling_full_until) and self.quotas.is_within_quota(
             account, event.units, self.throttle.active, on_counter
         )
         if not event.client_retry:
-            self.waits.first(klass, event.time_left)
-        self.retry_budget = min(RETRY_DEPTH, self.retry_budget + RETRY_BUDGET_PER_REQUEST)
+            self.waits.record_first(klass, event.time_left)
+        self.retry_budget = min(RETRY_BUDGET_CAPACITY, self.retry_budget + RETRY_BUDGET_PER_REQUEST)
         # Beyond the quota only if that earns more than it costs, and never under overload control.
         acceptable = pending.within_quota or (plan.excess_revenue > plan.excess_cost and not self.throttle.active)
-        acceptable = acceptable and not (event.client_retry and self.waits.too_late(klass, event.time_left))
+        acceptable = acceptable and not (event.client_retry and self.waits.is_too_late(klass, event.time_left))
         if (
             not acceptable
             or not on_counter
@@ -168,30 +168,30 @@
             return
         if on_counter:
             self._awaiting_counter[event.request] = pending
-            self.counting.ask(now, account, event.units, event.request)
+            self.counting.count(now, account, event.units, event.request)
         else:
             self._send_first_attempt(now, pending, worker)
 
-    def _on_counter_verdict(self, now: float, verdict: Verdict) -> None:
+    def _on_counter_verdict(self, now: float, verdict: CounterVerdict) -> None:
         """Send or refuse a request that waited for the shared counter's verdict.
 
-        `verdict.inside` is None if the counter gave no answer; the gateway's local share decides then.
+        `verdict.within_quota` is None if the counter gave no answer; the gateway's local share decides then.
         """
         pending = self._awaiting_counter.pop(verdict.call.request, None)
         worker = None
         if pending is not None:
-            worker, pending.within_quota = self.fleet.pick(now, pending.klass, set()), verdict.inside is True
-            if verdict.inside is None:
+            worker, pending.within_quota = self.fleet.pick(now, pending.klass, set()), verdict.within_quota is True
+            if verdict.within_quota is None:
                 account, units = pending.account, pending.request.units
                 pending.within_quota = self.quotas.is_within_quota(
                     account, units, self.throttle.active
                 ) and self.quotas.ceiling_allows(account, units, False)
             if worker is not None and pending.within_quota:
                 pending.counter_call, verdict.call.sent = verdict.call, True
-                return self._send_first_attempt(now, pending, worker, verdict.inside is True)
+                return self._send_first_attempt(now, pending, worker, verdict.within_quota is True)
             self._refuse(pending.request.request, pending.klass.aim)
-        if verdict.inside:
-            self.counting.give_back(verdict.call)
+        if verdict.within_quota:
+            self.counting.refund(verdict.call)
 
     def _send_first_attempt(self, now: float, pending: Pending, worker: str, on_counter: bool = False) -> None:
         """Charge a request's units and send it; `on_counter`: the shared counter has counted it."""
@@ -253,7 +253,7 @@
 
     def _stall_threshold(self, klass: interface.RequestClass) -> float:
         """Return how many seconds an attempt may be in flight before it counts as unusually long."""
-        return min(STALL * self.fleet.usual_latency(klass), klass.aim / 2)
+        return min(STALL_FACTOR * self.fleet.usual_latency(klass), klass.aim / 2)
 
     def _on_stop_retrying(self, now: float, name: str) -> None:
         """Stop retrying a request because the gateway shuts down.
@@ -291,13 +291,13 @@
             attempt.overload_signalled = True
             self.fleet.record_overdue(now, (name, number))
             if later_attempt_answered := self.fleet.has_answered_later(attempt.worker, attempt.sent_at):
-                self.fleet.tails.missed(now)
+                self.fleet.tails.record_missed(now)
                 # The response was sent and got lost: the customer's concurrency slot is free.
                 attempt.release_slot()
             if later_attempt_answered or attempt.klass.effect == interface.SIDE_EFFECT:
                 self.fleet.record_no_response(now, attempt.worker, attempt.klass)
             worker_loses_class = self.fleet.loses_class(now, attempt.worker, attempt.klass)
-            if not worker_loses_class and not self.fleet.recent.lossy():
+            if not worker_loses_class and not self.fleet.recent.indicates_losses():
                 self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
         elif kind == "deadline" and pending is not None and not pending.streaming:
             self._end_without_response(pending)
@@ -305,7 +305,7 @@
             # If no attempt sent later was answered, the worker may just have a queue or a pause.
             if self.fleet.has_answered_later(attempt.worker, attempt.sent_at):
                 self.fleet.record_no_response(now, attempt.worker, attempt.klass)
-                if self.fleet.tails.lost():
+                if self.fleet.tails.is_likely_lost():
                     attempt.release_slot()
             self._hedge_or_cancel(now, pending, number)
 
@@ -327,7 +327,7 @@
             pending.klass.effect == interface.PURE
             and self._settings.can_cancel
             and self.retry_budget >= 1
-            and self.fleet.tails.lost()
+            and self.fleet.tails.is_likely_lost()
         ):
             # The outcome of the cancelled attempt is followed by a retry.
             self._actions.append(interface.Cancel(pending.request.request, number))
@@ -364,10 +364,10 @@
             attempt.account.record_reading(now, event.used, self.quotas.meter, event.used_age)
         self.fleet.record_outcome(now, attempt.worker, key, attempt.klass, event.status, event.took)
         if event.status == interface.SUCCESS and event.took > self._stall_threshold(attempt.klass):
-            self.fleet.tails.came(now, event.took > attempt.klass.aim)
+            self.fleet.tails.record_response(now, event.took > attempt.klass.aim)
         if event.status in (interface.OVERLOADED, interface.TIMED_OUT):
             if not attempt.overload_signalled and (
-                event.status == interface.OVERLOADED or not self.fleet.recent.lossy()
+                event.status == interface.OVERLOADED or not self.fleet.recent.indicates_losses()
             ):
                 self.throttle.record_signal(now, attempt.worker, attempt.account.plan.name, attempt.sent_at)
         elif attempt.pending.complete:  # else the duration is that of the client's upload
--- a/micagate/handover/fields.py
+++ b/micagate/handover/fields.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 
-class Damaged(Exception):
+class MalformedState(Exception):
     """Raised for a state that cannot be restored; the message names the field."""
 
 
@@ -38,7 +38,7 @@
 
 
 def load_fields(owner: object, fields: Mapping[str, str], state: Mapping[str, Any]) -> None:
-    """Set the attributes of `fields` from `state` by written key; raises Damaged for a value of the wrong type."""
+    """Set the attributes of `fields` from `state` by written key; raises MalformedState if a type is wrong."""
     for name, attribute in fields.items():
         if name in state:
             value, old = state[name], getattr(owner, attribute)
@@ -57,18 +57,18 @@
         return [_checked_value(each, field) for each in _checked_list(value, field)]
     if isinstance(old, dict):
         if not isinstance(value, dict):
-            raise Damaged(f"{field}: expected a mapping")
+            raise MalformedState(f"{field}: expected a mapping")
         return {key: _checked_value(each, field) for key, each in value.items()}
     if isinstance(old, bool):
         if not isinstance(value, bool):
-            raise Damaged(f"{field}: expected a boolean")
+            raise MalformedState(f"{field}: expected a boolean")
         return value
     return _checked_value(value, field)
 
 
 def _checked_list(value: Any, field: str) -> list[Any]:
     if not isinstance(value, list):
-        raise Damaged(f"{field}: expected a list")
+        raise MalformedState(f"{field}: expected a list")
     return value
 
 
@@ -77,4 +77,4 @@
         return tuple(_checked_value(each, field) for each in value)
     if value is None or isinstance(value, str | bool | int) or isinstance(value, float) and not math.isnan(value):
         return value
-    raise Damaged(f"{field}: unexpected value {value!r}")
+    raise MalformedState(f"{field}: unexpected value {value!r}")
--- a/micagate/handover/state.py
+++ b/micagate/handover/state.py
@@ -15,7 +15,7 @@
 from micagate import interface
 from micagate.accounts import Account
 from micagate.gateway import Gateway
-from micagate.handover.fields import Damaged, dump_fields, load_fields
+from micagate.handover.fields import MalformedState, dump_fields, load_fields
 from micagate.pending import Attempt, Pending
 from micagate.resource_keys import parse_customer_key
 
@@ -43,8 +43,8 @@
 }
 QUOTA_ESTIMATE_FIELDS = {
     "level": "level",
-    "at": "at",
-    "told": "told",
+    "at": "updated_at",
+    "told": "metered_until",
     "unit": "mean_units",
     "_base": "_metered_level",
     "_times": "_sent_times",
@@ -54,8 +54,8 @@
     "_span": "_recent_seconds",
     "_long": "_usual_units",
     "_longer": "_usual_seconds",
-    "_mine": "_mine",
-    "_all": "_all",
+    "_mine": "_own_metered_units",
+    "_all": "_metered_units",
     "_read": "_last_reading",
     "_weighed": "_last_weighed_at",
     "_kept": "_slot_granted_ratio",
@@ -67,7 +67,7 @@
     "_misfits": "_lateness_misfits",
     "_weighed": "_weighed_count",
     "_skipped": "_skipped_count",
-    "late": "late",
+    "late": "lateness",
 }
 THROTTLE_FIELDS = {
     "on": "active",
@@ -77,22 +77,22 @@
     "workers": "worker_count",
     "plans": "plan_count",
     "least": "min_signals",
-    "_born": "_born",
-    "_leaked": "_leaked",
-    "_since": "_since",
-    "_due": "_due",
-    "_quiet": "_quiet",
-    "_changed": "_changed",
-    "_admits": "_admits",
-    "_refusals": "_refusals",
+    "_born": "_traffic_started_at",
+    "_leaked": "_leaked_at",
+    "_since": "_period_start",
+    "_due": "_period_end",
+    "_quiet": "_last_excess_at",
+    "_changed": "_updated_at",
+    "_admits": "_admission_times",
+    "_refusals": "_rejection_times",
     "_signals": "_signals",
 }
 FLEET_FIELDS = {
-    "_usual": "_usual",
-    "_done": "_done",
-    "_done_at": "_done_at",
+    "_usual": "_usual_latencies",
+    "_done": "_decayed_response_count",
+    "_done_at": "_decayed_at",
     "brisk": "shortest_usual_latency",
-    "_answers": "_answers",
+    "_answers": "_response_count",
     "owed": "restored_at",
 }
 WORKER_FIELDS = {
@@ -113,7 +113,7 @@
     "_at": "_updated_at",
     "_took": "_latency_sum",
     "_aims": "_aim_sum",
-    "_missed": "_missed",
+    "_missed": "_missed_aim_sum",
 }
 TAILS_FIELDS = {
     "_at": "_updated_at",
@@ -131,7 +131,7 @@
     "_held": "_paused_until",
 }
 QUOTAS_FIELDS = {
-    "_born": "_born",
+    "_born": "_started_at",
     "took": "mean_duration",
 }
 WAITS_FIELDS = {
@@ -153,7 +153,7 @@
     }
 
 
-class Copy:
+class AccountCopy:
     """Transfers the accounts and deficits of a gateway, a few at a time, in rounds.
 
     Each round after the first transfers the accounts that were used during the previous one, until so few are left
@@ -170,11 +170,11 @@
         # Queues whose keys were not read yet. Only one is read at a time, since the keys alone take milliseconds.
         self._unread_queues = [False, True]
 
-    def debts(self) -> dict[str, Any] | None:
+    def next_deficits(self) -> dict[str, Any] | None:
         """Return the next part of the deficits; None once all were transferred."""
         return next(self._deficits, None)
 
-    def lists(self) -> bool:
+    def load_next_queue(self) -> bool:
         """Read the keys of the next queue if it is due: a separate step, since 30,000 keys take 3 ms."""
         if any(self._remaining_keys) or not self._unread_queues:
             return False
@@ -184,9 +184,9 @@
         self._remaining_keys[recurring].reverse()
         return True
 
-    def more(self, now: float, limit: int) -> list[dict[str, Any]]:
+    def next_accounts(self, now: float, limit: int) -> list[dict[str, Any]]:
         """Return the next accounts, up to `limit`; none if a further round is not worthwhile."""
-        while self.lists():
+        while self.load_next_queue():
             pass
         if not any(self._remaining_keys):
             used = list(self._used_since_round())
@@ -203,7 +203,7 @@
             if account is not None:
                 self._copied.add(key)
                 rows.append(account_row(account, recurring))
-        return rows or self.more(now, limit)
+        return rows or self.next_accounts(now, limit)
 
     def _used_since_round(self) -> Iterator[tuple[str, bool]]:
         """Yield the customers used since this round began or never copied, with their queue."""
@@ -213,7 +213,7 @@
                     break
                 yield key, bool(recurring)
 
-    def rest(self) -> list[dict[str, Any]]:
+    def remaining_accounts(self) -> list[dict[str, Any]]:
         """Return the accounts used since the last round; called once, at the end."""
         return [
             account_row(self._quotas.accounts.queues[recurring][key], recurring)
@@ -221,13 +221,13 @@
         ]
 
 
-def core(gateway: Gateway) -> dict[str, Any]:
+def core_state(gateway: Gateway) -> dict[str, Any]:
     """Return the state except for accounts and attempts in flight."""
     source, quotas, fleet = gateway, gateway.quotas, gateway.fleet
     return {
         "quotas": dump_fields(quotas, QUOTAS_FIELDS),
         "meter": dump_fields(quotas.meter, METER_FIELDS),
-        "debts": quotas.deficits.rest(),
+        "debts": quotas.deficits.take_changes(),
         "throttle": dump_fields(source.throttle, THROTTLE_FIELDS),
         "fleet": dump_fields(fleet, FLEET_FIELDS),
         "recent": dump_fields(fleet.recent, RECENT_FIELDS),
@@ -236,18 +236,18 @@
         "waits": dump_fields(source.waits, WAITS_FIELDS)["_waits"],
         "budget": source.retry_budget,
         "counter": dump_fields(source.counting.budget, COUNTER_BUDGET_FIELDS),
-        "banned": dict(source.maintenance.banned),
-        "back": {n: list(t) for n, t in source.maintenance.back.items()},
+        "banned": dict(source.maintenance.out_since),
+        "back": {n: list(t) for n, t in source.maintenance.service_gaps.items()},
     }
 
 
-def outs(gateway: Gateway) -> Iterator[dict[str, Any]]:
+def in_flight_rows(gateway: Gateway) -> Iterator[dict[str, Any]]:
     """Yield the attempts in flight."""
     for (name, number), attempt in gateway.in_flight.items():
-        yield out_row(name, number, attempt)
+        yield attempt_row(name, number, attempt)
 
 
-def out_row(name: str, number: int, attempt: Attempt) -> dict[str, Any]:
+def attempt_row(name: str, number: int, attempt: Attempt) -> dict[str, Any]:
     """Return an attempt as it is transferred; `units` are those of its request, which the first attempt spent."""
     return {
         "request": name,
@@ -264,12 +264,12 @@
     }
 
 
-def put_accounts(gateway: Gateway, now: float, rows: Iterable[dict[str, Any]]) -> None:
-    """Restore accounts; a later row of a customer replaces an earlier one. Raises Damaged for a malformed row."""
+def restore_accounts(gateway: Gateway, now: float, rows: Iterable[dict[str, Any]]) -> None:
+    """Restore accounts; a later row of a customer replaces an earlier one. Raises MalformedState if malformed."""
     for row in rows:
         plan_and_customer, spread = parse_customer_key(str(row.get("key", ""))), row.get("spread")
         if plan_and_customer is None or not isinstance(spread, int) or spread < 1:
-            raise Damaged(f"malformed account: key {row.get('key')!r}, spread {spread!r}")
+            raise MalformedState(f"malformed account: key {row.get('key')!r}, spread {spread!r}")
         if (plan := gateway.plans.get(plan_and_customer[0])) is None:
             continue  # the settings of this process do not have the plan
         account = Account(plan, row["key"], spread, now, now)
@@ -284,8 +284,8 @@
         table.queues[bool(row.get("often"))][account.key] = account
 
 
-def put_core(gateway: Gateway, now: float, state: dict[str, Any], in_flight: Iterable[dict[str, Any]] = ()) -> None:
-    """Restore the rest of the state; the list of workers has been received before. Raises Damaged if malformed."""
+def restore_core(gateway: Gateway, now: float, state: dict[str, Any], in_flight: Iterable[dict[str, Any]] = ()) -> None:
+    """Restore the rest of the state, after the list of workers. Raises MalformedState if malformed."""
     target, quotas, fleet = gateway, gateway.quotas, gateway.fleet
     parts: list[tuple[object, dict[str, str], str]] = [
         (quotas, QUOTAS_FIELDS, "quotas"),
@@ -306,25 +306,25 @@
     if isinstance(budget := state.get("budget"), int | float):
         target.retry_budget = float(budget)
     for row in in_flight:  # before maintenance: a worker that is out is dropped once it has nothing in flight
-        adopt(gateway, now, row)
-    banned = {str(name): float(since) for name, since in _mapping(state, "banned").items()}
-    back = {str(name): (float(t[0]), float(t[1])) for name, t in _mapping(state, "back").items()}
-    target.fleet.update(now, target.maintenance.restore(banned, back))
+        adopt_attempt(gateway, now, row)
+    out_since = {str(name): float(since) for name, since in _mapping(state, "banned").items()}
+    service_gaps = {str(name): (float(t[0]), float(t[1])) for name, t in _mapping(state, "back").items()}
+    target.fleet.update(now, target.maintenance.restore(out_since, service_gaps))
 
 
 def _mapping(state: dict[str, Any], key: str) -> dict[str, Any]:
     value = state.get(key, {})
     if not isinstance(value, dict):
-        raise Damaged(f"{key}: expected a mapping")
+        raise MalformedState(f"{key}: expected a mapping")
     return value
 
 
-def adopt(gateway: Gateway, now: float, row: dict[str, Any], spends: bool = False) -> None:
+def adopt_attempt(gateway: Gateway, now: float, row: dict[str, Any], spend_units: bool = False) -> None:
     """Count an attempt of the predecessor as in flight.
 
-    With `spends`, the predecessor began it after the state was transferred, and the first attempt of a request spends
-    its units here too. The request is not one of this gateway's: its outcome is treated like that of a request whose
-    client disconnected.
+    With `spend_units`, the predecessor began it after the state was transferred, and the first attempt of a request
+    spends its units here too. The request is not one of this gateway's: its outcome is treated like that of a request
+    whose client disconnected.
     """
     klass, worker = gateway.classes.get(row["klass"]), gateway.fleet.workers.get(row["worker"])
     plan_name, customer = parse_customer_key(str(row["key"])) or ("", "")
@@ -333,7 +333,7 @@
         return
     account = gateway.quotas.accounts.get(row["key"]) or gateway.quotas.account(now, customer, plan, int(row["spread"]))
     units, sent = float(row["units"]), float(row["sent"])
-    if spends and number == 0:
+    if spend_units and number == 0:
         gateway.quotas.spend(account, units, bool(row["inside"]))
     request = interface.Request(
         name, klass.name, plan.name, customer, klass.deadline, units=units, gateway_count=int(row["spread"])
@@ -350,7 +350,7 @@
         worker.in_flight[name, number] = sent
 
 
-def left_out(gateway: Gateway, attempts: Iterable[tuple[str, int]]) -> list[interface.Outcome]:
+def cancelled_outcomes(gateway: Gateway, attempts: Iterable[tuple[str, int]]) -> list[interface.Outcome]:
     """Return the outcomes of the predecessor's attempts after its exit closed their connections: all cancelled."""
     return [
         interface.Outcome(
--- a/micagate/interface.py
+++ b/micagate/interface.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-WRITTEN = "written"  # metadata key of a field: the name under which traces write it, if it differs
+TRACE_NAME = "written"  # metadata key of a field: the name under which traces write it, if it differs
 # What executing a request twice does: PURE no harm; TOKEN none if a worker recognises its token; SIDE_EFFECT harm.
 PURE, TOKEN, SIDE_EFFECT = "pure", "token", "side_effect"
 EFFECTS = (PURE, TOKEN, SIDE_EFFECT)
@@ -46,7 +46,7 @@
     window: float = 0.0  # TOKEN: seconds after an attempt that may have executed in which a retry is recognised
     streaming: bool = False  # the response is streamed; its latency counts to the first byte
     # Value of a response after the objective; above 0, client retries are served also when the objective has passed.
-    late_value: float = field(default=0.0, metadata={WRITTEN: "late_worth"})
+    late_value: float = field(default=0.0, metadata={TRACE_NAME: "late_worth"})
     importance: float = 1.0  # value of one request relative to other classes
 
     def __post_init__(self) -> None:
@@ -70,11 +70,11 @@
     name: str
     rate: float = 0.0  # refill rate of the quota, units a second
     burst: float = 0.0  # capacity of the quota, units
-    concurrency_limit: float = field(default=0.0, metadata={WRITTEN: "at_once"})  # attempts in flight
+    concurrency_limit: float = field(default=0.0, metadata={TRACE_NAME: "at_once"})  # attempts in flight
     ceiling_rate: float = 0.0  # refill rate of the ceiling, units a second
-    ceiling_capacity: float = field(default=0.0, metadata={WRITTEN: "ceiling_depth"})  # units
+    ceiling_capacity: float = field(default=0.0, metadata={TRACE_NAME: "ceiling_depth"})  # units
     ceiling_slack: float = 0.0  # units beyond the capacity that are tolerated, over all gateways
-    excess_revenue: float = field(default=0.0, metadata={WRITTEN: "beyond_earns"})  # of a request beyond the quota
+    excess_revenue: float = field(default=0.0, metadata={TRACE_NAME: "beyond_earns"})  # of a request beyond the quota
     excess_cost: float = 0.0  # of a request beyond the quota, relative to the value of one within it
     price: float = 1.0  # value of its requests relative to other plans
 
@@ -108,21 +108,21 @@
     tick: float = 0.001  # margin by which requests end, and retries stop, before a deadline or the end of a window
     max_attempts: int = 1  # per request, retries and hedges included
     can_cancel: bool = False  # the caller can carry out a `Cancel`
-    hedging: bool = field(default=False, metadata={WRITTEN: "second_copies"})  # hedges are allowed
-    max_retry_after: float = field(default=0.0, metadata={WRITTEN: "max_retry_advice"})  # 0: no Retry-After is sent
+    hedging: bool = field(default=False, metadata={TRACE_NAME: "second_copies"})  # hedges are allowed
+    max_retry_after: float = field(default=0.0, metadata={TRACE_NAME: "max_retry_advice"})  # 0: no Retry-After is sent
     # The worker list is sent to subscribers only.
-    requires_subscription: bool = field(default=False, metadata={WRITTEN: "must_subscribe"})
+    requires_subscription: bool = field(default=False, metadata={TRACE_NAME: "must_subscribe"})
     meter_period: float = 0.0  # 0: there is no meter
     # A worker that started lately has this fraction of its capacity at first, and all of it after the duration.
-    slow_start_min_factor: float = field(default=1.0, metadata={WRITTEN: "cold_from"})
-    slow_start_duration: float = field(default=0.0, metadata={WRITTEN: "ramp_time"})
+    slow_start_min_factor: float = field(default=1.0, metadata={TRACE_NAME: "cold_from"})
+    slow_start_duration: float = field(default=0.0, metadata={TRACE_NAME: "ramp_time"})
     # It may have at most (overload_factor - 1) x its capacity x fall_time in flight, from all gateways together.
     overload_factor: float = 2.0
     fall_time: float = 1.0
     # Timeout of a call to the shared counter; 0: there is no counter.
-    counter_timeout: float = field(default=0.0, metadata={WRITTEN: "counter_wait"})
+    counter_timeout: float = field(default=0.0, metadata={TRACE_NAME: "counter_wait"})
     # Accounts kept in memory, besides those with attempts in flight.
-    max_accounts: int = field(default=30_000, metadata={WRITTEN: "accounts"})
+    max_accounts: int = field(default=30_000, metadata={TRACE_NAME: "accounts"})
 
     def __post_init__(self) -> None:
         _require_at_least(self, 1, ("gateways", "max_attempts", "overload_factor", "max_accounts"))
@@ -186,12 +186,12 @@
     customer: str
     time_left: float  # seconds until its deadline
     units: float = 1.0  # what it charges to the quota and the ceiling
-    gateway_count: int = field(default=1, metadata={WRITTEN: "spread"})
-    client_retry: bool = field(default=False, metadata={WRITTEN: "repeat"})  # the client has sent it before
+    gateway_count: int = field(default=1, metadata={TRACE_NAME: "spread"})
+    client_retry: bool = field(default=False, metadata={TRACE_NAME: "repeat"})  # the client has sent it before
     # Number of the first of these gateways; the others follow it, modulo the number of gateways.
-    first_gateway: int = field(default=0, metadata={WRITTEN: "first"})
+    first_gateway: int = field(default=0, metadata={TRACE_NAME: "first"})
     # The whole body has arrived; otherwise a `RequestComplete` follows, and the deadline counts from it.
-    complete: bool = field(default=True, metadata={WRITTEN: "whole"})
+    complete: bool = field(default=True, metadata={TRACE_NAME: "whole"})
 
     def __post_init__(self) -> None:
         _require_at_least(self, 1, ("gateway_count",))
@@ -212,7 +212,7 @@
     final_units: float = 0.0  # what the request used according to the worker, if reported; replaces its `units`
     used_age: float = 0.0  # age of `used` in seconds: a long response may take seconds to arrive
     # The request is still buffered for a further attempt.
-    retryable: bool = field(default=True, metadata={WRITTEN: "kept"})
+    retryable: bool = field(default=True, metadata={TRACE_NAME: "kept"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -233,7 +233,7 @@
     """
 
     request: str
-    retryable: bool = field(default=True, metadata={WRITTEN: "kept"})
+    retryable: bool = field(default=True, metadata={TRACE_NAME: "kept"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -263,7 +263,7 @@
 
     request: str
     worker: str
-    timeout: float = field(default=0.0, metadata={WRITTEN: "within"})
+    timeout: float = field(default=0.0, metadata={TRACE_NAME: "within"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -318,7 +318,7 @@
 
     name: int
     amount: float
-    ttl: float = field(metadata={WRITTEN: "life"})
+    ttl: float = field(metadata={TRACE_NAME: "life"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -345,7 +345,7 @@
     key: str
     lent: float = 0.0
     borrowed: float = 0.0
-    gateway_count: int = field(default=1, metadata={WRITTEN: "count"})
+    gateway_count: int = field(default=1, metadata={TRACE_NAME: "count"})
 
     def __post_init__(self) -> None:
         _require_at_least(self, 0.0, ("lent", "borrowed"))
@@ -357,7 +357,7 @@
     """The amounts in a resource's token buckets, of quota and ceiling, that move with a share; 1 is a whole bucket."""
 
     key: str
-    quota: float = field(default=0.0, metadata={WRITTEN: "store"})
+    quota: float = field(default=0.0, metadata={TRACE_NAME: "store"})
     ceiling: float = 0.0
 
     def __post_init__(self) -> None:
@@ -369,7 +369,7 @@
     """The capacity of a worker for all gateways together, responses a second; 0: no longer known."""
 
     key: str
-    capacity: float = field(metadata={WRITTEN: "pace"})
+    capacity: float = field(metadata={TRACE_NAME: "pace"})
 
     def __post_init__(self) -> None:
         _require_at_least(self, 0.0, ("capacity",))
@@ -390,23 +390,23 @@
     borrowed_until: float
     changes: tuple[ResourceShare, ...] = ()
     # Units that came with shares: added to the token buckets, once.
-    bucket_levels: tuple[BucketLevels, ...] = field(default=(), metadata={WRITTEN: "fills"})
-    expired: bool = field(default=False, metadata={WRITTEN: "over"})
-    capacities: tuple[WorkerCapacity, ...] = field(default=(), metadata={WRITTEN: "paces"})
+    bucket_levels: tuple[BucketLevels, ...] = field(default=(), metadata={TRACE_NAME: "fills"})
+    expired: bool = field(default=False, metadata={TRACE_NAME: "over"})
+    capacities: tuple[WorkerCapacity, ...] = field(default=(), metadata={TRACE_NAME: "paces"})
 
 
 @dataclass(frozen=True, slots=True)
 class ReleasedLevels:
     """The units taken out of token buckets because a `ShareUpdate` gave their shares away."""
 
-    bucket_levels: tuple[BucketLevels, ...] = field(metadata={WRITTEN: "fills"})
+    bucket_levels: tuple[BucketLevels, ...] = field(metadata={TRACE_NAME: "fills"})
 
 
 @dataclass(frozen=True, slots=True)
 class DemandQuery:
     """Ask for a `DemandReport`; the first starts the counting, the first with `include_workers` that of workers."""
 
-    include_workers: bool = field(default=False, metadata={WRITTEN: "works"})
+    include_workers: bool = field(default=False, metadata={TRACE_NAME: "works"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -418,13 +418,13 @@
     """
 
     key: str
-    first_gateway: int = field(metadata={WRITTEN: "first"})
-    gateway_count: int = field(metadata={WRITTEN: "count"})
-    requested_units: float = field(metadata={WRITTEN: "asked"})
-    peak_in_flight: float = field(metadata={WRITTEN: "most"})
-    total_rate: float = field(metadata={WRITTEN: "whole"})
+    first_gateway: int = field(metadata={TRACE_NAME: "first"})
+    gateway_count: int = field(metadata={TRACE_NAME: "count"})
+    requested_units: float = field(metadata={TRACE_NAME: "asked"})
+    peak_in_flight: float = field(metadata={TRACE_NAME: "most"})
+    total_rate: float = field(metadata={TRACE_NAME: "whole"})
     burst: float
-    concurrency_limit: float = field(metadata={WRITTEN: "open"})
+    concurrency_limit: float = field(metadata={TRACE_NAME: "open"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -449,8 +449,8 @@
 class DemandReport:
     """The answer to a `DemandQuery`: the resources with demand since the last one."""
 
-    resources: tuple[ResourceDemand, ...] = field(metadata={WRITTEN: "tallies"})
-    workers: tuple[WorkerLoad, ...] = field(default=(), metadata={WRITTEN: "works"})
+    resources: tuple[ResourceDemand, ...] = field(metadata={TRACE_NAME: "tallies"})
+    workers: tuple[WorkerLoad, ...] = field(default=(), metadata={TRACE_NAME: "works"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -461,7 +461,7 @@
     """
 
     worker: str
-    out_of_service: bool = field(metadata={WRITTEN: "out"})
+    out_of_service: bool = field(metadata={TRACE_NAME: "out"})
     since: float | None = None
 
 
--- a/micagate/invariants.py
+++ b/micagate/invariants.py
@@ -35,10 +35,10 @@
     PENDING = "pending"  # received, without a reply yet
     STREAMING = "streaming"  # a part of the reply was sent
     REPLIED = "replied"
-    CLIENT_GONE = "client_gone"  # the client disconnected
+    CLIENT_DISCONNECTED = "client_gone"  # the client disconnected
 
     @property
-    def owed(self) -> bool:
+    def awaits_reply(self) -> bool:
         """Whether the client still awaits a final reply."""
         return self in (RequestState.ARRIVING, RequestState.PENDING)
 
@@ -76,8 +76,8 @@
 class AttemptLimits:
     """The limits of the settings: attempts of a request, and whether hedges are allowed."""
 
-    attempts: int
-    hedges: bool
+    max_attempts: int
+    hedging: bool
 
 
 def attempt_refusal(
@@ -93,15 +93,15 @@
 
     `deadline` is None before the request is received completely.
     """
-    if not state.owed:
+    if not state.awaits_reply:
         return Reason.REQUEST_OVER
     if deadline is not None and now >= deadline:
         return Reason.DEADLINE_PASSED
     if not earlier:
         return None
-    if len(earlier) >= limits.attempts:
+    if len(earlier) >= limits.max_attempts:
         return Reason.TOO_MANY_ATTEMPTS
-    if not limits.hedges and any(attempt.status is None for attempt in earlier):
+    if not limits.hedging and any(attempt.status is None for attempt in earlier):
         return Reason.HEDGE_NOT_ALLOWED
     return _repeat_refusal(now, effect, window_seconds, earlier)
 
@@ -131,9 +131,9 @@
 
 def reply_refusal(state: RequestState) -> Reason | None:
     """Return why a request must not get a final reply; None if it may."""
-    return None if state.owed else Reason.REPLIED_TWICE
+    return None if state.awaits_reply else Reason.REPLIED_TWICE
 
 
-def close_refusal(owed_reply: bool) -> Reason | None:
+def close_refusal(awaits_reply: bool) -> Reason | None:
     """Return why this process must not close a client's connection; None if it may."""
-    return Reason.CLOSED_WITHOUT_REPLY if owed_reply else None
+    return Reason.CLOSED_WITHOUT_REPLY if awaits_reply else None
--- a/micagate/membership/clock.py
+++ b/micagate/membership/clock.py
@@ -15,8 +15,8 @@
 class HybridClock:
     """The clock of one member."""
 
-    def __init__(self, name: str, last: Stamp = ZERO_STAMP) -> None:
-        self._name, self._ms, self._count = name, last[0], last[1]
+    def __init__(self, name: str, last_stamp: Stamp = ZERO_STAMP) -> None:
+        self._name, self._ms, self._count = name, last_stamp[0], last_stamp[1]
 
     def stamp(self, wall: float) -> Stamp:
         """Return a stamp for an event now; `wall` is Unix time in seconds."""
--- a/micagate/membership/detector.py
+++ b/micagate/membership/detector.py
@@ -26,12 +26,12 @@
             max_intervals * interval,
         )
         self.mean, self._variance = interval, (interval / 2) ** 2
-        self.last = now
+        self.last_arrival = now
 
     def record_arrival(self, now: float) -> None:
         """Record the arrival of a heartbeat or other message."""
-        gap = now - self.last
-        self.last = now
+        gap = now - self.last_arrival
+        self.last_arrival = now
         if gap <= self._max_silence:  # a longer gap was a failure and would distort the mean
             self.mean += INTERVAL_WEIGHT * (gap - self.mean)
             self._variance += INTERVAL_WEIGHT * ((gap - self.mean) ** 2 - self._variance)
@@ -39,12 +39,12 @@
     def phi(self, now: float) -> float:
         """Return phi for the time since the last arrival."""
         deviation = max(math.sqrt(self._variance), MIN_DEVIATION_FRACTION * self._interval)
-        probability = 0.5 * math.erfc((now - self.last - self.mean) / deviation / math.sqrt(2))
+        probability = 0.5 * math.erfc((now - self.last_arrival - self.mean) / deviation / math.sqrt(2))
         return -math.log10(probability) if probability > 0 else math.inf
 
     def is_overdue(self, now: float, tolerance: float = 1.0) -> bool:
         """Return whether a heartbeat is overdue; all bounds are `tolerance` times as long if this side is late."""
-        elapsed = (now - self.last) / tolerance
+        elapsed = (now - self.last_arrival) / tolerance
         if elapsed <= self._min_silence:
             return False
-        return elapsed > self._max_silence or self.phi(self.last + elapsed) > PHI_THRESHOLD
+        return elapsed > self._max_silence or self.phi(self.last_arrival + elapsed) > PHI_THRESHOLD
--- a/micagate/membership/facts.py
+++ b/micagate/membership/facts.py
@@ -17,11 +17,11 @@
 
 
 class Facts:
-    """The facts that a member knows; `sum` is the XOR of their digests, to compare sets of facts."""
+    """The facts that a member knows; `checksum` is the XOR of their digests, to compare sets of facts."""
 
     def __init__(self, facts: Iterable[Fact] = ()) -> None:
         self._facts: dict[Key, Fact] = {}
-        self.sum = 0
+        self.checksum = 0
         for fact in facts:
             self.put(fact)
 
@@ -32,16 +32,16 @@
         if old is not None and old.stamp >= fact.stamp:
             return False
         if old is not None:
-            self.sum ^= digest(*key, old.stamp)
+            self.checksum ^= digest(*key, old.stamp)
         self._facts[key] = fact
-        self.sum ^= digest(*key, fact.stamp)
+        self.checksum ^= digest(*key, fact.stamp)
         return True
 
     def get(self, kind: str, key: str) -> Fact | None:
         """Return the latest fact of a kind and key, None if there is none."""
         return self._facts.get((kind, key))
 
-    def of(self, kind: str) -> Iterator[Fact]:
+    def of_kind(self, kind: str) -> Iterator[Fact]:
         """Return all facts of a kind."""
         return (fact for fact in self._facts.values() if fact.kind == kind)
 
--- a/micagate/membership/members.py
+++ b/micagate/membership/members.py
@@ -86,26 +86,26 @@
 class Link:
     """An established link to a peer."""
 
-    arrivals: PhiAccrualDetector
+    detector: PhiAccrualDetector
     last_sent: int = 0  # number of the last heartbeat sent
     last_received: int = 0  # number of the last heartbeat received
-    acked: int = 0  # number of the last heartbeat that the peer has received
+    last_acked: int = 0  # number of the last heartbeat that the peer has received
     unacknowledged: dict[int, float] = field(default_factory=dict)  # heartbeats: number and time sent
     pending_records: dict[str, None] = field(default_factory=dict)  # changes to send, in order
     pending_facts: dict[tuple[str, str], None] = field(default_factory=dict)
     digest_mismatches: int = 0  # heartbeats in a row with another digest
-    took: float = 0.0  # round trip in seconds, smoothed
-    offset: float | None = None  # seconds by which the peer's wall clock is ahead
+    round_trip: float = 0.0  # round trip in seconds, smoothed
+    clock_offset: float | None = None  # seconds by which the peer's wall clock is ahead
     next_heartbeat_at: float = 0.0  # time of the next heartbeat
-    began: float = 0.0  # time the link was opened
+    opened_at: float = 0.0  # time the link was opened
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class MembershipUpdate:
     """A change of the view: a member is `up`, `down`, `restarted`, has changed its own data (`told`) or has a
     duplicate name (`twin`), or a `fact` is new. `cause` is why a member is down, or the kind of a fact."""
 
-    what: str
+    kind: str
     name: str
     cause: str = ""
 
@@ -152,14 +152,14 @@
         self._suppressed: dict[str, tuple[float, float]] = {}
         self._next_try: dict[str, float] = {}
         self._ticked_at, self._lateness = now, 1.0
-        self.updates: list[News] = []  # changes for the owner
+        self.updates: list[MembershipUpdate] = []  # changes for the owner
         self.duplicate_name = False  # another process has this name and started later
         self.duplicate_incarnation = 0  # its incarnation
         # The latest known incarnation of each member before its present one.
         self.earlier_incarnations: dict[str, int] = {}
-        self.heard_of: dict[str, float] = {}  # when each member was last known to be alive
+        self.last_heard_at: dict[str, float] = {}  # when each member was last known to be alive
         self.heartbeats_sent = 0
-        self.urgent = False  # clients wait for this member: retry refused connections sooner
+        self.clients_waiting = False  # clients wait for this member: retry refused connections sooner
         self._set_record(Record(name, boot, 1, about=dict(about or {})))
         for fact in facts:
             self._store_fact(fact)
@@ -210,7 +210,7 @@
             if name in self.links or now < self._next_try.get(name, 0.0):
                 continue
             wait = self.terms.interval if self.is_alive(name) else self.terms.again
-            if self.urgent:
+            if self.clients_waiting:
                 wait = self.terms.interval / 4
             self._next_try[name] = now + wait * (0.75 + 0.5 * self._random.random())
             peers.append(name)
@@ -242,14 +242,14 @@
             peer
             for peer, link in self.links.items()
             if peer not in near
-            and now - link.began > PRUNE_INTERVAL_SECONDS
+            and now - link.opened_at > PRUNE_INTERVAL_SECONDS
             and self.name not in self.preferred_peers(peer)
         ]
 
     def link_opened(self, now: float, peer: str) -> None:
         """Record a new link, which replaces an earlier one to the same peer."""
         link = self.links[peer] = Link(PhiAccrualDetector(now, self.terms.interval, self.terms.least, self.terms.most))
-        link.next_heartbeat_at = link.began = now
+        link.next_heartbeat_at = link.opened_at = now
         link.digest_mismatches = DIGEST_MISMATCHES_BEFORE_SYNC  # synchronise at once
         # Send this member's own record first, as the peer may not have it.
         link.pending_records[self.name] = None
@@ -260,7 +260,7 @@
         self.links.pop(peer, None)
         if refused:
             self._raise_suspicion(now, peer, GONE)
-        elif now - self.heard_of.get(peer, -math.inf) > self.terms.most * self.terms.interval * self._lateness:
+        elif now - self.last_heard_at.get(peer, -math.inf) > self.terms.most * self.terms.interval * self._lateness:
             self._raise_suspicion(now, peer, SILENT)
 
     # Time.
@@ -272,13 +272,13 @@
             # This process was paused: heartbeats of that time are not yet read, so no peer is overdue.
             self._lateness = min(MAX_LATENESS_FACTOR, self._lateness * 2)
             for link in self.links.values():
-                link.arrivals.last = now
+                link.detector.last_arrival = now
                 link.unacknowledged.clear()
             self._suspicions_end_at = {name: end + elapsed for name, end in self._suspicions_end_at.items()}
         else:
             self._lateness = max(1.0, self._lateness * LATENESS_DECAY)
         for peer, link in list(self.links.items()):
-            if link.arrivals.is_overdue(now, self._lateness) and now >= self._suppressed.get(peer, (0.0, 0.0))[0]:
+            if link.detector.is_overdue(now, self._lateness) and now >= self._suppressed.get(peer, (0.0, 0.0))[0]:
                 self._raise_suspicion(now, peer, SILENT)
         for name in [name for name, end in self._suspicions_end_at.items() if now >= end]:
             del self._suspicions_end_at[name]
@@ -287,7 +287,7 @@
                 self._set_record(
                     Record(name, record.incarnation, record.version, DEAD, record.by, record.cause, record.about)
                 )
-                self.updates.append(News("down", name, record.cause))
+                self.updates.append(MembershipUpdate("down", name, record.cause))
         messages: list[tuple[str, Message]] = []
         for peer, link in self.links.items():
             if now >= link.next_heartbeat_at or link.pending_records or link.pending_facts:
@@ -328,7 +328,7 @@
 
     def digest(self) -> int:
         """Return a digest of all records and facts: members with equal digests know the same."""
-        return self._records_digest ^ self.facts.sum
+        return self._records_digest ^ self.facts.checksum
 
     # Received messages.
 
@@ -337,8 +337,8 @@
         link = self.links.get(peer)
         if link is None:
             return []
-        link.arrivals.record_arrival(now)
-        self.heard_of[peer] = now
+        link.detector.record_arrival(now)
+        self.last_heard_at[peer] = now
         match message:
             case Heartbeat():
                 self._process_acknowledgement(now, wall, link, message)
@@ -364,16 +364,16 @@
     def _process_acknowledgement(self, now: float, wall: float, link: Link, heartbeat: Heartbeat) -> None:
         """Update a link's acknowledged number, round trip and clock offset."""
         link.last_received = max(link.last_received, heartbeat.number)
-        if heartbeat.seen > link.acked:
-            link.acked = heartbeat.seen
+        if heartbeat.seen > link.last_acked:
+            link.last_acked = heartbeat.seen
             sent = link.unacknowledged.get(heartbeat.seen)
             for number in [number for number in link.unacknowledged if number <= heartbeat.seen]:
                 del link.unacknowledged[number]
             if sent is not None:
                 # The acknowledgement waits for the peer's next heartbeat, half an interval on average.
-                took = max(0.0, now - sent - self.terms.interval / 2)
-                link.took += 0.2 * (took - link.took)
-        link.offset = heartbeat.wall - wall
+                round_trip = max(0.0, now - sent - self.terms.interval / 2)
+                link.round_trip += 0.2 * (round_trip - link.round_trip)
+        link.clock_offset = heartbeat.wall - wall
 
     def _receive_record(self, now: float, record: Record, source: str) -> None:
         """Process a peer's record of a member."""
@@ -400,24 +400,24 @@
         self._set_record(record, source)
         was_alive = known is not None and known.status != DEAD
         if record.status == ALIVE:
-            self.heard_of[record.name] = now
+            self.last_heard_at[record.name] = now
             if record.name in self._suspicions_end_at:
                 del self._suspicions_end_at[record.name]
                 self._suppress_suspicion(now, record.name)
             if known is not None and record.incarnation > known.incarnation:
-                self.updates.append(News("restarted", record.name))
+                self.updates.append(MembershipUpdate("restarted", record.name))
             elif not was_alive:
-                self.updates.append(News("up", record.name))
+                self.updates.append(MembershipUpdate("up", record.name))
             elif known is not None and known.about != record.about:
-                self.updates.append(News("told", record.name))
+                self.updates.append(MembershipUpdate("told", record.name))
         elif record.status == SUSPECT:
             self._suspicions_end_at[record.name] = now + self._suspicion_duration(len(record.by), record.cause)
             if known is None:
-                self.updates.append(News("up", record.name))
+                self.updates.append(MembershipUpdate("up", record.name))
         else:
             self._suspicions_end_at.pop(record.name, None)
             if was_alive:
-                self.updates.append(News("down", record.name, record.cause))
+                self.updates.append(MembershipUpdate("down", record.name, record.cause))
 
     def _receive_own_record(self, record: Record) -> None:
         """Process a peer's record of this member."""
@@ -426,7 +426,7 @@
             self.duplicate_incarnation = max(self.duplicate_incarnation, record.incarnation)
             if not self.duplicate_name:
                 self.duplicate_name = True
-                self.updates.append(News("twin", self.name))
+                self.updates.append(MembershipUpdate("twin", self.name))
         elif record.incarnation == me.incarnation and (record.status != ALIVE or record.version > me.version):
             # Peers suspect this member or hold it for dead, or know a later version: refute with a higher version.
             self._update_own_record(version=max(me.version, record.version) + 1)
@@ -453,7 +453,7 @@
         """Store a fact and, if it is new, spread it to all peers but `source`."""
         self.clock.observe(fact.stamp)
         if self.facts.put(fact):
-            self.updates.append(News("fact", fact.key, fact.kind))
+            self.updates.append(MembershipUpdate("fact", fact.key, fact.kind))
             for peer, link in self.links.items():
                 if peer != source:
                     link.pending_facts[fact.kind, fact.key] = None
@@ -486,7 +486,7 @@
     def _suppress_suspicion(self, now: float, name: str) -> None:
         """Stop suspecting a peer for a while that cleared itself but is still not heard here: the link is one-way."""
         link = self.links.get(name)
-        if link is not None and link.arrivals.is_overdue(now, self._lateness):
+        if link is not None and link.detector.is_overdue(now, self._lateness):
             _, previous_wait = self._suppressed.get(name, (0.0, ONE_WAY_SUPPRESSION_SECONDS / 2))
             wait = min(MAX_ONE_WAY_SUPPRESSION_SECONDS, 2 * previous_wait)
             self._suppressed[name] = now + wait, wait
@@ -515,7 +515,7 @@
         does not hear this member."""
         links = {}
         for peer, link in self.links.items():
-            if link.arrivals.is_overdue(now, self._lateness):
+            if link.detector.is_overdue(now, self._lateness):
                 if self.is_alive(peer) and peer in self._suppressed:
                     links[peer] = "mute"
             elif (
@@ -527,9 +527,9 @@
 
     def slow_peers(self) -> list[str]:
         """Return the peers whose round trip is longer than `Terms.slow`."""
-        return [peer for peer, link in self.links.items() if link.took > self.terms.slow]
+        return [peer for peer, link in self.links.items() if link.round_trip > self.terms.slow]
 
-    def offset(self) -> float | None:
+    def clock_offset(self) -> float | None:
         """Return the median of the seconds that peers' wall clocks are ahead of this one's, None without a peer."""
-        known = sorted(link.offset for link in self.links.values() if link.offset is not None)
+        known = sorted(link.clock_offset for link in self.links.values() if link.clock_offset is not None)
         return known[len(known) // 2] if known else None
