--- a/micagate/membership/messages.py
+++ b/micagate/membership/messages.py
@@ -11,7 +11,7 @@
 from micagate.planning.messages import Malformed
 
 MAX_ENTRIES = 512  # of records, and of facts, in a message
-LONGEST = 256  # most characters of a name, a kind or a key
+MAX_NAME_LENGTH = 256  # most characters of a name, a kind or a key
 ALIVE, SUSPECT, DEAD = "alive", "suspect", "dead"
 STATUS_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
 GONE, SILENT = "gone", "silent"  # cause: its machine refuses connections, or nothing is received
@@ -99,12 +99,12 @@
 
 
 def _check_name(text: str) -> None:
-    if not 0 < len(text) <= LONGEST:
+    if not 0 < len(text) <= MAX_NAME_LENGTH:
         raise Malformed(f"name: must not be empty or too long: {len(text)} characters")
 
 
 def _check_stamp(stamp: Stamp) -> None:
-    if not 0 <= stamp[0] < 1 << 53 or not 0 <= stamp[1] < 1 << 53 or len(stamp[2]) > LONGEST:
+    if not 0 <= stamp[0] < 1 << 53 or not 0 <= stamp[1] < 1 << 53 or len(stamp[2]) > MAX_NAME_LENGTH:
         raise Malformed(f"stamp: out of range: {stamp!r}")
 
 
--- a/micagate/operating/maintenance.py
+++ b/micagate/operating/maintenance.py
@@ -4,9 +4,9 @@
 the call (it is part of the handoff). It is a state and not a count: a second call to take a worker out changes nothing,
 and one call to bring it back ends it.
 
-Discovery updates pass through `Maintenance.follow`, which marks workers in maintenance as draining. A worker that was
-brought back is assumed to have started at that call, so it gets a slow start even if discovery does not report the
-restart yet. A start time after the beginning of the maintenance that discovery reports replaces the assumed one.
+Discovery updates pass through `Maintenance.apply_update`, which marks workers in maintenance as draining. A worker
+that was brought back is assumed to have started at that call, so it gets a slow start even if discovery does not report
+the restart yet. A start time after the beginning of the maintenance that discovery reports replaces the assumed one.
 """
 
 from __future__ import annotations
@@ -21,70 +21,73 @@
     """The workers in maintenance, and the list of workers as discovery reported it."""
 
     def __init__(self) -> None:
-        self.told: dict[str, interface.WorkerEntry] = {}  # as discovery reported it, without removed workers
-        self.banned: dict[str, float] = {}  # start of the maintenance, seconds on the caller's clock
-        self.back: dict[str, tuple[float, float]] = {}  # workers brought back: start and end of the maintenance
+        self.entries: dict[str, interface.WorkerEntry] = {}  # as discovery reported it, without removed workers
+        self.out_since: dict[str, float] = {}  # start of the maintenance, seconds on the caller's clock
+        self.service_gaps: dict[str, tuple[float, float]] = {}  # workers brought back: start and end of the maintenance
 
-    def follow(self, update: interface.WorkerList) -> interface.WorkerList:
+    def apply_update(self, update: interface.WorkerList) -> interface.WorkerList:
         """Record a discovery update and return it with maintenance applied."""
         if update.failed:
             return update
         if update.whole:
-            self.told.clear()
+            self.entries.clear()
             listed = {entry.worker for entry in update.entries}
-            self.back = {name: times for name, times in self.back.items() if name in listed}
+            self.service_gaps = {name: times for name, times in self.service_gaps.items() if name in listed}
         for entry in update.entries:
             if entry.state == interface.REMOVED:
-                self.told.pop(entry.worker, None)
-                self.back.pop(entry.worker, None)
+                self.entries.pop(entry.worker, None)
+                self.service_gaps.pop(entry.worker, None)
             else:
-                self.told[entry.worker] = entry
-        if not self.banned and not self.back:
+                self.entries[entry.worker] = entry
+        if not self.out_since and not self.service_gaps:
             return update
         return replace(update, entries=tuple(self._effective_entry(entry) for entry in update.entries))
 
-    def out(self, now: float, worker: str, since: float | None = None) -> interface.WorkerList | None:
+    def take_out(self, now: float, worker: str, since: float | None = None) -> interface.WorkerList | None:
         """Take a worker out of service; return the resulting update, or None if its id is unknown.
 
         With `since` another process already knew of the maintenance. The worker is then out from that time on, whether
         or not discovery has listed it yet.
         """
-        if worker not in self.told and worker not in self.banned and since is None:
+        if worker not in self.entries and worker not in self.out_since and since is None:
             return None
-        self.banned.setdefault(worker, now if since is None else since)
-        self.back.pop(worker, None)
+        self.out_since.setdefault(worker, now if since is None else since)
+        self.service_gaps.pop(worker, None)
         return self._update_for(worker)
 
-    def online(self, now: float, worker: str, since: float | None = None) -> interface.WorkerList | None:
+    def bring_back(self, now: float, worker: str, since: float | None = None) -> interface.WorkerList | None:
         """Bring a worker back into service; return the resulting update, or None if its id is unknown."""
-        if worker not in self.told and worker not in self.banned and since is None:
+        if worker not in self.entries and worker not in self.out_since and since is None:
             return None
-        since = self.banned.pop(worker, None)
+        since = self.out_since.pop(worker, None)
         if since is None:
             return interface.WorkerList()  # it was in service, or the call was repeated
-        if worker in self.told:
-            self.back[worker] = since, now
+        if worker in self.entries:
+            self.service_gaps[worker] = since, now
         return self._update_for(worker)
 
     def restore(
-        self, banned: dict[str, float], back: dict[str, tuple[float, float]], told: Iterable[interface.WorkerEntry] = ()
+        self,
+        out_since: dict[str, float],
+        service_gaps: dict[str, tuple[float, float]],
+        entries: Iterable[interface.WorkerEntry] = (),
     ) -> interface.WorkerList:
         """Restore the maintenance of another process; return the resulting update of a list received before."""
-        self.banned.update(banned)
-        self.back.update(back)
-        for entry in told:
-            self.told.setdefault(entry.worker, entry)
-        return interface.WorkerList(tuple(self._effective_entry(entry) for entry in self.told.values()))
+        self.out_since.update(out_since)
+        self.service_gaps.update(service_gaps)
+        for entry in entries:
+            self.entries.setdefault(entry.worker, entry)
+        return interface.WorkerList(tuple(self._effective_entry(entry) for entry in self.entries.values()))
 
     def _update_for(self, worker: str) -> interface.WorkerList:
-        entry = self.told.get(worker)
+        entry = self.entries.get(worker)
         return interface.WorkerList(() if entry is None else (self._effective_entry(entry),))
 
     def _effective_entry(self, entry: interface.WorkerEntry) -> interface.WorkerEntry:
         """Return the entry with maintenance applied: draining, or started when it was brought back."""
-        if entry.worker in self.banned:
+        if entry.worker in self.out_since:
             return replace(entry, state=interface.DRAINING) if entry.state == interface.HEALTHY else entry
-        if (times := self.back.get(entry.worker)) is None or entry.state == interface.REMOVED:
+        if (times := self.service_gaps.get(entry.worker)) is None or entry.state == interface.REMOVED:
             return entry
         since, back_at = times
         if entry.started is not None and entry.started >= since:
--- a/micagate/pending.py
+++ b/micagate/pending.py
@@ -6,7 +6,7 @@
 
 from micagate import interface
 from micagate.accounts import Account
-from micagate.counting.counting import Call
+from micagate.counting.counting import CounterCall
 
 ACCOUNT_DURATION_WEIGHT = 0.1  # weight of a new attempt in the mean duration of its customer's attempts
 
@@ -81,5 +81,5 @@
         self.complete, self.retryable = request.complete, True
         if not request.complete:
             self.deadline = math.inf  # the deadline counts from the last byte
-        self.counter_call: Call | None = None  # the call to the shared counter that counted it
+        self.counter_call: CounterCall | None = None  # the call to the shared counter that counted it
         self.on_counter = False  # its units are charged to the shared counter, not to the local share of the ceiling
--- a/micagate/planning/demand.py
+++ b/micagate/planning/demand.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 
 from micagate.interface import ResourceDemand
-from micagate.planning.holder import NEGLIGIBLE_NEED, Demand
+from micagate.planning.holder import NEGLIGIBLE_NEED, ResourceNeed
 
 RISE_TIME_SECONDS = 0.4  # averaging time of a rate that rises
 # The averaging time of a falling rate is the time in which FALL_TIME_UNITS units arrive, within these bounds: a
@@ -36,7 +36,7 @@
         self.total_rate, self.burst, self.concurrency_limit = report.total_rate, report.burst, report.concurrency_limit
 
 
-class Demands:
+class DemandEstimator:
     """Turns reports of traffic into needs; the need of a resource without traffic decays until it is forgotten."""
 
     def __init__(self, now: float) -> None:
@@ -46,7 +46,7 @@
     def __len__(self) -> int:
         return len(self._uses)
 
-    def survey(self, now: float, reports: Iterable[ResourceDemand]) -> list[Demand]:
+    def update(self, now: float, reports: Iterable[ResourceDemand]) -> list[ResourceNeed]:
         """Add the reports since the last call, and return the needs of all known resources."""
         elapsed = max(1e-3, now - self._updated_at)
         self._updated_at = now
@@ -60,7 +60,7 @@
 
     def _estimate(
         self, elapsed: float, rise_weight: float, reports_by_key: dict[str, ResourceDemand]
-    ) -> Iterator[Demand]:
+    ) -> Iterator[ResourceNeed]:
         for key, use in list(self._uses.items()):
             report = reports_by_key.get(key)
             rate = report.requested_units / elapsed if report is not None else 0.0
@@ -93,4 +93,4 @@
             if need < NEGLIGIBLE_NEED:
                 del self._uses[key]
                 need = 0.0
-            yield Demand(key, use.first_gateway, use.gateway_count, need)
+            yield ResourceNeed(key, use.first_gateway, use.gateway_count, need)
--- a/micagate/planning/holder.py
+++ b/micagate/planning/holder.py
@@ -34,12 +34,12 @@
 
 
 @dataclass(slots=True)
-class Demand:
-    """The share of a resource that would meet the demand at a forwarder; `first` and `count` as in `messages.Need`."""
+class ResourceNeed:
+    """The share of a resource that would meet the demand at a forwarder; the forwarders as in `messages.Need`."""
 
     key: str
-    first: int
-    count: int
+    first_forwarder: int
+    forwarder_count: int
     need: float
 
 
@@ -120,8 +120,8 @@
 class Holder:
     """All that one forwarder has lent and borrowed; `now` is always a reading of its own clock.
 
-    `born` is when its process started. Its previous incarnation may have lent any of its shares, so until a term is
-    over, none may be used (`ready`) or lent again.
+    `started_at` is when its process started. Its previous incarnation may have lent any of its shares, so until a term
+    is over, none may be used (`ready`) or lent again.
     """
 
     def __init__(
@@ -129,17 +129,17 @@
         terms: Terms,
         index: int,
         forwarders: int,
-        born: float,
+        started_at: float,
         first_session: int = 1,
         shard_of: Callable[[str], int] | None = None,
     ) -> None:
-        self._terms, self.index, self._forwarders, self._started_at = terms, index, forwarders, born
+        self._terms, self.index, self._forwarders, self._started_at = terms, index, forwarders, started_at
         self._session_numbers = itertools.count(first_session)
         self._shard_of = shard_of or (lambda key: 0)
         self._current_sessions: dict[int, LeaseSession] = {}  # by shard: the session with its owner
         self._latest_epochs: dict[int, int] = {}  # by shard: the highest known epoch
         self._sessions: list[LeaseSession] = []  # all with a lease or grant that may be valid
-        self._needs: dict[str, Demand] = {}
+        self._needs: dict[str, ResourceNeed] = {}
 
     def ready(self, now: float) -> bool:
         """Return whether all leases of this forwarder's previous incarnation have surely expired."""
@@ -189,7 +189,7 @@
 
     # Needs.
 
-    def demand(self, now: float, demands: Iterable[Demand]) -> None:
+    def update_needs(self, now: float, demands: Iterable[ResourceNeed]) -> None:
         """Update the needs of the given resources; others keep theirs."""
         for demand in demands:
             known = self._needs.get(demand.key)
@@ -202,14 +202,16 @@
                     if session is not None and session.reported_needs.get(demand.key):
                         session.needs_to_report[demand.key] = None
                         session.reported_needs[demand.key] = -1.0  # to be reported as 0, with its set
-                        self._needs[demand.key] = Demand(demand.key, known.first, known.count, 0.0)
+                        self._needs[demand.key] = ResourceNeed(
+                            demand.key, known.first_forwarder, known.forwarder_count, 0.0
+                        )
                 continue
-            self._needs[demand.key] = Demand(demand.key, demand.first, demand.count, need)
+            self._needs[demand.key] = ResourceNeed(demand.key, demand.first_forwarder, demand.forwarder_count, need)
             if session is not None:
                 before = session.reported_needs.get(demand.key, 0.0)
-                moved = known is not None and (known.first, known.count) != (
-                    demand.first,
-                    demand.count,
+                moved = known is not None and (known.first_forwarder, known.forwarder_count) != (
+                    demand.first_forwarder,
+                    demand.forwarder_count,
                 )
                 if moved or abs(need - before) >= max(MIN_NEED_CHANGE, MIN_NEED_CHANGE_FRACTION * before):
                     session.needs_to_report[demand.key] = None
@@ -267,7 +269,11 @@
         lent = session.lent.get(lend_request.key, 0.0)
         known = self._needs.get(lend_request.key)
         amount = min(lend_request.amount, lent)
-        if lend_request.amount > lent and self.ready(now) and (known is None or known.count == lend_request.count):
+        if (
+            lend_request.amount > lent
+            and self.ready(now)
+            and (known is None or known.forwarder_count == lend_request.count)
+        ):
             owned = 1.0 / lend_request.count
             elsewhere = self._total_lent(now, lend_request.key, session)
             spare = owned - elsewhere - (known.need if known is not None else 0.0)
@@ -340,7 +346,7 @@
             known = self._needs.get(key)
             if known is None:
                 continue
-            needs.append(Need(key, known.first, known.count, known.need))
+            needs.append(Need(key, known.first_forwarder, known.forwarder_count, known.need))
             session.reported_needs[key] = known.need
             if known.need < NEGLIGIBLE_NEED:
                 del self._needs[key], session.reported_needs[key]
@@ -421,7 +427,7 @@
     def _forwarder_count(self, session: LeaseSession, key: str) -> int:
         """Return how many forwarders share a resource; 1 if unknown."""
         known = self._needs.get(key)
-        return known.count if known is not None else session.forwarder_counts.get(key, 1)
+        return known.forwarder_count if known is not None else session.forwarder_counts.get(key, 1)
 
     def record_released(self, number: int, levels: Iterable[interface.BucketLevels]) -> None:
         """Record the bucket levels that left with shares of a session, to be reported with the next leases."""
--- a/micagate/planning/ledger.py
+++ b/micagate/planning/ledger.py
@@ -132,24 +132,24 @@
 class _Resource:
     """A shared resource: the set of forwarders that own it, and the sessions with a need, lease or grant of it."""
 
-    __slots__ = ("first", "count", "sessions", "quota_level", "ceiling_level")
+    __slots__ = ("first_forwarder", "forwarder_count", "sessions", "quota_level", "ceiling_level")
 
     def __init__(self, first_forwarder: int, forwarder_count: int) -> None:
-        self.first, self.count = first_forwarder, forwarder_count
+        self.first_forwarder, self.forwarder_count = first_forwarder, forwarder_count
         # Token bucket levels that came with released shares, to be passed on with others.
         self.quota_level = self.ceiling_level = 0.0
         self.sessions: dict[_Session, None] = {}  # an ordered set
 
     def includes(self, index: int, forwarders: int) -> bool:
         """Return whether a forwarder owns a share of the resource."""
-        return (index - self.first) % forwarders < self.count
+        return (index - self.first_forwarder) % forwarders < self.forwarder_count
 
 
 class Ledger:
     """The leases and grants of one shard in one epoch; `now` is always a reading of the planner's own clock."""
 
     def __init__(self, terms: Terms, shard: int, epoch: int, forwarders: int, now: float) -> None:
-        self._terms, self.shard, self.epoch, self._forwarders, self.began = terms, shard, epoch, forwarders, now
+        self._terms, self.shard, self.epoch, self._forwarders, self.started_at = terms, shard, epoch, forwarders, now
         self._sessions: dict[str, _Session] = {}  # live sessions by forwarder name
         self._by_index: dict[int, _Session] = {}
         self._ended_sessions: list[_Session] = []  # ended sessions with grants that may still be in use
@@ -190,7 +190,7 @@
             resource = self._resources.get(need.key)
             if resource is None:
                 resource = self._resources[need.key] = _Resource(need.first, need.count)
-            elif (resource.first, resource.count) != (need.first, need.count):
+            elif (resource.first_forwarder, resource.forwarder_count) != (need.first, need.count):
                 if not any(other.needs.get(need.key) for other in resource.sessions if other is not session):
                     self._change_forwarder_set(need.key, resource, need.first, need.count)
                 else:
@@ -243,7 +243,7 @@
 
     def _change_forwarder_set(self, key: str, resource: _Resource, first: int, count: int) -> None:
         """Change the set of forwarders of a resource; leases of the old set are released when no grant needs them."""
-        resource.first, resource.count = first, count
+        resource.first_forwarder, resource.forwarder_count = first, count
         self._changed[key] = None
 
     def _count_lease(self, session: _Session, key: str) -> None:
@@ -353,11 +353,11 @@
     def _rebalance(self, now: float, key: str) -> None:
         """Bring the grants and lend requests of a resource closer to its target shares."""
         resource = self._resources[key]
-        owned = 1.0 / resource.count
+        owned = 1.0 / resource.forwarder_count
         members = [
             session
-            for n in range(resource.count)
-            if (session := self._by_index.get((resource.first + n) % self._forwarders)) is not None
+            for n in range(resource.forwarder_count)
+            if (session := self._by_index.get((resource.first_forwarder + n) % self._forwarders)) is not None
         ]
         shares = targets(
             [session.needs.get(key, 0.0) for session in members], [owned] * len(members), MIN_KEPT_FRACTION
@@ -546,7 +546,7 @@
                 resource := self._resources.get(key)
             ) is not None:
                 session.lend_requests[key] = (lend_request[0], session.last_update_number)
-                lend_requests.append(LendRequest(key, resource.count, lend_request[0]))
+                lend_requests.append(LendRequest(key, resource.forwarder_count, lend_request[0]))
         levels: list[BucketLevels] = []
         while session.levels and len(levels) < max_entries:
             key, (quota_level, ceiling_level) = session.levels.popitem()
--- a/micagate/planning/ownership.py
+++ b/micagate/planning/ownership.py
@@ -47,7 +47,7 @@
     return int.from_bytes(hashlib.blake2b(key.encode(), digest_size=4).digest(), "big") % shards
 
 
-def first(shard: int, planners: Iterable[str]) -> str | None:
+def preferred_planner(shard: int, planners: Iterable[str]) -> str | None:
     """Return the planner that rendezvous hashing prefers for a shard, None if there are no planners."""
     return max(
         planners,
@@ -72,23 +72,23 @@
         """Prepare to read the store again. Members that are still present keep the time they joined."""
         self._owners.clear()
         for shard, (number, _) in self._epochs.items():  # the store may have come back empty
-            self.heard(shard, number)
+            self.report_epoch(shard, number)
         self._epochs.clear()
         for shard in range(self._shards):
             self._vacant_since.setdefault(shard, now)
 
-    def members(self, now: float, names: Iterable[str]) -> None:
+    def set_members(self, now: float, names: Iterable[str]) -> None:
         """Set the planners that are present."""
         self._member_since = {name: self._member_since.get(name, now) for name in names}
 
-    def member(self, now: float, name: str, is_present: bool) -> None:
+    def update_member(self, now: float, name: str, is_present: bool) -> None:
         """Record that a planner has joined or left."""
         if is_present:
             self._member_since.setdefault(name, now)
         else:
             self._member_since.pop(name, None)
 
-    def owner(self, now: float, shard: int, owner: Owner | None) -> None:
+    def set_owner(self, now: float, shard: int, owner: Owner | None) -> None:
         """Set the owner of a shard according to the store; None makes it vacant."""
         if owner is None:
             self._owners.pop(shard, None)
@@ -97,11 +97,11 @@
             self._owners[shard] = owner
             self._vacant_since.pop(shard, None)
 
-    def epoch(self, shard: int, number: int, modified: int) -> None:
+    def set_epoch(self, shard: int, number: int, modified: int) -> None:
         """Set the last epoch of a shard according to the store."""
         self._epochs[shard] = number, modified
 
-    def heard(self, shard: int, epoch: int) -> None:
+    def report_epoch(self, shard: int, epoch: int) -> None:
         """Record an epoch that a forwarder knows; a store that came back empty may not have it."""
         self._reported_epochs[shard] = max(epoch, self._reported_epochs.get(shard, 0))
 
@@ -113,14 +113,14 @@
         """Return the owner of each shard according to the store."""
         return dict(self._owners)
 
-    def wishes(self, now: float) -> list[Claim | Release]:
+    def store_operations(self, now: float) -> list[Claim | Release]:
         """Return the claims and releases to attempt at the store now."""
         operations: list[Claim | Release] = []
         if self.name not in self._member_since:
             return operations
         for shard in range(self._shards):
             owner = self._owners.get(shard)
-            preferred = first(shard, self._member_since)
+            preferred = preferred_planner(shard, self._member_since)
             if owner is None:
                 since = self._vacant_since.setdefault(shard, now)
                 if preferred == self.name or now - since >= CLAIM_DELAY_SECONDS:
--- a/micagate/quotas.py
+++ b/micagate/quotas.py
@@ -13,11 +13,11 @@
 from micagate.account_table import AccountTable
 from micagate.accounts import Account
 from micagate.deficit_sketch import DeficitSketch
-from micagate.estimates.metering import BINS, Meter
-from micagate.recovery.write_ahead import Marks
+from micagate.estimates.metering import PHASE_BIN_COUNT, Meter
+from micagate.recovery.write_ahead import HighWaterMarks
 from micagate.resource_keys import customer_key
 from micagate.shares import Shares
-from micagate.workload import asked_of
+from micagate.workload import customer_demands
 
 FORECAST_DECAY_PER_SECOND = 0.7  # factor by which past demand decays each second in the forecast
 LONG_FORECAST_DECAY_PER_SECOND = 0.95  # the same in the long forecast, for customers seldom seen at this gateway
@@ -34,8 +34,8 @@
 class Quotas:
     """The quotas, ceilings and concurrency limits of all customers at one gateway.
 
-    `max_accounts` bounds the accounts in memory, `salt` keys the sketch of evicted ones, and `period` is the meter's
-    reporting period in seconds, 0 if there is no meter.
+    `max_accounts` bounds the accounts in memory, `salt` keys the sketch of evicted ones, and `meter_period` is the
+    meter's reporting period in seconds, 0 if there is no meter.
     """
 
     def __init__(
@@ -44,16 +44,16 @@
         shares: Shares | None = None,
         max_accounts: int = 30_000,
         salt: str = "",
-        period: float = 0.0,
+        meter_period: float = 0.0,
     ) -> None:
-        self.meter = Meter(period)
+        self.meter = Meter(meter_period)
         self.mean_duration = 0.0  # of an attempt, seconds, over all customers; 0: none has ended yet
-        self._born, self.shares = now, Shares() if shares is None else shares
+        self._started_at, self.shares = now, Shares() if shares is None else shares
         self._demanding_accounts: dict[str, Account] | None = (
             None  # by key, since the last report; None before the first
         )
         self.accounts, self.deficits = AccountTable(max_accounts), DeficitSketch(salt)
-        self.ceiling_marks: Marks | None = None  # set if ceilings are persisted across restarts
+        self.ceiling_high_water_marks: HighWaterMarks | None = None  # set if ceilings are persisted across restarts
 
     def account(self, now: float, customer: str, plan: interface.Plan, gateway_count: int) -> Account:
         """Return the customer's account, refilled up to `now`; create it if needed, and evict a few idle accounts.
@@ -65,10 +65,10 @@
         key = customer_key(plan.name, customer)
         account = self.accounts.get(key)
         if account is None:
-            account = Account(plan, key, gateway_count, now, self._born)
+            account = Account(plan, key, gateway_count, now, self._started_at)
             account.apply_deficit(deficit_seconds := self.deficits.deficit(now, key))
-            if self.ceiling_marks is not None:
-                self.ceiling_marks.opened(now, account, deficit_seconds)
+            if self.ceiling_high_water_marks is not None:
+                self.ceiling_high_water_marks.open_account(now, account, deficit_seconds)
         elif account.gateway_count != gateway_count:
             account.gateway_count = gateway_count
             self._set_divisors(account, gateway_count, gateway_count)
@@ -197,7 +197,7 @@
                 )
                 and (
                     not estimate_usable
-                    or estimate.places(
+                    or estimate.slot_probability(
                         account.in_flight,
                         account.mean_duration or self.mean_duration,
                         int(account.plan.concurrency_limit),
@@ -221,13 +221,16 @@
             return True
         # The local balance may be overdrawn by no more than the rest of the whole burst.
         max_overdraft = account.balance + account.plan.burst - account.capacity
-        return estimate_usable and min(estimate.spare(account.updated_at, min_confidence), max_overdraft) >= units
+        return (
+            estimate_usable
+            and min(estimate.guaranteed_level(account.updated_at, min_confidence), max_overdraft) >= units
+        )
 
     def ceiling_allows(self, account: Account, units: float, beyond_quota: bool) -> bool:
         """Return whether the ceiling allows a request; those beyond the quota must leave half its capacity free."""
         if not account.plan.ceiling_rate:
             return True
-        if self.ceiling_marks is not None and not self.ceiling_marks.lets(account, units):
+        if self.ceiling_high_water_marks is not None and not self.ceiling_high_water_marks.allows(account, units):
             return False
         return account.ceiling_balance >= units + (
             account.plan.ceiling_capacity / account.capacity_divisor / 2 if beyond_quota else 0.0
@@ -245,7 +248,7 @@
     def demand_report(self) -> list[interface.ResourceDemand]:
         """Return the demand of customers since the last report; the first call starts the counting."""
         accounts, self._demanding_accounts = self._demanding_accounts or {}, {}
-        return asked_of(accounts.values())
+        return customer_demands(accounts.values())
 
     def spend(
         self, account: Account, units: float, within_quota: bool, on_counter: bool = False, complete: bool = True
@@ -259,8 +262,8 @@
             self.record_arrival(account.updated_at, account, units)
         if account.plan.ceiling_rate and not on_counter:
             account.ceiling_balance -= units
-            if self.ceiling_marks is not None:
-                self.ceiling_marks.spent(account)
+            if self.ceiling_high_water_marks is not None:
+                self.ceiling_high_water_marks.record_spending(account)
         if within_quota and account.plan.rate:
             account.balance -= units
 
@@ -269,8 +272,12 @@
         self.refill(now, account)
         limit = int(account.plan.concurrency_limit)
         free_slot_probability = (
-            account.quota_estimate.places(account.in_flight, account.mean_duration or self.mean_duration, limit)
+            account.quota_estimate.slot_probability(
+                account.in_flight, account.mean_duration or self.mean_duration, limit
+            )
             if limit
             else 1.0
         )
-        account.quota_estimate.record_sent(account.updated_at, units, self.meter.period / BINS, free_slot_probability)
+        account.quota_estimate.record_sent(
+            account.updated_at, units, self.meter.period / PHASE_BIN_COUNT, free_slot_probability
+        )
--- a/micagate/recovery/persisted_state.py
+++ b/micagate/recovery/persisted_state.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from micagate.accounts import Account
-from micagate.gateway import RETRY_DEPTH, Gateway
-from micagate.recovery.recovery_policy import UNSAVED_SECONDS, Case, Disk, Kind, Way, judge
+from micagate.gateway import RETRY_BUDGET_CAPACITY, Gateway
+from micagate.recovery.recovery_policy import UNSAVED_SECONDS, Action, Case, Disk, Kind, decide
 from micagate.recovery.slow_start import estimate_load
 
 ACCOUNT, CORE, WORKER = "account", "core", "worker"
@@ -24,7 +24,7 @@
 Row = tuple[str, str, Any]
 
 
-class Walk:
+class ChangedRows:
     """Collects the rows that have changed, some at each step, so that none is older than `WRITE_PERIOD_SECONDS`."""
 
     def __init__(self, gateway: Gateway, now: float) -> None:
@@ -33,7 +33,7 @@
         self._changed_since: dict[str, float] = {}  # customers with unwritten changes, and since when
         self._pending_workers: list[str] = []
         self._core_written_at = now
-        self.pace = 0.0  # served a second, smoothed: over two seconds the random error is a fifth
+        self.served_rate = 0.0  # served a second, smoothed: over two seconds the random error is a fifth
         self._sample_count = 0
 
     def step(self, now: float, include_customers: bool = True) -> list[Row]:
@@ -58,7 +58,7 @@
         if now - self._core_written_at >= WRITE_PERIOD_SECONDS:
             self._core_written_at = now
             self._update_served_rate(now)
-            rows.append((CORE, "", core_row(self._gateway, now, self.pace)))
+            rows.append((CORE, "", core_row(self._gateway, now, self.served_rate)))
             self._pending_workers = list(self._gateway.fleet.workers)
         names, self._pending_workers = (
             self._pending_workers[:MAX_ROWS_PER_STEP],
@@ -72,18 +72,18 @@
         """Update the served rate, except under overload control, which limits it below the demand."""
         if not self._gateway.throttle.active:
             self._sample_count += 1
-            self.pace += max(SERVED_RATE_SMOOTHING, 1 / self._sample_count) * (
-                total_served_rate(self._gateway, now) - self.pace
+            self.served_rate += max(SERVED_RATE_SMOOTHING, 1 / self._sample_count) * (
+                total_served_rate(self._gateway, now) - self.served_rate
             )
 
-    def all(self, now: float) -> list[Row]:
+    def remaining_rows(self, now: float) -> list[Row]:
         """Return all unwritten rows, at a planned shutdown."""
         rows = [
             (ACCOUNT, key, account_row(account))
             for key in self._changed_since
             if (account := self._gateway.quotas.accounts.get(key)) is not None
         ]
-        return [*rows, (CORE, "", core_row(self._gateway, now, self.pace))]
+        return [*rows, (CORE, "", core_row(self._gateway, now, self.served_rate))]
 
 
 def account_row(account: Account) -> list[float]:
@@ -100,28 +100,28 @@
     ]
 
 
-def core_row(gateway: Gateway, now: float, pace: float) -> dict[str, Any]:
+def core_row(gateway: Gateway, now: float, served_rate: float) -> dict[str, Any]:
     """Return what was learned of the fleet: usual latencies, the served rate, overload control, the retry budget,
     client waits."""
     fleet, throttle = gateway.fleet, gateway.throttle
     return {
         "at": now,
-        "usual": dict(fleet._usual),
+        "usual": dict(fleet._usual_latencies),
         "brisk": fleet.shortest_usual_latency if fleet.shortest_usual_latency < math.inf else None,
-        "answers": fleet._answers,
-        "pace": pace,
+        "answers": fleet._response_count,
+        "pace": served_rate,
         "load": estimate_load(gateway),
         "control": throttle.active,
         "budget": gateway.retry_budget,
         "took": gateway.quotas.mean_duration,
-        "waits": gateway.waits.kept(),
+        "waits": gateway.waits.state(),
     }
 
 
 def total_served_rate(gateway: Gateway, now: float) -> float:
     """Return the requests that all workers together serve this gateway in a second."""
-    return gateway.fleet.rate(now) * max(
-        1, gateway.fleet.subset.fit if gateway.fleet.subset.is_partial else gateway.fleet.usable_count
+    return gateway.fleet.warm_worker_rate(now) * max(
+        1, gateway.fleet.subset.eligible_count if gateway.fleet.subset.is_partial else gateway.fleet.usable_count
     )
 
 
@@ -140,7 +140,7 @@
     ]
 
 
-class Kept:
+class RestoredState:
     """The rows of the previous incarnation, in this one's time; restored as customers and workers appear."""
 
     def __init__(self, rows: Mapping[tuple[str, str], Any], case: Case) -> None:
@@ -150,17 +150,17 @@
         core = rows.get((CORE, ""))
         self.core: dict[str, Any] = core if isinstance(core, dict) else {}
 
-    def account(self, now: float, account: Account) -> None:
+    def restore_account(self, now: float, account: Account) -> None:
         """Restore the quota levels of a customer's new account as far as they are trusted."""
         row = self.accounts.pop(account.key, None)
         if row is None:
             return
         updated_at, balance, level, metered_use, forecast, long_forecast, local_rate = row
-        verdict = judge(Kind.QUOTA_LEVELS, self.case)
-        if verdict.way is Way.DROPPED or not account.plan.rate:
+        verdict = decide(Kind.QUOTA_LEVELS, self.case)
+        if verdict.action is Action.DROPPED or not account.plan.rate:
             return
         elapsed = max(0.0, now - updated_at)
-        unsaved = 0.0 if verdict.way is Way.TAKEN else max(forecast, long_forecast) * UNSAVED_SECONDS
+        unsaved = 0.0 if verdict.action is Action.ACCEPTED else max(forecast, long_forecast) * UNSAVED_SECONDS
         account.balance = min(account.capacity, max(0.0, balance - unsaved) + elapsed * account.equal_rate)
         # Other gateways that kept serving have spent from the whole quota, so it has not filled up.
         filled = elapsed * account.plan.rate if self.case.all_restarted else 0.0
@@ -168,37 +168,39 @@
         account.metered_use, account.forecast, account.long_forecast = metered_use, forecast, long_forecast
         account.local_rate = max(account.equal_rate, min(local_rate, account.plan.rate))
 
-    def learned(self, gateway: Gateway, now: float) -> None:
+    def restore_learned(self, gateway: Gateway, now: float) -> None:
         """Restore what was learned of the fleet. Call it first: it determines the capacity of workers in slow start."""
         core, fleet = self.core, gateway.fleet
-        if judge(Kind.OVERLOAD_CONTROL, self.case).way is Way.TAKEN:
+        if decide(Kind.OVERLOAD_CONTROL, self.case).action is Action.ACCEPTED:
             usual_latencies = core.get("usual")
             if isinstance(usual_latencies, dict):
-                fleet._usual.update(
+                fleet._usual_latencies.update(
                     {
-                        str(name): float(took)
-                        for name, took in usual_latencies.items()
-                        if name in gateway.classes and _is_number(took) and took > 0
+                        str(name): float(duration)
+                        for name, duration in usual_latencies.items()
+                        if name in gateway.classes and _is_number(duration) and duration > 0
                     }
                 )
             if (shortest_latency := _positive_or_zero(core.get("brisk"))) > 0:
-                fleet.shortest_usual_latency, fleet._answers = (
+                fleet.shortest_usual_latency, fleet._response_count = (
                     shortest_latency,
-                    max(fleet._answers, int(_positive_or_zero(core.get("answers")))),
+                    max(fleet._response_count, int(_positive_or_zero(core.get("answers")))),
                 )
-            if (took := _positive_or_zero(core.get("took"))) > 0:
-                gateway.quotas.mean_duration = took
-        retry_verdict = judge(Kind.RETRY_BUDGET, self.case)
+            if (duration := _positive_or_zero(core.get("took"))) > 0:
+                gateway.quotas.mean_duration = duration
+        retry_verdict = decide(Kind.RETRY_BUDGET, self.case)
         if self.case.disk is not Disk.NONE:
-            gateway.retry_budget = min(RETRY_DEPTH, retry_verdict.share * _positive_or_zero(core.get("budget")))
-        if judge(Kind.CLIENT_WAITS, self.case).way is Way.TAKEN and isinstance(core.get("waits"), dict):
+            gateway.retry_budget = min(
+                RETRY_BUDGET_CAPACITY, retry_verdict.share * _positive_or_zero(core.get("budget"))
+            )
+        if decide(Kind.CLIENT_WAITS, self.case).action is Action.ACCEPTED and isinstance(core.get("waits"), dict):
             gateway.waits.restore(core["waits"])
 
-    def pace(self) -> float:
+    def served_rate(self) -> float:
         """Return the rate that workers served this gateway, in requests a second; 0 if it is not trusted."""
         return (
             _positive_or_zero(self.core.get("pace"))
-            if judge(Kind.OVERLOAD_CONTROL, self.case).way is Way.TAKEN
+            if decide(Kind.OVERLOAD_CONTROL, self.case).action is Action.ACCEPTED
             else 0.0
         )
 
@@ -206,7 +208,7 @@
         """Return the utilisation of the workers."""
         return min(1.0, _positive_or_zero(self.core.get("load"))) or 1.0
 
-    def worker(self, gateway: Gateway, now: float, name: str) -> bool:
+    def restore_worker(self, gateway: Gateway, now: float, name: str) -> bool:
         """Restore what was learned of a worker on the list; return whether its latency was restored."""
         row, worker = self.workers.pop(name, None), gateway.fleet.workers.get(name)
         if row is None or worker is None:
@@ -215,13 +217,13 @@
         is_same_incarnation = started == worker.entry.started or (
             started is not None and worker.entry.started is not None and abs(started - worker.entry.started) < 0.1
         )
-        latency_verdict = judge(Kind.WORKER_LATENCY, _case_for_row(self.case, now - updated_at, is_same_incarnation))
+        latency_verdict = decide(Kind.WORKER_LATENCY, _case_for_row(self.case, now - updated_at, is_same_incarnation))
         if latency_verdict.share > 0:
             worker.relative_latency, worker.latency_updated_at = (
                 1 + (max(0.1, relative_latency) - 1) * latency_verdict.share,
                 now,
             )
-        health_verdict = judge(Kind.WORKER_HEALTH, _case_for_row(self.case, now - updated_at, is_same_incarnation))
+        health_verdict = decide(Kind.WORKER_HEALTH, _case_for_row(self.case, now - updated_at, is_same_incarnation))
         if health_verdict.share > 0 and consecutive_failures > 0:
             worker.consecutive_failures, worker.backoff_until = (
                 int(consecutive_failures),
@@ -232,7 +234,9 @@
 
 def _case_for_row(case: Case, age: float, same_incarnation: bool) -> Case:
     """Return the case of a restart for one row of a worker."""
-    return Case(case.disk, case.end, case.peers, age, case.downtime, case.all_restarted, same_incarnation, case.longest)
+    return Case(
+        case.disk, case.end, case.peers, age, case.downtime, case.all_restarted, same_incarnation, case.max_deadline
+    )
 
 
 def _is_number(value: Any) -> bool:
--- a/micagate/recovery/slow_start.py
+++ b/micagate/recovery/slow_start.py
@@ -10,7 +10,7 @@
 MIN_LOAD = 0.3  # the least assumed utilisation of workers, for latencies that show none
 
 
-def warmth(gateway: Gateway, now: float) -> float:
+def mean_warm_up_factor(gateway: Gateway, now: float) -> float:
     """Return the mean warm-up factor of the usable workers: their present capacity over that when warm; 1 if none."""
     fleet = gateway.fleet
     known = [
@@ -28,26 +28,26 @@
     for servers with several cores, so it counts for half.
     """
     fleet = gateway.fleet
-    usual = max(fleet._usual.values(), default=0.0)
+    usual = max(fleet._usual_latencies.values(), default=0.0)
     if not usual or fleet.shortest_usual_latency > usual:
         return 1.0
     return (1 + max(MIN_LOAD, 1 - fleet.shortest_usual_latency / usual)) / 2
 
 
-def begin(gateway: Gateway, now: float, pace: float, load: float) -> bool:
+def start_throttled(gateway: Gateway, now: float, served_rate: float, load: float) -> bool:
     """Start overload control if the workers are in slow start together; return whether it was started.
 
-    `pace` is what workers served this gateway in a second while they were warm, `load` their utilisation at that rate
-    (`estimate_load`). Trade-off: if there are far fewer requests than before the restart, control is active without
-    need, but refuses nothing; if the rate is far too low, the control loop takes seconds to raise it.
+    `served_rate` is what workers served this gateway in a second while they were warm, `load` their utilisation at
+    that rate (`estimate_load`). Trade-off: if there are far fewer requests than before the restart, overload control
+    is active without need, but refuses nothing; if the rate is far too low, the control loop takes seconds to raise it.
     """
-    warm_up = warmth(gateway, now)
-    if pace <= 0 or warm_up >= 1 or load > 0 and warm_up >= load:
+    warm_up = mean_warm_up_factor(gateway, now)
+    if served_rate <= 0 or warm_up >= 1 or load > 0 and warm_up >= load:
         return False
-    gateway.throttle.activate_at(now, pace / max(load, MIN_LOAD), warm_up)
+    gateway.throttle.activate_at(now, served_rate / max(load, MIN_LOAD), warm_up)
     return True
 
 
-def follow(gateway: Gateway, now: float) -> None:
+def update_warm_up(gateway: Gateway, now: float) -> None:
     """Adjust the rate of overload control to the workers' warm-up factor; call it regularly while serving."""
-    gateway.throttle.update_warm_share(now, warmth(gateway, now))
+    gateway.throttle.update_warm_up_factor(now, mean_warm_up_factor(gateway, now))
--- a/micagate/recovery/stages.py
+++ b/micagate/recovery/stages.py
@@ -37,7 +37,7 @@
             if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < math.inf:
                 raise ValueError(f"{each.name} must be a number of at least 0, not {value!r}")
 
-    def of(self, stage: str) -> float:
+    def limit(self, stage: str) -> float:
         """Return the timeout of a stage."""
         value: float = getattr(self, stage)
         return value
@@ -48,36 +48,36 @@
     """A completed stage: its duration in seconds, and what was still missing if it timed out."""
 
     stage: str
-    took: float
+    duration: float
     missing: str = ""
 
 
-class Recovery:
+class StartProgress:
     """The progress of one start through its stages."""
 
     def __init__(self, now: float, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
         self.stage, self._stage_started_at = MEMORY, now
         self.waits_for = ""
-        self.over: list[CompletedStage] = []
+        self.completed: list[CompletedStage] = []
         self.started_at = now
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the gateway serves clients."""
         return self.stage == OPEN
 
-    def look(self, now: float, waits: Mapping[str, str]) -> str:
+    def advance(self, now: float, pending: Mapping[str, str]) -> str:
         """Advance through the stages that are complete or timed out, and return the present stage.
 
-        `waits` says for each stage what it waits for; a stage that is missing or empty is complete.
+        `pending` says for each stage what it waits for; a stage that is missing or empty is complete.
         """
         while self.stage != OPEN:
-            missing = waits.get(self.stage, "")
-            if missing and now - self._stage_started_at < self.limits.of(self.stage):
+            missing = pending.get(self.stage, "")
+            if missing and now - self._stage_started_at < self.limits.limit(self.stage):
                 self.waits_for = missing
                 return self.stage
-            self.over.append(CompletedStage(self.stage, now - self._stage_started_at, missing))
+            self.completed.append(CompletedStage(self.stage, now - self._stage_started_at, missing))
             self.stage = ORDER[ORDER.index(self.stage) + 1]
             self._stage_started_at = now
         self.waits_for = ""
@@ -89,7 +89,7 @@
             self.stage, self._stage_started_at = stage, now
 
 
-def gathers(member: str, others: Iterable[tuple[str, str, bool]]) -> str:
+def pending_peers(member: str, others: Iterable[tuple[str, str, bool]]) -> str:
     """Return the names of the members that a gateway at `gather` waits for, comma-separated, empty if none.
 
     `others` has the name and stage of each live member, and whether it started at the same time. If a member that
--- a/micagate/refunds.py
+++ b/micagate/refunds.py
@@ -6,11 +6,11 @@
 
 from micagate import interface
 from micagate.accounts import Account
-from micagate.counting.counting import Counting
+from micagate.counting.counting import QuotaCounter
 from micagate.pending import Pending
 
 
-def release_request(counting: Counting, pending: Pending, unanswered: Mapping[str, Pending]) -> None:
+def release_request(counting: QuotaCounter, pending: Pending, unanswered: Mapping[str, Pending]) -> None:
     """Release what a request holds, once it has been answered (is not in `unanswered`) and has no attempt in flight.
 
     Its slot on the shared counter is released. If no worker received it whole, it used no quota, and its units are
@@ -22,7 +22,7 @@
     if not delivered:
         refund(pending.account, pending.request.units, pending.within_quota, pending.on_counter, pending.complete)
     if pending.counter_call is not None:
-        (counting.leave if delivered else counting.give_back)(pending.counter_call)
+        (counting.release_slot if delivered else counting.refund)(pending.counter_call)
         pending.counter_call = None
 
 
--- a/micagate/settings_keys.py
+++ b/micagate/settings_keys.py
@@ -20,12 +20,12 @@
 class SettingKey:
     """The type of a setting and its bounds.
 
-    `follows` says what the setting affects or, if `used` is false, why it has no effect. `required`: it has no default
+    `effect` says what the setting affects or, if `used` is false, why it has no effect. `required`: it has no default
     here. Settings that only the process reads are checked where they are read, in `oliveloft/config/`.
     """
 
     kind: str  # number, whole, flag or text; empty if unused, and then any value is valid
-    follows: str
+    effect: str
     used: bool = True
     required: bool = True
     minimum: float = 0.0
@@ -57,7 +57,7 @@
 NO_TARIFFS = "decisions depend on latency objectives, importance, quotas and rules, not on tariffs"
 
 # By key; `[]` stands for each item of a list.
-FACTS: Mapping[str, SettingKey] = {
+SETTING_KEYS: Mapping[str, SettingKey] = {
     "Caps.Cancel": SettingKey("flag", "whether attempts that are no longer needed are cancelled, also by hedges"),
     "Caps.ConnectTimeoutUs": SettingKey("number", "timeout of a connection attempt", required=False),
     "Caps.CpuUsPerRequest": _unused("bounds the process, not its decisions"),
@@ -161,19 +161,20 @@
 }
 
 
-LIST_KEYS = tuple(dict.fromkeys(key.partition("[].")[0] for key in FACTS if "[]." in key))
+LIST_KEYS = tuple(dict.fromkeys(key.partition("[].")[0] for key in SETTING_KEYS if "[]." in key))
 
 
-def stated(settings: Mapping[str, Any], prefix: str = "") -> Iterator[tuple[str, str, Any]]:
-    """Yield each setting: its key as in `FACTS`, its path with list indices, and its value."""
+def iter_settings(settings: Mapping[str, Any], prefix: str = "") -> Iterator[tuple[str, str, Any]]:
+    """Yield each setting: its key as in `SETTING_KEYS`, its path with list indices, and its value."""
     for name, value in settings.items():
         key = f"{prefix}{name}"
         if isinstance(value, Mapping):
-            yield from ((leaf_key, f"{name}.{path}", leaf) for leaf_key, path, leaf in stated(value, f"{key}."))
+            yield from ((leaf_key, f"{name}.{path}", leaf) for leaf_key, path, leaf in iter_settings(value, f"{key}."))
         elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
             for index, item in enumerate(value):
                 yield from (
-                    (leaf_key, f"{name}[{index}].{path}", leaf) for leaf_key, path, leaf in stated(item, f"{key}[].")
+                    (leaf_key, f"{name}[{index}].{path}", leaf)
+                    for leaf_key, path, leaf in iter_settings(item, f"{key}[].")
                 )
         else:
             yield key, name, value
@@ -186,13 +187,13 @@
         if not isinstance(entries, list) or not all(isinstance(item, Mapping) for item in entries):
             raise ValueError(f"{name}: must be a list of objects, not {entries!r}")
     seen: Counter[str] = Counter()
-    for key, path, value in stated(settings):
+    for key, path, value in iter_settings(settings):
         seen[key] += 1
-        setting_key = FACTS.get(key)
+        setting_key = SETTING_KEYS.get(key)
         # Any value of an unused key is valid.
         if setting_key is not None and setting_key.used and (problem := setting_key.problem(value)):
             raise ValueError(f"{path}: {problem}, not {value!r}")
-    for key, setting_key in FACTS.items():
+    for key, setting_key in SETTING_KEYS.items():
         list_key, separator, _ = key.partition("[].")
         expected = len(settings.get(list_key, ())) if separator else 1
         if setting_key.required and seen[key] < expected:
--- a/micagate/throttle.py
+++ b/micagate/throttle.py
@@ -46,9 +46,11 @@
         self.warm_up_factor = 1.0  # capacity of the present workers over that of warm ones
         # In this order: the first request after a time without any, the last leak of the bucket, start and end of the
         # measurement period, the last rejection or excess of signals, and the last update of the leak rate.
-        self._born = self._leaked = self._since = self._due = self._quiet = self._changed = now
-        self._admits: deque[float] = deque()  # times of the admitted requests
-        self._refusals: deque[float] = deque()  # times of the rejected requests
+        self._traffic_started_at = self._leaked_at = self._period_start = self._period_end = self._last_excess_at = (
+            self._updated_at
+        ) = now
+        self._admission_times: deque[float] = deque()  # times of the admitted requests
+        self._rejection_times: deque[float] = deque()  # times of the rejected requests
         self._signals: deque[tuple[float, str, str]] = deque()  # time, worker and plan of each overload signal
 
     def set_workers(self, worker_count: int, is_partial_subset: bool) -> None:
@@ -92,7 +94,7 @@
 
     def _discard_before(self, start: float) -> None:
         """Discard the requests and signals before a time."""
-        for times in (self._admits, self._refusals):
+        for times in (self._admission_times, self._rejection_times):
             while times and times[0] < start:
                 times.popleft()
         while self._signals and self._signals[0][0] < start:
@@ -105,7 +107,7 @@
         the present leak rate: a backlog would lower it long after it was low enough.
         """
         self.advance(now)
-        if self.active and sent_at < self._changed:
+        if self.active and sent_at < self._updated_at:
             return
         self._signals.append((now, worker, plan))
         self.advance(now)
@@ -119,10 +121,10 @@
             warm_up_factor,
             0.0,
         )
-        self._leaked = self._quiet = self._changed = now
+        self._leaked_at = self._last_excess_at = self._updated_at = now
         self._start_measurement(now + SETTLING_SECONDS)
 
-    def update_warm_share(self, now: float, warm_up_factor: float) -> None:
+    def update_warm_up_factor(self, now: float, warm_up_factor: float) -> None:
         """Scale the leak rate with the capacity of the present workers.
 
         A throttle that was activated for slow start deactivates once they are warm, unless there are signals.
@@ -137,8 +139,10 @@
         if not self.active:
             self._discard_before(now - MEASUREMENT_PERIOD_SECONDS)
             # Only the time since the first request counts: over a whole period the rate would be far too low.
-            elapsed = max(0.1 * MEASUREMENT_PERIOD_SECONDS, min(MEASUREMENT_PERIOD_SECONDS, now - self._born))
-            base_rate = len(self._admits) / elapsed
+            elapsed = max(
+                0.1 * MEASUREMENT_PERIOD_SECONDS, min(MEASUREMENT_PERIOD_SECONDS, now - self._traffic_started_at)
+            )
+            base_rate = len(self._admission_times) / elapsed
             if (
                 self._signals
                 and self._count_capped_signals(base_rate)
@@ -149,35 +153,44 @@
                     max(base_rate, 1.0 / MEASUREMENT_PERIOD_SECONDS),
                     max(base_rate, 1.0 / MEASUREMENT_PERIOD_SECONDS),
                 )
-                self.bucket_level, self._leaked, self._quiet, self._changed = BUCKET_CAPACITY, now, now, now
+                self.bucket_level, self._leaked_at, self._last_excess_at, self._updated_at = (
+                    BUCKET_CAPACITY,
+                    now,
+                    now,
+                    now,
+                )
                 self._start_measurement(now)
-        elif now >= self._due:
-            elapsed = now - self._since
-            self._discard_before(self._since)
+        elif now >= self._period_end:
+            elapsed = now - self._period_start
+            self._discard_before(self._period_start)
             signal_rate = self._count_capped_signals(self.base_rate) / elapsed
             # If the throttle activated as traffic began, few requests were admitted before: use the offered load.
-            if self._changed < self._born + MEASUREMENT_PERIOD_SECONDS:
-                self.base_rate = max(self.base_rate, (len(self._admits) + len(self._refusals)) / elapsed)
+            if self._updated_at < self._traffic_started_at + MEASUREMENT_PERIOD_SECONDS:
+                self.base_rate = max(
+                    self.base_rate, (len(self._admission_times) + len(self._rejection_times)) / elapsed
+                )
             target_rate = self.target_signal_rate(self.base_rate)
             if 2 * signal_rate > target_rate:  # fewer occur by chance, and would keep a low rate low for long
                 rate = (
-                    len(self._admits) / elapsed * min(MAX_STEP_FACTOR, max(MIN_STEP_FACTOR, target_rate / signal_rate))
+                    len(self._admission_times)
+                    / elapsed
+                    * min(MAX_STEP_FACTOR, max(MIN_STEP_FACTOR, target_rate / signal_rate))
                 )
             else:  # the admitted rate is fine, so it becomes the base: traffic may have grown since activation
-                self.base_rate = max(self.base_rate, len(self._admits) / elapsed)
+                self.base_rate = max(self.base_rate, len(self._admission_times) / elapsed)
                 rate = self.rate + RATE_INCREMENT_SHARE * self.base_rate
-            if self._refusals or rate < self.rate:  # not raised unless requests were rejected
+            if self._rejection_times or rate < self.rate:  # not raised unless requests were rejected
                 self.rate = min(MAX_LEAK_RATE_FACTOR * self.base_rate, max(MIN_LEAK_RATE_FACTOR * self.base_rate, rate))
-            if self._refusals or signal_rate > self.target_signal_rate(self.base_rate):
-                self._quiet = now
-            elif now - self._quiet >= DEACTIVATION_DELAY_SECONDS:
+            if self._rejection_times or signal_rate > self.target_signal_rate(self.base_rate):
+                self._last_excess_at = now
+            elif now - self._last_excess_at >= DEACTIVATION_DELAY_SECONDS:
                 self.active = False
-            self._changed = now
+            self._updated_at = now
             self._start_measurement(now + SETTLING_SECONDS)
 
     def _start_measurement(self, now: float) -> None:
         """Start a measurement period, which may lie in the future."""
-        self._since, self._due = now, now + MEASUREMENT_PERIOD_SECONDS
+        self._period_start, self._period_end = now, now + MEASUREMENT_PERIOD_SECONDS
         self._discard_before(now)
 
     def admit(self, now: float, capacity_share: float = 1.0) -> bool:
@@ -188,13 +201,13 @@
         """
         self.advance(now)
         if self.active:
-            self.bucket_level = max(0.0, self.bucket_level - (now - self._leaked) * self.rate)
-            self._leaked = now
+            self.bucket_level = max(0.0, self.bucket_level - (now - self._leaked_at) * self.rate)
+            self._leaked_at = now
             if self.bucket_level + REQUEST_COST > BUCKET_CAPACITY * capacity_share:
-                self._refusals.append(now)
+                self._rejection_times.append(now)
                 return False
             self.bucket_level += REQUEST_COST
-        elif not self._admits:
-            self._born = now
-        self._admits.append(now)
+        elif not self._admission_times:
+            self._traffic_started_at = now
+        self._admission_times.append(now)
         return True
--- a/micagate/trace.py
+++ b/micagate/trace.py
@@ -15,7 +15,7 @@
 from micagate import interface
 
 # The name under which each class is written. It never changes, so that old traces stay readable. A field is written
-# under its own name, or under the name in its metadata entry `WRITTEN`.
+# under its own name, or under the name in its metadata entry `TRACE_NAME`.
 _CLASSES_BY_NAME: dict[str, type[Any]] = {
     "WorkerEntry": interface.WorkerEntry,
     "WorkerList": interface.WorkerList,
@@ -52,7 +52,7 @@
     interface.MaintenanceResult: "Maintained",
 }
 _ATTRIBUTES_BY_CLASS = {
-    kind: {field.metadata.get(interface.WRITTEN, field.name): field.name for field in dataclasses.fields(kind)}
+    kind: {field.metadata.get(interface.TRACE_NAME, field.name): field.name for field in dataclasses.fields(kind)}
     for kind in _CLASSES_BY_NAME.values()
 }
 
@@ -68,7 +68,7 @@
     if not dataclasses.is_dataclass(value):
         return value
     fields = {
-        field.metadata.get(interface.WRITTEN, field.name): pack(getattr(value, field.name))
+        field.metadata.get(interface.TRACE_NAME, field.name): pack(getattr(value, field.name))
         for field in dataclasses.fields(value)
         if getattr(value, field.name) != field.default
     }
--- a/micagate/worker_subset.py
+++ b/micagate/worker_subset.py
@@ -25,7 +25,7 @@
     def __init__(self, number: int | None, gateway_count: int) -> None:
         self._number, self._gateway_count = number, gateway_count
         self.ring: list[Worker] = []  # usable workers in the order of their ranks
-        self.fit, self._length = 1, 1  # number of eligible workers, and of all, in the subset last returned
+        self.eligible_count, self._length = 1, 1  # number of eligible workers, and of all, in the subset last returned
         self._update_sizes()
 
     def add(self, worker: Worker) -> None:
@@ -66,7 +66,7 @@
             subset.append(worker)
             if is_eligible(worker) and (eligible_count := eligible_count + 1) == count:
                 break
-        self.fit, self._length = max(1, eligible_count), max(1, len(subset))
+        self.eligible_count, self._length = max(1, eligible_count), max(1, len(subset))
         return subset
 
     def overlap(self) -> float:
--- a/micagate/workload.py
+++ b/micagate/workload.py
@@ -100,7 +100,7 @@
         return loads
 
 
-def asked_of(accounts: Iterable[Account]) -> list[interface.ResourceDemand]:
+def customer_demands(accounts: Iterable[Account]) -> list[interface.ResourceDemand]:
     """Return the demand for each customer's quota since the last report, and reset it."""
     demands = []
     for account in accounts:
--- a/oliveloft/backend/pool.py
+++ b/oliveloft/backend/pool.py
@@ -58,11 +58,11 @@
         connect_timeout: float,
         idle_close: float,
         max_body: int = MAX_BUFFERED_BODY_BYTES,
-        longest: int = buffering.LONGEST,
+        max_streamed_body: int = buffering.MAX_BODY_BYTES,
         guard: Guard | None = None,
     ) -> None:
         self.guard = Guard() if guard is None else guard
-        self.loop, self.max_body, self.max_streamed_body = loop, max_body, max(longest, max_body)
+        self.loop, self.max_body, self.max_streamed_body = loop, max_body, max(max_streamed_body, max_body)
         self._connection_limit, self._connect_timeout = connection_limit, connect_timeout
         self.idle_timeout = IdleTimeout(IDLE_TIMEOUT_SHARE * idle_close, loop.time())
         self.quarantine_min_idle_seconds, self._quarantine_until = QUARANTINE_MIN_IDLE_SECONDS, loop.time()
@@ -97,7 +97,7 @@
             for name in [name for name in self._endpoints if name not in listed_names]:
                 self._endpoints.pop(name).retire(EndpointState.REMOVED)
 
-    def release(self) -> Iterator[tuple[str, float, int]]:
+    def release_idle(self) -> Iterator[tuple[str, float, int]]:
         """Release all idle connections for a successor process.
 
         Yields the worker, the loop time since which the connection is idle, and a duplicated descriptor.
@@ -134,7 +134,7 @@
         endpoint = self._endpoints.get(name)
         return endpoint.address if endpoint is not None else None
 
-    def ban(self, name: str) -> None:
+    def start_maintenance(self, name: str) -> None:
         """Take a worker out of service for maintenance; attempts that wait for a connection to it end as NOT_SENT."""
         self._in_maintenance.add(name)
         if (endpoint := self._endpoints.get(name)) is not None:
@@ -142,7 +142,7 @@
             for connection in [c for c in self._connections if c.endpoint is endpoint and c.transport is None]:
                 connection.fail_not_sent()  # nothing is written, so the request may be sent to another worker
 
-    def unban(self, name: str) -> None:
+    def end_maintenance(self, name: str) -> None:
         """Put a worker back in service after maintenance, if discovery lists it as healthy."""
         self._in_maintenance.discard(name)
         endpoint = self._endpoints.get(name)
--- a/oliveloft/bodies/body.py
+++ b/oliveloft/bodies/body.py
@@ -12,7 +12,7 @@
 
 from micagate.bodies import buffering
 
-BLOCK = 32 * 1024
+BLOCK_BYTES = 32 * 1024
 
 
 class Body:
@@ -28,14 +28,14 @@
         "size",
         "is_complete",
         "is_dropped",
-        "kept",
+        "is_replayable",
         "over_budget",
         "on_data",
         "on_room",
         "content_length",
     )
 
-    def __init__(self, budget: buffering.Budget, content_length: int | None) -> None:
+    def __init__(self, budget: buffering.BufferBudget, content_length: int | None) -> None:
         self._budget = budget
         self._blocks: deque[bytes] = deque()
         self._first_block = 0  # the number of the first block that is still buffered
@@ -46,7 +46,7 @@
         self.size = 0  # bytes received
         self.is_complete = self.is_dropped = False
         self.over_budget = False  # the budget had no room: blocks are discarded once read, and input is windowed
-        self.kept = True  # all blocks from the first byte on are still buffered
+        self.is_replayable = True  # all blocks from the first byte on are still buffered
         self.on_data: Callable[[], None] | None = None  # called when there is more to read
         self.on_room: Callable[[], None] | None = None  # called when more may be appended
 
@@ -55,14 +55,14 @@
         if self.is_dropped:
             return
         self.size += len(data)
-        if self._budget.take(len(data)):
+        if self._budget.acquire(len(data)):
             self._budgeted_bytes += len(data)
         else:
             self.over_budget = True
         self._tail += data
-        while len(self._tail) >= BLOCK:
-            self._blocks.append(bytes(self._tail[:BLOCK]))
-            del self._tail[:BLOCK]
+        while len(self._tail) >= BLOCK_BYTES:
+            self._blocks.append(bytes(self._tail[:BLOCK_BYTES]))
+            del self._tail[:BLOCK_BYTES]
         if self.on_data is not None:
             self.on_data()
 
@@ -80,29 +80,29 @@
         if number - self._first_block >= len(self._blocks):
             return None
         block = self._blocks[number - self._first_block]
-        self._read_bytes = max(self._read_bytes, number * BLOCK + len(block))
+        self._read_bytes = max(self._read_bytes, number * BLOCK_BYTES + len(block))
         if self.over_budget:
             self._discard_up_to(number)
-        if self.on_room is not None and self.reads_on():
+        if self.on_room is not None and self.accepts_more():
             self.on_room()
         return block
 
     def _discard_up_to(self, number: int) -> None:
         """Discard the blocks up to this one: there is no room to keep them for a retry."""
-        self.kept = False
+        self.is_replayable = False
         while self._blocks and self._first_block <= number:
             size = min(self._budgeted_bytes, len(self._blocks.popleft()))
             self._first_block += 1
             self._budgeted_bytes -= size
-            self._budget.give(size)
+            self._budget.release(size)
 
-    def waiting(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes that have not been read yet."""
         return self.size - self._read_bytes
 
-    def reads_on(self) -> bool:
+    def accepts_more(self) -> bool:
         """Whether more may be appended."""
-        return self.is_dropped or buffering.reads_on(self.waiting(), self.over_budget)
+        return self.is_dropped or buffering.should_read(self.unread_bytes(), self.over_budget)
 
     def drop(self) -> None:
         """Discard the body and return its bytes to the budget."""
@@ -113,6 +113,6 @@
         self._blocks.clear()
         self._tail.clear()
         budgeted_bytes, self._budgeted_bytes = self._budgeted_bytes, 0
-        self._budget.give(budgeted_bytes)
+        self._budget.release(budgeted_bytes)
         if self.on_room is not None:
             self.on_room()
--- a/oliveloft/cli.py
+++ b/oliveloft/cli.py
@@ -60,14 +60,14 @@
 
     from oliveloft.config.loading import ConfigError
     from oliveloft.planners.config import load
-    from oliveloft.planners.planner import serve
+    from oliveloft.planners.planner import run_planner
 
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s", stream=sys.stderr)
     try:
         config = load(args.config)
         if args.name not in config.planners:
             raise ConfigError(f"--name: {args.name!r} is none of {', '.join(config.planners)}")
-        return uvloop.run(serve(args.name, config))
+        return uvloop.run(run_planner(args.name, config))
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
--- a/oliveloft/config/explain.py
+++ b/oliveloft/config/explain.py
@@ -7,22 +7,22 @@
 from collections.abc import Mapping
 from typing import Any
 
-from micagate.settings_keys import FACTS, stated
+from micagate.settings_keys import SETTING_KEYS, iter_settings
 from oliveloft.config.loading import ConfigError, parse, read
 
 UNKNOWN = "not known here: nothing follows it"
 
 
-def rows(settings: Mapping[str, Any]) -> list[dict[str, Any]]:
+def setting_rows(settings: Mapping[str, Any]) -> list[dict[str, Any]]:
     """Return a row per setting: its path and value, whether it is used, and what follows it or why nothing does."""
     return [
         {
             "setting": path,
             "value": value,
-            "used": key in FACTS and FACTS[key].used,
-            "follows": FACTS[key].follows if key in FACTS else UNKNOWN,
+            "used": key in SETTING_KEYS and SETTING_KEYS[key].used,
+            "follows": SETTING_KEYS[key].effect if key in SETTING_KEYS else UNKNOWN,
         }
-        for key, path, value in stated(settings)
+        for key, path, value in iter_settings(settings)
     ]
 
 
@@ -32,7 +32,7 @@
         env = {"PROXY_CONFIG": path, "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"}
         raw = read(env)
         parse(raw, env)
-        settings = rows(raw["settings"])
+        settings = setting_rows(raw["settings"])
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
--- a/oliveloft/config/loading.py
+++ b/oliveloft/config/loading.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from micagate.adapter import settings as read_settings
+from micagate.adapter import parse_settings as read_settings
 from micagate.bodies import buffering
 from micagate.interface import Settings
 
@@ -45,12 +45,12 @@
     idle_timeout: float
     max_units: float  # of one request
     management: tuple[str, int] | None = None  # the operators' address
-    max_body_bytes: int = buffering.LONGEST  # of a request or a response
-    max_buffered_bytes: int = buffering.HELD  # of all long bodies together
+    max_body_bytes: int = buffering.MAX_BODY_BYTES  # of a request or a response
+    max_buffered_bytes: int = buffering.MAX_BUFFERED_BYTES  # of all long bodies together
     accept_fd: int | None = None  # the inherited socket that listens for clients, if there is one
 
 
-def address(text: object, min_port: int = 1) -> tuple[str, int]:
+def parse_address(text: object, min_port: int = 1) -> tuple[str, int]:
     """Parse `host:port`; raise ValueError if it is malformed. Port 0, if allowed, lets the system pick one."""
     if not isinstance(text, str):
         raise ValueError(f"{text!r} is not host:port")
@@ -112,7 +112,7 @@
     return Config(
         management=management,
         accept_fd=_accept_fd(env),
-        max_body_bytes=_megabytes(raw, "body_mb", buffering.LONGEST / BYTES_PER_MB),
+        max_body_bytes=_megabytes(raw, "body_mb", buffering.MAX_BODY_BYTES / BYTES_PER_MB),
         max_buffered_bytes=_max_buffered_bytes(raw),
         name=str(raw.get("name") or env.get("PROXY_NAME") or "oliveloft"),
         listen=_address(raw, env, "listen", "PROXY_LISTEN", 0),
@@ -131,7 +131,7 @@
 
 def _address(raw: dict[str, Any], env: Mapping[str, str], key: str, variable: str, min_port: int) -> tuple[str, int]:
     try:
-        return address(raw.get(key, env.get(variable)), min_port)
+        return parse_address(raw.get(key, env.get(variable)), min_port)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from error
 
@@ -168,10 +168,12 @@
     """Return how much memory may buffer long bodies: a share of what the memory limit leaves, unless it is set."""
     limits = raw.get("limits", {})
     if isinstance(limits, dict) and "held_mb" in limits:
-        return _megabytes(raw, "held_mb", buffering.HELD / BYTES_PER_MB)
+        return _megabytes(raw, "held_mb", buffering.MAX_BUFFERED_BYTES / BYTES_PER_MB)
     memory_mb = _megabytes(raw, "memory_mb", 192.0) / BYTES_PER_MB
     return int(
-        max(MIN_BUFFER_MB, min(buffering.HELD / BYTES_PER_MB, BUFFER_SHARE * (memory_mb - BASE_MEMORY_MB)))
+        max(
+            MIN_BUFFER_MB, min(buffering.MAX_BUFFERED_BYTES / BYTES_PER_MB, BUFFER_SHARE * (memory_mb - BASE_MEMORY_MB))
+        )
         * BYTES_PER_MB
     )
 
--- a/oliveloft/counter/client.py
+++ b/oliveloft/counter/client.py
@@ -54,7 +54,7 @@
 class Connection(asyncio.Protocol):
     """One connection to the counter service."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self._counter = counter
         self._reader = hiredis.Reader()
         self._pending: deque[PendingCall] = deque()
@@ -120,7 +120,7 @@
             self.transport.abort()
 
 
-class Counter:
+class CounterClient:
     """Client of the counter service at one address; a call waits at most `timeout_seconds`.
 
     After a failed connect the next one waits for a random time within a bound that doubles.
@@ -136,7 +136,7 @@
         self._retry_at, self._failures, self._stopped = 0.0, 0, False
         self._start_connecting()
 
-    def call(self, count: interface.CounterAdd, on_result: ResultCallback) -> None:
+    def add(self, count: interface.CounterAdd, on_result: ResultCallback) -> None:
         """Send a call; `on_result` is called later, never from within this method."""
         pending = PendingCall(count.name, self.loop.time(), on_result)
         connection = self._connection
--- a/oliveloft/discovery/policy.py
+++ b/oliveloft/discovery/policy.py
@@ -36,7 +36,7 @@
 
 # A shared service, which all gatekeepers call.
 SHARED_BACKOFF_SECONDS, SHARED_DOUBLINGS = 0.25, 2
-EACH_SECONDS = 0.15  # assumed time that the service takes for a call of one gatekeeper
+CALL_COST_SECONDS = 0.15  # assumed time that the service takes for a call of one gatekeeper
 # The maximum time over which the calls of all gatekeepers are spread, and the maximum to which the backoff doubles.
 MAX_SPREAD_SECONDS, MAX_SHARED_BACKOFF_SECONDS = 3.0, 4.0
 SHARED_UNANSWERED_BACKOFF_SECONDS = 1.0  # maximum of the first backoff after a long poll that is not answered
@@ -72,7 +72,7 @@
             OWN_AGENT_BACKOFF_SECONDS * 2**OWN_AGENT_DOUBLINGS,
             OWN_AGENT_OPEN_CALLS,
         )
-    call_cost_seconds = min(EACH_SECONDS, MAX_SPREAD_SECONDS / gatekeepers)
+    call_cost_seconds = min(CALL_COST_SECONDS, MAX_SPREAD_SECONDS / gatekeepers)
     backoff = max(SHARED_BACKOFF_SECONDS, call_cost_seconds * gatekeepers)
     max_backoff = max(backoff, min(MAX_SHARED_BACKOFF_SECONDS, backoff * 2**SHARED_DOUBLINGS))
     return WatchPolicy(
--- a/oliveloft/discovery/watch.py
+++ b/oliveloft/discovery/watch.py
@@ -88,7 +88,7 @@
         return self._state
 
     @property
-    def own_agent(self) -> bool:
+    def has_own_agent(self) -> bool:
         """Whether discovery is an agent that serves this process alone."""
         return self._policy.own_agent
 
@@ -117,7 +117,7 @@
             self._timer = None
         self._cancel_calls()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Watch another address: ask it for a snapshot, and use the old list until that is received.
 
         The connections, open calls and scheduled retries of the old address are dropped, and so is the index, which has
@@ -262,7 +262,7 @@
                 # answer to a call for a snapshot decides.
                 self.malformed(call, "an earlier version than before")
             return
-        if not update.whole and self._index is None:
+        if not update.is_snapshot and self._index is None:
             self.malformed(call, "expected a snapshot, got a delta")
             return
         self._apply(call, update, connection_closes)
@@ -291,7 +291,7 @@
             # Before the update is applied: the next call must follow soon after the last answer.
             self._follow_up(call, connection_closes, pause_seconds)
         self._first_answer_received.set()
-        update.date(self._start_times, self._loop.time())
+        update.set_start_times(self._start_times, self._loop.time())
         self._notify(update)
 
     def _follow_up(self, call: DiscoveryCall, connection_closes: bool, pause_seconds: float) -> None:
--- a/oliveloft/dispatch/dispatcher.py
+++ b/oliveloft/dispatch/dispatcher.py
@@ -24,7 +24,7 @@
 from oliveloft.backend.attempt import Attempt, Response
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.bodies.body import Body
-from oliveloft.counter.client import Counter
+from oliveloft.counter.client import CounterClient
 from oliveloft.shared_types import BodySource, DiscoveryUpdate, ResponseSink
 
 log = logging.getLogger("oliveloft")
@@ -70,11 +70,11 @@
     @property
     def is_over(self) -> bool:
         """Whether no final reply is pending any more."""
-        return not self.state.owed
+        return not self.state.awaits_reply
 
     def is_body_available(self) -> bool:
         """Whether all of the request body that was received is still buffered, so that it could be sent again."""
-        return not isinstance(self.body, Body) or self.body.kept
+        return not isinstance(self.body, Body) or self.body.is_replayable
 
 
 class RequestDispatcher:
@@ -90,7 +90,7 @@
         settings: interface.Settings,
         gateway: Gateway,
         pool: ConnectionPool,
-        counter: Counter | None = None,
+        counter: CounterClient | None = None,
     ) -> None:
         self._loop, self._settings, self._gateway, self._pool = loop, settings, gateway, pool
         self.guard = pool.guard
@@ -101,8 +101,8 @@
         self._events: deque[tuple[interface.Event, str]] = deque()  # pending events, each with its request id or ""
         self._handling = False  # events are being handled further up the stack
         # Called at the start and the end of each attempt during a hot restart.
-        self.began: Callable[[str, int], None] | None = None
-        self.ended: Callable[[Attempt, interface.Outcome], None] | None = None
+        self.on_attempt_started: Callable[[str, int], None] | None = None
+        self.on_attempt_ended: Callable[[Attempt, interface.Outcome], None] | None = None
 
     def has_request(self, request_id: str) -> bool:
         """Whether a request with this id is pending or has an attempt in flight."""
@@ -188,7 +188,7 @@
         first, as it would otherwise retry the attempts that end here.
         """
         if not request.is_over:
-            self._close_request(request, RequestState.CLIENT_GONE)
+            self._close_request(request, RequestState.CLIENT_DISCONNECTED)
             self._handle_event(interface.ClientDisconnected(request.event.request), request.event.request)
         if isinstance(request.body, Body) and not request.body.is_complete:
             for attempt in request.attempts:
@@ -213,10 +213,10 @@
 
     def update_workers(self, update: DiscoveryUpdate) -> None:
         """Apply a discovery update to the connection pool and the gateway."""
-        self._pool.update(update.endpoints, update.whole)
-        self._handle_event(interface.WorkerList(tuple(e.entry for e in update.endpoints), whole=update.whole), "")
+        self._pool.update(update.endpoints, update.is_snapshot)
+        self._handle_event(interface.WorkerList(tuple(e.entry for e in update.endpoints), whole=update.is_snapshot), "")
 
-    def maintain(self, worker: str, in_maintenance: bool, since: float | None = None) -> bool:
+    def set_maintenance(self, worker: str, in_maintenance: bool, since: float | None = None) -> bool:
         """Put a worker into maintenance or back in service for an operator; return whether the worker is known.
 
         With `since` the change was made on another gatekeeper at that time, and applies even if the worker is not
@@ -226,9 +226,9 @@
         for action in self._gateway.handle(self._loop.time(), interface.SetMaintenance(worker, in_maintenance, since)):
             known = known or isinstance(action, interface.MaintenanceResult) and action.known
         if known and in_maintenance:
-            self._pool.ban(worker)
+            self._pool.start_maintenance(worker)
         elif known:
-            self._pool.unban(worker)
+            self._pool.end_maintenance(worker)
         return known
 
     def handle(self, event: interface.Event) -> None:
@@ -311,7 +311,7 @@
                     request.attempts[number].cancel(interface.CANCELLED)
             case interface.CounterAdd():
                 if self._counter is not None:
-                    self._counter.call(action, self._counter_answered)
+                    self._counter.add(action, self._counter_answered)
                 else:
                     self._counter_answered(interface.CounterResult(action.name, interface.UNREACHABLE))
             case (
@@ -361,8 +361,8 @@
         if 0 < within < request.deadline - now:
             attempt.deadline = now + within
             attempt.timer = self._loop.call_later(within, attempt.cancel, interface.TIMED_OUT)
-        if self.began is not None:
-            self.began(name, attempt.number)
+        if self.on_attempt_started is not None:
+            self.on_attempt_started(name, attempt.number)
         self._pool.send(attempt)
 
     def _attempt_refusal(self, request: Request, now: float) -> Reason | None:
@@ -390,8 +390,8 @@
             used=response.allowance_used if response is not None else None,
             used_age=self._loop.time() - response.head_received_at if response is not None else 0.0,
         )
-        if self.ended is not None:
-            self.ended(attempt, outcome)
+        if self.on_attempt_ended is not None:
+            self.on_attempt_ended(attempt, outcome)
         self._discard_if_done(request)
         self._handle_event(outcome, attempt.request)
 
--- a/oliveloft/fleet/config.py
+++ b/oliveloft/fleet/config.py
@@ -9,9 +9,9 @@
 from typing import Any, TypeVar
 
 from micagate.membership.members import Terms
-from micagate.membership.messages import LONGEST
+from micagate.membership.messages import MAX_NAME_LENGTH
 from micagate.recovery.stages import Limits
-from oliveloft.config.loading import ConfigError, address
+from oliveloft.config.loading import ConfigError, parse_address
 from oliveloft.planners.config import ConfigTable, Tls, parse_access
 
 MAX_MEMBERS = 1000
@@ -79,10 +79,10 @@
 def _addresses(table: str, raw: Mapping[str, Any]) -> dict[str, tuple[str, int]]:
     addresses = {}
     for name, raw_address in raw.items():
-        if not 0 < len(name) <= LONGEST:
-            raise ConfigError(f"{table}.{name[:64]}: a name has 1 to {LONGEST} characters")
+        if not 0 < len(name) <= MAX_NAME_LENGTH:
+            raise ConfigError(f"{table}.{name[:64]}: a name has 1 to {MAX_NAME_LENGTH} characters")
         try:
-            addresses[name] = address(raw_address)
+            addresses[name] = parse_address(raw_address)
         except ValueError as error:
             raise ConfigError(f"{table}.{name}: {error}") from error
     return addresses
--- a/oliveloft/fleet/member.py
+++ b/oliveloft/fleet/member.py
@@ -1,6 +1,6 @@
 """Runs a gatekeeper as a cluster member: its record store, its links to other members and its start in stages.
 
-`remember` reads the disk and `opens` waits until clients may be served. After that each periodic tick writes
+`start` reads the disk and `wait_until_open` waits until clients may be served. After that each periodic tick writes
 high-water marks and changed state to the disk and passes what other members report to the gateway. The rules
 themselves are in `micagate.membership` and `micagate.recovery`; this module only connects them to disk and sockets.
 """
@@ -21,16 +21,16 @@
 from micagate import interface
 from micagate.gateway import Gateway
 from micagate.membership.clock import HybridClock
-from micagate.membership.members import Members, News
-from micagate.membership.messages import DEAD, LONGEST, Fact, Heartbeat, Message, RecoveryAnswer, RecoveryQuery
+from micagate.membership.members import Members, MembershipUpdate
+from micagate.membership.messages import DEAD, MAX_NAME_LENGTH, Fact, Heartbeat, Message, RecoveryAnswer, RecoveryQuery
 from micagate.operating.presence import Presence
 from micagate.recovery import slow_start, stages
-from micagate.recovery.answers import TOGETHER, Questions, Told
-from micagate.recovery.high_water_mark import Mark
-from micagate.recovery.persisted_state import Kept, Walk
-from micagate.recovery.recovery_policy import Case, Disk, End, Kind, Peers, Way, judge, loans_over
-from micagate.recovery.stages import Recovery, gathers
-from micagate.recovery.write_ahead import Marks, of_all, part
+from micagate.recovery.answers import SIMULTANEOUS_LOSS_SECONDS, PeerFindings, RecoveryQueries
+from micagate.recovery.high_water_mark import HighWaterMark
+from micagate.recovery.persisted_state import ChangedRows, RestoredState
+from micagate.recovery.recovery_policy import Action, Case, Disk, End, Kind, Peers, decide, leases_over
+from micagate.recovery.stages import StartProgress, pending_peers
+from micagate.recovery.write_ahead import HighWaterMarks, default_mark, local_ceiling
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.fleet.config import FleetConfig
 from oliveloft.fleet.peers import PeerLinks
@@ -58,7 +58,7 @@
 UNKNOWN_AGE_SECONDS = 1e9  # age of persisted state without a timestamp; older than any retention period
 
 # Opens a folder as a disk. Tests replace it to inject disk faults.
-open_disk: Callable[[str], files.Disk] = files.PlainDisk
+open_disk: Callable[[str], files.Disk] = files.SystemDisk
 
 
 class Member:
@@ -89,15 +89,15 @@
         self._loaded = LogContents()
         self._boot_id = ""
         self._started_at = loop.time()
-        self.recovery = Recovery(self._started_at, fleet.limits)
+        self.recovery = StartProgress(self._started_at, fleet.limits)
         self.members: Members | None = None
         self._peer_links = PeerLinks(name, fleet, self)
-        self._recovery_queries: Questions | None = None
-        self._peer_answers = Told()
+        self._recovery_queries: RecoveryQueries | None = None
+        self._peer_answers = PeerFindings()
         self._recovery_case = Case(disk=Disk.NONE)
-        self._persisted_state: Kept | None = None
-        self._ceiling_marks: Marks | None = None
-        self._state_walk: Walk | None = None
+        self._persisted_state: RestoredState | None = None
+        self._ceiling_marks: HighWaterMarks | None = None
+        self._state_walk: ChangedRows | None = None
         self._open_event = asyncio.Event()
         self._opening = False
         self._restored_workers: dict[str, None] = {}  # workers whose state was restored, as an ordered set
@@ -116,7 +116,7 @@
         """Return the current Unix time in seconds."""
         return time.time()
 
-    async def remember(self) -> None:
+    async def start(self) -> None:
         """Load the record store, restore state that needs no confirmation by peers, and start to listen.
 
         Raises OSError where the listening address cannot be bound.
@@ -169,12 +169,12 @@
         for fact in facts:
             if fact.kind == MAINTENANCE:
                 self._apply_maintenance(fact)
-        if judge(Kind.DRAIN, self._assess_start(Peers.OPEN)).way is Way.TAKEN and rows.get((DRAIN, "")):
-            self._presence.leave(now)
+        if decide(Kind.DRAIN, self._assess_start(Peers.PENDING)).action is Action.ACCEPTED and rows.get((DRAIN, "")):
+            self._presence.start_drain(now)
         members.updates.clear()
-        members.urgent = True
+        members.clients_waiting = True
         others = [name for name in self.fleet.members if name != self.name]
-        self._recovery_queries = Questions(now, others, self.fleet.limits.peers)
+        self._recovery_queries = RecoveryQueries(now, others, self.fleet.limits.peers)
         await self._peer_links.start()
         self._tick()
         log.info(
@@ -193,7 +193,7 @@
             disk = open_disk(self.fleet.folder)
             self.memory = RecordStore(self._loop, disk, self.name, self._memory_lost, self._memory_recovered)
             self._loaded = await asyncio.wait_for(self.memory.open(), self.fleet.limits.memory or None)
-            self._boot_id = disk.machine()
+            self._boot_id = disk.boot_id()
         except (MemoryUnavailableError, OSError, TimeoutError) as error:
             self.memory_unavailable_reason = str(error) or f"no answer within {self.fleet.limits.memory:g} s"
             self.memory, self._loaded = None, LogContents()
@@ -224,8 +224,8 @@
         previous = self._previous_incarnation()
         if not previous:
             return End.UNKNOWN
-        if previous.get("end") == End.ASKED.value:
-            return End.ASKED
+        if previous.get("end") == End.PLANNED.value:
+            return End.PLANNED
         if not self._boot_id or not previous.get("machine"):
             return End.UNKNOWN
         return End.KILLED if previous["machine"] == self._boot_id else End.POWER
@@ -238,10 +238,10 @@
         elif loaded.owner != self.name:
             disk = Disk.OTHER
         elif loaded.damage:
-            disk = Disk.SPOILT
-        elif loaded.voided or self._peer_answers.void:
-            disk = Disk.VOID
-        elif self._peer_answers.boot > self._last_incarnation_number():
+            disk = Disk.DAMAGED
+        elif loaded.voided or self._peer_answers.distrusted:
+            disk = Disk.INVALIDATED
+        elif self._peer_answers.incarnation > self._last_incarnation_number():
             disk = Disk.OLD
         else:
             disk = Disk.OWN
@@ -254,32 +254,32 @@
             peers,
             age,
             min(age, self._loop.time() - self._started_at + 0.1),
-            self._peer_answers.all_lost,
-            longest=self._longest_deadline,
+            self._peer_answers.all_restarted,
+            max_deadline=self._longest_deadline,
         )
 
     def _evaluate_answers(self) -> None:
         """Decide which persisted state to use, once the peers have answered or timed out."""
         assert self._recovery_queries is not None and self.members is not None
         now = self._loop.time()
-        age = self._assess_start(Peers.OPEN).age
-        self._peer_answers = answers = self._recovery_queries.told(now, age if age < UNKNOWN_AGE_SECONDS else None)
-        answered = bool(answers.stayed or answers.back)
-        self._recovery_case = case = self._assess_start(Peers.AGREE if answered else Peers.SILENT)
+        age = self._assess_start(Peers.PENDING).age
+        self._peer_answers = answers = self._recovery_queries.findings(now, age if age < UNKNOWN_AGE_SECONDS else None)
+        answered = bool(answers.stayed or answers.restarted)
+        self._recovery_case = case = self._assess_start(Peers.AGREE if answered else Peers.UNRESPONSIVE)
         # An earlier incarnation had a higher number: the clock was set back, or the disk is outdated.
         if self.members.duplicate_name:
             self.members.raise_incarnation(self.members.duplicate_incarnation + 1)
             if self.memory is not None:
                 self.memory.put(BOOT, "", self.members.incarnation)
         rows = {key: self._to_loop_time(key, value) for key, value in self._loaded.records.items()}
-        self._persisted_state = Kept(rows if self._loaded.owner == self.name else {}, case)
-        if answers.stepped:
+        self._persisted_state = RestoredState(rows if self._loaded.owner == self.name else {}, case)
+        if answers.clock_stepped:
             log.warning("fleet: this machine's clock is %.1f s off the others'", -answers.offset)
         log.info(
             "fleet: %s stayed, %s came back, %s silent; memory %s",
             len(answers.stayed),
-            len(answers.back),
-            len(answers.silent),
+            len(answers.restarted),
+            len(answers.unresponsive),
             case.disk.value,
         )
 
@@ -290,22 +290,22 @@
             return [min(value[0] - self._clock_offset, self._loop.time()), *value[1:]]
         return value
 
-    def _restored_marks(self, now: float) -> Marks:
+    def _restored_marks(self, now: float) -> HighWaterMarks:
         """Return the high-water marks of ceilings that this incarnation begins with."""
         previous = self._previous_incarnation()
-        verdict = judge(Kind.CEILINGS, self._recovery_case)
+        verdict = decide(Kind.CEILINGS, self._recovery_case)
         created_at, offset = previous.get("born"), previous.get("offset")
         if (
-            verdict.way is not Way.TAKEN
+            verdict.action is not Action.ACCEPTED
             or not isinstance(created_at, int | float)
             or not isinstance(offset, int | float)
         ):
-            return Marks(now)
+            return HighWaterMarks(now)
         if previous.get("machine") == self._boot_id and self._boot_id:
             shift = 0.0  # same boot: the loop's monotonic clock has continued
         elif (
-            (self._peer_answers.stayed or self._peer_answers.back)
-            and not self._peer_answers.stepped
+            (self._peer_answers.stayed or self._peer_answers.restarted)
+            and not self._peer_answers.clock_stepped
             and not previous.get("stepped")
         ):
             shift = offset - self._clock_offset
@@ -321,19 +321,19 @@
         marks = {}
         for (kind, key), row in self._loaded.records.items():
             if kind == MARK and _is_mark_row(row) and row[4] == previous.get("boot"):
-                marks[key] = Mark(key, row[0], min(now, row[1] + shift), row[2], row[3])
-        return Marks(now, marks, min(now, created_at + shift))
+                marks[key] = HighWaterMark(key, row[0], min(now, row[1] + shift), row[2], row[3])
+        return HighWaterMarks(now, marks, min(now, created_at + shift))
 
-    def follows(self, links: Links) -> None:
+    def use_planner_links(self, links: Links) -> None:
         """Connect the planner links: leases are recorded on disk before they are promised to planners."""
         self.planner_start_times = lambda: links.planner_start_times
         links.leases_recorded, links.leases_expired = self.record_leases, self.leases_expired
 
-    def remembers(self) -> bool:
+    def has_record_store(self) -> bool:
         """Return whether a record store is in use."""
         return self.memory is not None
 
-    async def opens(self, stop: asyncio.Event, ready: Callable[[], bool]) -> bool:
+    async def wait_until_open(self, stop: asyncio.Event, ready: Callable[[], bool]) -> bool:
         """Wait until clients may be served or `stop` is set; return whether they may be served.
 
         `ready` returns whether the list of workers is known.
@@ -353,10 +353,10 @@
         marks = self._restored_marks(now)
         if self.memory is not None and self._uses_ceiling_marks():
             if await self._record_incarnation(now):
-                self._ceiling_marks = gateway.quotas.ceiling_marks = marks
+                self._ceiling_marks = gateway.quotas.ceiling_high_water_marks = marks
                 state = self._persisted_state
                 if state is not None:
-                    marks.recall = state.account
+                    marks.on_account_opened = state.restore_account
             elif self.memory.trusted:
                 # Otherwise the marks of the previous incarnation would stay valid on disk.
                 self.memory.mark_untrusted("this life could not be written in time")
@@ -365,16 +365,16 @@
         now = self._loop.time()
         state = self._persisted_state
         if state is not None:
-            state.learned(gateway, now)
+            state.restore_learned(gateway, now)
             for name in list(gateway.fleet.workers):
                 self._restore_worker(now, name)
             self._begin_slow_start(now, state)
-        self._state_walk = Walk(gateway, now)
+        self._state_walk = ChangedRows(gateway, now)
         self._publish_state(stages.OPEN)
-        self.members.urgent = False
+        self.members.clients_waiting = False
         stage_durations = ", ".join(
-            f"{over.stage} {over.took:.2f}" + (f" (without {over.missing})" if over.missing else "")
-            for over in self.recovery.over
+            f"{over.stage} {over.duration:.2f}" + (f" (without {over.missing})" if over.missing else "")
+            for over in self.recovery.completed
         )
         log.info("fleet: open after %s", stage_durations)
         self._open_event.set()
@@ -387,16 +387,16 @@
         """
         return not self._settings.counter_timeout and self.planner_start_times() is None
 
-    def _begin_slow_start(self, now: float, state: Kept) -> None:
+    def _begin_slow_start(self, now: float, state: RestoredState) -> None:
         """Start overload control from the earlier request rate if all workers are in slow start together."""
         assert self.members is not None
-        request_rate = state.pace() or self._peer_answers.pace
+        request_rate = state.served_rate() or self._peer_answers.served_rate
         request_rate *= len(self.fleet.members) / max(1, self.members.alive_count())
-        if slow_start.begin(self._gateway, now, request_rate, state.load()):
+        if slow_start.start_throttled(self._gateway, now, request_rate, state.load()):
             log.info(
                 "fleet: control from %.1f a second, workers %.0f%% warm",
                 request_rate,
-                100 * slow_start.warmth(self._gateway, now),
+                100 * slow_start.mean_warm_up_factor(self._gateway, now),
             )
 
     async def _record_incarnation(self, now: float) -> bool:
@@ -413,7 +413,7 @@
                 "offset": self._clock_offset,
                 "born": now,
                 "end": "",
-                "stepped": self._peer_answers.stepped,
+                "stepped": self._peer_answers.clock_stepped,
             },
         )
         try:
@@ -436,20 +436,20 @@
         for peer in members.links_to_close(now):
             self._peer_links.close(peer)
         self._process_updates(now)
-        if not self.recovery.open:
+        if not self.recovery.is_open:
             self._advance_stage(now)
         elif self._open_event.is_set():
             if now - self._slow_start_updated_at >= SLOW_START_INTERVAL_SECONDS:
                 self._slow_start_updated_at = now
-                slow_start.follow(self._gateway, now)
+                slow_start.update_warm_up(self._gateway, now)
             if self._state_walk is not None:
                 for kind, key, value in self._state_walk.step(now, self.memory is not None):
                     if self.memory is not None:
                         self.memory.put(kind, key, self._to_unix_time(kind, value))
             if self._ceiling_marks is not None and self.memory is not None and now - self._idle_marks_swept_at >= 1.0:
                 self._idle_marks_swept_at = now
-                self._ceiling_marks.look()
-                for key in self._ceiling_marks.idle(now, IDLE_MARKS_PER_SECOND):
+                self._ceiling_marks.refresh()
+                for key in self._ceiling_marks.removable_keys(now, IDLE_MARKS_PER_SECOND):
                     self.memory.put(MARK, key, None)
         share = members.alive_count() / len(self.fleet.members)
         self._gateway.fleet.gateway_count = max(1, round(self._settings.gateways * share))
@@ -470,7 +470,7 @@
         """Update the recovery stage and run what is due when it changes."""
         assert self.members is not None
         previous_stage = self.recovery.stage
-        stage = self.recovery.look(now, self._waits_by_stage(now))
+        stage = self.recovery.advance(now, self._waits_by_stage(now))
         stages_before_recovery = (stages.MEMORY, stages.PEERS)
         if (
             previous_stage in stages_before_recovery
@@ -489,10 +489,10 @@
         """Return for each stage what it still waits for; empty where it is done."""
         members = self.members
         assert members is not None and self._recovery_queries is not None
-        for name in self._recovery_queries.waits(now):
+        for name in self._recovery_queries.pending(now):
             if members.is_gone(name):
-                self._recovery_queries.gone(now, name)
-        waits = {stages.PEERS: ", ".join(self._recovery_queries.waits(now))}
+                self._recovery_queries.record_refusal(now, name)
+        waits = {stages.PEERS: ", ".join(self._recovery_queries.pending(now))}
         if not self._worker_list_ready():
             waits[stages.LIST] = "discovery"
         if not self.leases_expired(now):
@@ -500,11 +500,11 @@
         unacknowledged = [
             peer
             for peer, link in members.links.items()
-            if link.acked < 1 and not members.is_gone(peer) and now - link.began < self.fleet.limits.room
+            if link.last_acked < 1 and not members.is_gone(peer) and now - link.opened_at < self.fleet.limits.room
         ]
         waits[stages.ROOM] = ", ".join(unacknowledged)
         started_at = self._started_at
-        waits[stages.GATHER] = gathers(
+        waits[stages.GATHER] = pending_peers(
             self.name,
             [
                 (
@@ -519,14 +519,17 @@
         return waits
 
     def _started_together(self, started: Any, own_start: float) -> bool:
-        return isinstance(started, int | float) and abs(started - (own_start + self._clock_offset)) < TOGETHER
+        return (
+            isinstance(started, int | float)
+            and abs(started - (own_start + self._clock_offset)) < SIMULTANEOUS_LOSS_SECONDS
+        )
 
     def leases_expired(self, now: float) -> bool:
         """Return whether every lease granted by an earlier incarnation has expired, by record store and members."""
         planners = self.planner_start_times()
         if planners is None:
             return True
-        if judge(Kind.CEILINGS, self._recovery_case).way is not Way.TAKEN:
+        if decide(Kind.CEILINGS, self._recovery_case).action is not Action.ACCEPTED:
             return False
         recorded_until = self._loaded.records.get((LEASES, ""))
         lease_end = recorded_until - self._clock_offset if isinstance(recorded_until, int | float) else None
@@ -539,14 +542,14 @@
             if name != self.name and isinstance(started := record.about.get("started"), int | float)
         }
         if len(receivers) < len(self.fleet.members) - 1:
-            return loans_over(now, lease_end, {}, {}, now)
+            return leases_over(now, lease_end, {}, {}, now)
         core_state = self._loaded.records.get(("core", ""))
         process_ended_at = (
             (core_state["at"] - self._clock_offset + 1.0)
             if isinstance(core_state, dict) and "at" in core_state
             else now
         )
-        return loans_over(now, lease_end, receivers, planners, min(process_ended_at, self._started_at))
+        return leases_over(now, lease_end, receivers, planners, min(process_ended_at, self._started_at))
 
     def record_leases(self, until: float) -> bool:
         """Return whether leases up to a time are recorded on disk, and request the record if not.
@@ -569,7 +572,7 @@
     def _publish_state(self, stage: str) -> None:
         assert self.members is not None
         self.members.set_about(
-            stage=stage, left=self._presence.left is not None, memory=not self.memory_unavailable_reason
+            stage=stage, left=self._presence.draining_since is not None, memory=not self.memory_unavailable_reason
         )
 
     def _write_due_marks(self) -> None:
@@ -585,30 +588,30 @@
             self._ceiling_marks is None
             or self.memory is None
             or not (
-                self._ceiling_marks.urgent
-                or self._ceiling_marks.due
+                self._ceiling_marks.write_immediately
+                or self._ceiling_marks.due_accounts
                 and now - self._marks_written_at >= MARK_INTERVAL_SECONDS
             )
         ):
             return
         self._marks_written_at = now
-        marks = self._ceiling_marks.make(now)
+        marks = self._ceiling_marks.next_marks(now)
         if not marks:
             return
         assert self.members is not None
         for mark in marks:
             self.memory.put(
-                MARK, mark.key, [round(mark.level, 4), mark.at, mark.top, mark.rate, self.members.incarnation]
+                MARK, mark.key, [round(mark.level, 4), mark.since, mark.max_level, mark.rate, self.members.incarnation]
             )
         self.memory.sync().add_done_callback(lambda done: self._marks_written(marks, done.result()))
 
-    def _marks_written(self, marks: list[Mark], written: bool) -> None:
+    def _marks_written(self, marks: list[HighWaterMark], written: bool) -> None:
         if self._ceiling_marks is None:
             return
         if written:
-            self._ceiling_marks.written(marks, self._gateway.quotas.accounts.get)
+            self._ceiling_marks.mark_written(marks, self._gateway.quotas.accounts.get)
         else:
-            self._ceiling_marks.failed(marks)
+            self._ceiling_marks.mark_failed(marks)
 
     # Record store.
 
@@ -616,10 +619,10 @@
         """Continue ceilings without high-water marks, since the record store is no longer trusted."""
         self.memory_unavailable_reason = reason
         if self._ceiling_marks is not None:
-            self._ceiling_marks.end(
+            self._ceiling_marks.disable(
                 account for queue in self._gateway.quotas.accounts.queues for account in queue.values()
             )
-            self._ceiling_marks = self._gateway.quotas.ceiling_marks = None
+            self._ceiling_marks = self._gateway.quotas.ceiling_high_water_marks = None
         if self.memory is not None:
             for key in self.memory.keys_of_kind(MARK):
                 self.memory.put(MARK, key, None)
@@ -653,11 +656,11 @@
             INCARNATION, "", {**self._incarnation_row(now), "end": ""}
         ):
             return
-        self._ceiling_marks = self._gateway.quotas.ceiling_marks = Marks(now)
+        self._ceiling_marks = self._gateway.quotas.ceiling_high_water_marks = HighWaterMarks(now)
         for queue in self._gateway.quotas.accounts.queues:
             for account in queue.values():
                 if account.plan.ceiling_rate:
-                    account.ceiling_mark = of_all(account.key, now, *part(account))
+                    account.ceiling_high_water_mark = default_mark(account.key, now, *local_ceiling(account))
 
     # Messages of other members.
 
@@ -665,7 +668,7 @@
         """Handle an opened link to a member; query it if this process is still recovering."""
         assert self.members is not None
         self.members.link_opened(self._loop.time(), peer)
-        if not self.recovery.open and self._persisted_state is None:
+        if not self.recovery.is_open and self._persisted_state is None:
             self._peer_links.send(peer, RecoveryQuery(self._last_incarnation_number(), self.members.incarnation))
 
     def link_closed(self, peer: str, refused: bool) -> None:
@@ -673,7 +676,7 @@
         assert self.members is not None
         self.members.link_closed(self._loop.time(), peer, refused)
         if refused and self._recovery_queries is not None:
-            self._recovery_queries.gone(self._loop.time(), peer)
+            self._recovery_queries.record_refusal(self._loop.time(), peer)
 
     def message_received(self, peer: str, message: Message) -> None:
         """Handle a message of a member."""
@@ -683,8 +686,8 @@
             self._peer_links.send(peer, self._recovery_answer(now, peer, message))
         elif isinstance(message, RecoveryAnswer):
             if self._recovery_queries is not None:
-                self._recovery_queries.answered(now, self.unix_time(), peer, message)
-                members.heard_of[peer] = now
+                self._recovery_queries.record_answer(now, self.unix_time(), peer, message)
+                members.last_heard_at[peer] = now
                 if self._persisted_state is not None:
                     self._late_answer(now, message)
         else:
@@ -699,7 +702,7 @@
         ):
             return
         log.warning("fleet: a member knows of a later life of this one: its disk is old; ceilings begin empty")
-        self._recovery_case = replace(self._recovery_case, disk=Disk.VOID if answer.distrusted else Disk.OLD)
+        self._recovery_case = replace(self._recovery_case, disk=Disk.INVALIDATED if answer.distrusted else Disk.OLD)
         if self._ceiling_marks is not None:
             self._ceiling_marks.distrust(now, (a for q in self._gateway.quotas.accounts.queues for a in q.values()))
 
@@ -728,10 +731,10 @@
         seen = self._loaded.records.get((SEEN, peer)) if self._loaded.owner == self.name else None
         if isinstance(seen, list) and len(seen) == 3 and seen[0] == incarnation:
             seconds_ago, distrusted = self.unix_time() - float(seen[1]), distrusted or bool(seen[2])
-        elif known is not None and known.incarnation == incarnation and peer in members.heard_of:
-            seconds_ago = now - members.heard_of[peer]
+        elif known is not None and known.incarnation == incarnation and peer in members.last_heard_at:
+            seconds_ago = now - members.last_heard_at[peer]
         workers = tuple(
-            (name[:LONGEST], round(min(1.0, 1 / max(1.0, worker.slowness(now))), 3), worker.is_suspect())
+            (name[:MAX_NAME_LENGTH], round(min(1.0, 1 / max(1.0, worker.slowness(now))), 3), worker.is_suspect())
             for name, worker in list(gateway.fleet.workers.items())[:MAX_REPORTED_WORKERS]
         )
         return RecoveryAnswer(
@@ -741,7 +744,7 @@
             now - self._started_at,
             not self._open_event.is_set(),
             workers,
-            self._state_walk.pace if self._state_walk is not None else 0.0,
+            self._state_walk.served_rate if self._state_walk is not None else 0.0,
             distrusted,
         )
 
@@ -752,11 +755,11 @@
         for update in updates:
             self._process_update(now, update)
 
-    def _process_update(self, now: float, update: News) -> None:
+    def _process_update(self, now: float, update: MembershipUpdate) -> None:
         """Apply, log and persist one change of the membership or of a shared fact."""
         members = self.members
         assert members is not None
-        match update.what:
+        match update.kind:
             case "fact":
                 fact = members.facts.get(update.cause, update.name)
                 if fact is not None:
@@ -770,13 +773,13 @@
                     log.warning(
                         "fleet: another process goes by the name of %s, and began later: clients go there", self.name
                     )
-                    self._presence.leave(now)
+                    self._presence.start_drain(now)
                     self._peer_links.dialing_disabled = True
             case "down":
                 log.info("fleet: %s is down (%s)", update.name, update.cause)
             case "up" | "restarted":
-                log.info("fleet: %s is %s", update.name, "up" if update.what == "up" else "up in a new incarnation")
-        if update.what in ("up", "restarted", "told"):
+                log.info("fleet: %s is %s", update.name, "up" if update.kind == "up" else "up in a new incarnation")
+        if update.kind in ("up", "restarted", "told"):
             record = members.records.get(update.name)
             if record is not None and update.name != self.name:
                 is_void = record.about.get("memory") is False
@@ -794,19 +797,21 @@
             return
         now = self._loop.time()
         since = value.get("since")
-        self._dispatcher.maintain(
+        self._dispatcher.set_maintenance(
             fact.key, value["out"], min(now, since - self._clock_offset) if isinstance(since, int | float) else now
         )
 
-    def said(self, worker: str, out: bool) -> asyncio.Future[bool]:
+    def set_maintenance(self, worker: str, in_maintenance: bool) -> asyncio.Future[bool]:
         """Publish that an operator took a worker out of service or returned it; the result is whether it is on disk."""
         assert self.members is not None
-        fact = self.members.publish_fact(self.unix_time(), MAINTENANCE, worker, {"out": out, "since": self.unix_time()})
+        fact = self.members.publish_fact(
+            self.unix_time(), MAINTENANCE, worker, {"out": in_maintenance, "since": self.unix_time()}
+        )
         self._process_updates(self._loop.time())
         self._send_heartbeats()  # peers are notified before the operator's call is answered
         return self._persist_within_timeout(FACT, f"{MAINTENANCE} {worker}", [*fact.stamp, fact.value])
 
-    def drained(self, draining: bool) -> asyncio.Future[bool]:
+    def record_drain(self, draining: bool) -> asyncio.Future[bool]:
         """Record that this gateway drains, or serves again; the result is whether it is on disk."""
         self._publish_state(self.recovery.stage)
         return self._persist_within_timeout(DRAIN, "", draining)
@@ -832,7 +837,7 @@
         fact = self.members.facts.get(MAINTENANCE, worker)
         return bool(fact.value.get("out")) if fact is not None and isinstance(fact.value, dict) else None
 
-    def listed(self) -> None:
+    def worker_list_changed(self) -> None:
         """Restore the state of workers that are new in the worker list."""
         if self._open_event.is_set():
             for name in list(self._gateway.fleet.workers):
@@ -843,7 +848,7 @@
         if self._persisted_state is None or name in self._restored_workers:
             return
         self._restored_workers[name] = None
-        if not self._persisted_state.worker(self._gateway, now, name) and name in self._peer_answers.workers:
+        if not self._persisted_state.restore_worker(self._gateway, now, name) and name in self._peer_answers.workers:
             relative_speed, failures = self._peer_answers.workers[name]
             worker = self._gateway.fleet.workers[name]
             if worker.entry.started is None or now - worker.entry.started > self._settings.slow_start_duration:
@@ -852,7 +857,7 @@
 
     # Status for operators.
 
-    def health(self) -> str:
+    def startup_state(self) -> str:
         """Return what the start waits for; empty once clients are served."""
         if self._open_event.is_set():
             return ""
@@ -866,9 +871,9 @@
             return json.dumps({"name": self.name, "stage": stages.MEMORY})
         links = {
             peer: {
-                "heard_ago": round(now - link.arrivals.last, 3),
-                "answer_s": round(link.took, 3),
-                "clock_off": round(link.offset, 3) if link.offset is not None else None,
+                "heard_ago": round(now - link.detector.last_arrival, 3),
+                "answer_s": round(link.round_trip, 3),
+                "clock_off": round(link.clock_offset, 3) if link.clock_offset is not None else None,
             }
             for peer, link in members.links.items()
         }
@@ -886,7 +891,7 @@
             seen.setdefault(name, {"status": "never heard"})
         maintenance = {
             fact.key: {"out": fact.value.get("out"), "since": fact.value.get("since"), "by": fact.stamp[2]}
-            for fact in members.facts.of(MAINTENANCE)
+            for fact in members.facts.of_kind(MAINTENANCE)
             if isinstance(fact.value, dict)
         }
         memory = self.memory
@@ -904,7 +909,8 @@
                 "wall": unix_time,
                 "digest": f"{members.digest():016x}",
                 "stages": [
-                    {"stage": o.stage, "took": round(o.took, 3), "missing": o.missing} for o in self.recovery.over
+                    {"stage": o.stage, "took": round(o.duration, 3), "missing": o.missing}
+                    for o in self.recovery.completed
                 ],
                 "members": seen,
                 "links": links,
@@ -937,15 +943,16 @@
         if self._open_event.is_set():
             if self._state_walk is not None:
                 last_records += [
-                    (kind, key, self._to_unix_time(kind, value)) for kind, key, value in self._state_walk.all(now)
+                    (kind, key, self._to_unix_time(kind, value))
+                    for kind, key, value in self._state_walk.remaining_rows(now)
                 ]
             if self._ceiling_marks is not None:
                 assert self.members is not None
-                for mark in self._ceiling_marks.last(
+                for mark in self._ceiling_marks.final_marks(
                     now, (a for q in self._gateway.quotas.accounts.queues for a in q.values())
                 ):
                     last_records.append(
-                        (MARK, mark.key, [mark.level, mark.at, mark.top, mark.rate, self.members.incarnation])
+                        (MARK, mark.key, [mark.level, mark.since, mark.max_level, mark.rate, self.members.incarnation])
                     )
             last_records.append(
                 (
@@ -953,8 +960,8 @@
                     "",
                     {
                         **self._incarnation_row(self._marks_created_at()),
-                        "end": End.ASKED.value,
-                        "stepped": self._peer_answers.stepped,
+                        "end": End.PLANNED.value,
+                        "stepped": self._peer_answers.clock_stepped,
                     },
                 )
             )
@@ -963,7 +970,7 @@
 
     def _marks_created_at(self) -> float | None:
         """Return when the high-water marks of this incarnation were created; None if none are in use."""
-        return self._ceiling_marks.born if self._ceiling_marks is not None else None
+        return self._ceiling_marks.started_at if self._ceiling_marks is not None else None
 
 
 def _int_or_zero(value: Any) -> int:
--- a/oliveloft/fleet/status.py
+++ b/oliveloft/fleet/status.py
@@ -16,7 +16,7 @@
 States = dict[str, dict[str, Any]]
 
 
-async def gather(config: FleetConfig) -> States:
+async def query_members(config: FleetConfig) -> States:
     """Return the state of each member; one that cannot be queried has an `error`."""
 
     async def one(name: str) -> dict[str, Any]:
@@ -79,6 +79,6 @@
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
-    states = asyncio.run(gather(config))
+    states = asyncio.run(query_members(config))
     print(json.dumps(states) if as_json else table(states))
     return 0 if all(state.get("open") for state in states.values()) else 1
--- a/oliveloft/front/http.py
+++ b/oliveloft/front/http.py
@@ -113,7 +113,7 @@
         self.is_http_1_0 = False
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """The protocol of one client connection: serves pipelined requests one after another and replies in order."""
 
     __slots__ = (
@@ -221,7 +221,7 @@
         self._unsent_bytes = unsent_bytes
         if (read_bytes := self._budgeted_bytes - unsent_bytes) > 0:
             self._budgeted_bytes -= read_bytes
-            self._server.body_budget.give(read_bytes)
+            self._server.body_budget.release(read_bytes)
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes: part of a request, or several requests."""
@@ -353,7 +353,7 @@
             not incoming.dispatched
             and not self._busy
             and not self._queue
-            and buffering.begins(body.size, False, body.over_budget)
+            and buffering.should_forward(body.size, False, body.over_budget)
         ):
             incoming.received_at = self._server.loop.time()
             incoming.dispatched, incoming.keep_alive = (
@@ -367,18 +367,18 @@
                 # The reply is sent at once; the rest of the request is read and discarded.
                 body.drop()
                 self._reply_rejection(error.status, str(error))
-        if not body.reads_on() and not self._body_paused and self._transport is not None:
+        if not body.accepts_more() and not self._body_paused and self._transport is not None:
             self._body_paused = self._read_paused = True
             self._transport.pause_reading()
-            self._server.body_budget.wait(self._resume_body)
+            self._server.body_budget.on_release(self._resume_body)
 
     def _resume_body(self) -> None:
         """Resume reading a request body when there is room in the buffers again."""
         incoming = self._incoming
         if not self._body_paused or self._transport is None:
             return
-        if incoming is not None and incoming.streamed_body is not None and not incoming.streamed_body.reads_on():
-            self._server.body_budget.wait(self._resume_body)
+        if incoming is not None and incoming.streamed_body is not None and not incoming.streamed_body.accepts_more():
+            self._server.body_budget.on_release(self._resume_body)
             return
         self._body_paused, self._last_progress = False, self._server.loop.time()
         self._resume_reading()
@@ -532,10 +532,13 @@
         incomplete = self._incoming if self._incoming is not None and self._incoming.dispatched else None
         if incomplete is not None and incomplete.streamed_body is not None:
             incomplete.streamed_body.drop()  # the rest is read and discarded
-        handing_off = self._server.hand is not None
+        handing_off = self._server.hand_off is not None
         # Complete requests that are queued behind this one are answered before the connection closes.
         keep_alive = self._keep_alive and (
-            handing_off or bool(self._queue) or not self._server.closing and not self._server.presence.closes()
+            handing_off
+            or bool(self._queue)
+            or not self._server.shutting_down
+            and not self._server.presence.closes_connections()
         )
         self.waiting_since = self._server.loop.time()
         if self.sent_valid_request:
@@ -584,8 +587,8 @@
         self._chunked = length is None and not self._http_1_0
         if length is None and self._http_1_0:
             self._keep_alive = False  # the close of the connection marks the end of the response
-        if self._server.closing or self._server.presence.closes():
-            self._keep_alive = self._keep_alive and (self._server.hand is not None or bool(self._queue))
+        if self._server.shutting_down or self._server.presence.closes_connections():
+            self._keep_alive = self._keep_alive and (self._server.hand_off is not None or bool(self._queue))
         framing = (
             b"Transfer-Encoding: chunked\r\n"
             if self._chunked
@@ -608,7 +611,7 @@
             return True
         # What the client has not read yet is buffered here as far as the budget allows: the worker, and the customer's
         # concurrency slot, are released sooner.
-        if not self._server.body_budget.take(len(data)):
+        if not self._server.body_budget.acquire(len(data)):
             return False
         self._budgeted_bytes += len(data)
         return True
@@ -625,12 +628,12 @@
         self.waiting_since = self._server.loop.time()
         if self.sent_valid_request:
             self._server.reply_sent(self)
-        if not self._keep_alive or self._server.closing and self._server.hand is None and not self._queue:
+        if not self._keep_alive or self._server.shutting_down and self._server.hand_off is None and not self._queue:
             self._input_ignored = self._final_reply_sent = True
             transport.close()
         elif self._queue:
             self._server.loop.call_soon(self._serve_next)
-        elif self._server.hand is not None:
+        elif self._server.hand_off is not None:
             self._server.loop.call_soon(self.hand_off)
 
     def abort_response(self) -> None:
@@ -644,7 +647,7 @@
 
         Unread input stays in the socket's buffer and goes along, so that no request is refused, reset or lost.
         """
-        transport, hand_off = self._transport, self._server.hand
+        transport, hand_off = self._transport, self._server.hand_off
         if transport is None or hand_off is None or not self.is_idle() or transport.get_write_buffer_size():
             return  # retried after the reply, and in each sweep
         transport.pause_reading()
@@ -720,57 +723,58 @@
         max_proven: int,
         dispatcher: RequestDispatcher,
         presence: Presence | None = None,
-        max_body_bytes: int = buffering.LONGEST,
-        body_budget_bytes: int = buffering.HELD,
+        max_body_bytes: int = buffering.MAX_BODY_BYTES,
+        body_budget_bytes: int = buffering.MAX_BUFFERED_BYTES,
     ) -> None:
         self.loop, self.dispatcher = loop, dispatcher
         self.guard = dispatcher.guard
         self.presence = Presence() if presence is None else presence
         self.max_body_bytes, self.body_budget = (
             max(max_body_bytes, MAX_BUFFERED_BODY_BYTES),
-            buffering.Budget(body_budget_bytes),
+            buffering.BufferBudget(body_budget_bytes),
         )
-        self.closing = False  # shutdown has begun: every further reply closes its connection
+        self.shutting_down = False  # shutdown has begun: every further reply closes its connection
         self.shutdown_expired = False  # the shutdown deadline has passed: further requests are refused
         self._connection_count = 0  # connections accepted since the start
         self.all_closed: asyncio.Event = asyncio.Event()
         self._connection_limit, self._max_proven = connection_limit, max_proven
         self._max_units, self._gateways = max_units, settings.gateways
         self._classes = {c.name.encode(): c for c in settings.classes}
-        self._clients: dict[Client, None] = {}
-        self._unproven: dict[Client, None] = {}  # no valid request yet; ordered by connect time
-        self._proven: dict[Client, None] = {}  # at least one valid request; ordered by the time of the last reply
+        self._clients: dict[ClientConnection, None] = {}
+        self._unproven: dict[ClientConnection, None] = {}  # no valid request yet; ordered by connect time
+        # At least one valid request; ordered by the time of the last reply.
+        self._proven: dict[ClientConnection, None] = {}
         self._plans = {p.name.encode() for p in settings.plans}
         self._has_workers = self._stopping = False
-        self.accepts = False  # the process accepts client connections
+        self.accepting = False  # the process accepts client connections
         # Set during a hot restart: passes a descriptor, and whether a valid request was received on it, to the
         # successor process, and returns whether that took it.
-        self.hand: Callable[[int, bool], bool] | None = None
+        self.hand_off: Callable[[int, bool], bool] | None = None
         self._weight_cache: dict[bytes, tuple[float, int, int]] = {}
 
-    def able(self) -> None:
+    def workers_available(self) -> None:
         """Record that workers are known."""
         self._has_workers = True
 
-    def retire(self) -> None:
+    def begin_shutdown(self) -> None:
         """Report not ready from now on; requests that still arrive are served."""
         self._stopping = True
 
     def ready(self) -> bool:
         """Whether load may be sent to this process; answered at /healthz."""
-        return self._has_workers and not self._stopping and self.accepts and self.presence.left is None
+        return self._has_workers and not self._stopping and self.accepting and self.presence.draining_since is None
 
     def health(self) -> tuple[bool, str]:
         """Whether load may be sent to this process, and a description or the reason why not."""
-        if self.hand is not None:
+        if self.hand_off is not None:
             return False, "another process serves in this one's place"
         if self.ready():
             return True, f"serving, {len(self._clients)} connections"
         if self._stopping:
             return False, "stopping"
-        return False, "sending clients away" if self.presence.left is not None else "no workers are known yet"
+        return False, "sending clients away" if self.presence.draining_since is not None else "no workers are known yet"
 
-    def client_connected(self, client: Client) -> None:
+    def client_connected(self, client: ClientConnection) -> None:
         """Register a connection. At the limit, close another one to make room, or refuse this one.
 
         The oldest connection without a valid request is closed first, as well-behaved clients send a request as soon as
@@ -798,7 +802,7 @@
         if other is not None:
             other.close()
 
-    def valid_request_received(self, client: Client) -> None:
+    def valid_request_received(self, client: ClientConnection) -> None:
         """Record the first valid request on a connection; close the longest idle one if too many are proven."""
         if client.sent_valid_request:
             return
@@ -810,44 +814,44 @@
             # open connections, and could send no further request.
             other.close()
 
-    def reply_sent(self, client: Client) -> None:
+    def reply_sent(self, client: ClientConnection) -> None:
         """Move a connection to the end of the idle order after a reply."""
         self._proven.pop(client, None)
         self._proven[client] = None
 
-    def _longest_idle(self) -> Client | None:
+    def _longest_idle(self) -> ClientConnection | None:
         """The connection with a valid request that has been idle the longest, or None."""
         return next((client for client in self._proven if client.is_idle()), None)
 
-    def client_disconnected(self, client: Client) -> None:
+    def client_disconnected(self, client: ClientConnection) -> None:
         """Remove a closed connection."""
         self._clients.pop(client, None)
         self._unproven.pop(client, None)
         self._proven.pop(client, None)
-        if self.closing and not self._clients:
+        if self.shutting_down and not self._clients:
             self.all_closed.set()
 
     def sweep(self) -> None:
         """Apply the timeouts to all connections; hand off, or close, the idle ones where that is due."""
         now = self.loop.time()
-        if self.hand is not None:
-            self.hand_over()
-        closing_idle = self.presence.clears(now)
+        if self.hand_off is not None:
+            self.hand_off_idle()
+        closing_idle = self.presence.closes_idle_connections(now)
         for client in list(self._clients):
             if closing_idle and client.is_idle():
                 client.close()
             else:
                 client.check_timeouts(now)
 
-    def hand_over(self) -> None:
+    def hand_off_idle(self) -> None:
         """Pass all idle connections to the successor process, if there is one."""
-        if self.hand is not None:
+        if self.hand_off is not None:
             for client in list(self._clients):
                 client.hand_off()
 
     async def adopt(self, sock: socket.socket, sent_valid_request: bool) -> None:
         """Take over an idle connection from the predecessor process; its unread input is read here."""
-        client = Client(self)
+        client = ClientConnection(self)
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:
@@ -856,15 +860,15 @@
         if sent_valid_request:
             self.valid_request_received(client)
 
-    async def finish(self, deadline: float) -> None:
+    async def drain(self, deadline: float) -> None:
         """Answer each request with `Connection: close` until all connections are closed, or until `deadline`.
 
         The close of an idle connection may cross a request, which the client then sends again on a new connection.
         So the drain ends only after SHUTDOWN_QUIET_SECONDS without a new connection. Requests that are still pending at
         the deadline are answered then.
         """
-        self.closing = True
-        self.hand_over()
+        self.shutting_down = True
+        self.hand_off_idle()
         for client in list(self._clients):
             if client.is_idle():
                 client.close()
--- a/oliveloft/gatekeeper/process.py
+++ b/oliveloft/gatekeeper/process.py
@@ -26,11 +26,11 @@
 from micagate.operating.presence import Presence
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.config.loading import Config, ConfigError, load
-from oliveloft.counter.client import Counter
+from oliveloft.counter.client import CounterClient
 from oliveloft.discovery.policy import FIRST_ANSWER_SECONDS
 from oliveloft.discovery.watch import DiscoveryWatch, WatchState
 from oliveloft.dispatch.dispatcher import RequestDispatcher
-from oliveloft.front.http import Client, Server
+from oliveloft.front.http import ClientConnection, Server
 from oliveloft.front.listener import ClientListener, listening_socket
 from oliveloft.manage.operations import Operations
 from oliveloft.manage.server import MAX_CALLERS, ManagementServer
@@ -75,13 +75,17 @@
     )
     max_clients = int(descriptors * CLIENT_SHARE)
     workers = ConnectionPool(
-        loop, descriptors - max_clients, config.connect_timeout, config.idle_timeout, longest=config.max_body_bytes
+        loop,
+        descriptors - max_clients,
+        config.connect_timeout,
+        config.idle_timeout,
+        max_streamed_body=config.max_body_bytes,
     )
     clock_offset = time.time() - loop.time()  # read once, since the wall clock may be stepped
     start_times = StartTimes(clock_offset)
     counter = None
     if config.counter is not None and config.settings.counter_timeout:
-        counter = Counter(loop, config.counter, config.settings.counter_timeout, config.seed)
+        counter = CounterClient(loop, config.counter, config.settings.counter_timeout, config.seed)
     gateway = Gateway(config.settings, config.seed, loop.time(), clock_offset)
     dispatcher = RequestDispatcher(loop, config.settings, gateway, workers, counter)
     max_idle_clients = int(config.max_descriptors * IDLE_CLIENT_SHARE)
@@ -123,9 +127,9 @@
     def on_discovery_update(update: DiscoveryUpdate) -> None:
         dispatcher.update_workers(update)
         if len(workers):
-            server.able()
+            server.workers_available()
         if member is not None:
-            member.listed()
+            member.worker_list_changed()
 
     index = None
     took_over = False  # whether this process has the state of a predecessor
@@ -135,14 +139,14 @@
             index = handoff.index if handoff.discovery_address == config.discovery else None
     if member is not None:
         try:
-            await member.remember()
+            await member.start()
         except OSError as error:
             raise ConfigError(f"members.{config.name}: {error.strerror or error}") from error
     if config.known is not None and not took_over:
         try:
             known = DiscoveryUpdate({"index": 0, **config.known})
-            known.whole = True
-            known.date(start_times, loop.time())
+            known.is_snapshot = True
+            known.set_start_times(start_times, loop.time())
             on_discovery_update(known)
             if "index" in config.known and known.endpoints and not known.skipped:
                 index = known.index  # ask only for later changes: snapshots are expensive when many processes restart
@@ -157,7 +161,7 @@
 
         links = Links(config.name, forwarder.index, forwarder.config, dispatcher, forwarder.started_at)
         if member is not None:
-            member.follows(links)
+            member.use_planner_links(links)
         links.start()
     gatekeeper_count = config.settings.gateways if config.settings.requires_subscription else 1
     discovery = DiscoveryWatch(
@@ -179,21 +183,21 @@
             log.warning("reload: %s; keeping the current configuration", error)
             return
         log.info("reloaded: discovery at %s:%d", *reloaded.discovery)
-        discovery.move(reloaded.discovery)
+        discovery.change_address(reloaded.discovery)
         if counter is not None and reloaded.counter is not None:
             counter.change_address(reloaded.counter)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    if member is not None or discovery.own_agent:
+    if member is not None or discovery.has_own_agent:
         discovery.start()
-    if discovery.own_agent:
+    if discovery.has_own_agent:
         timeout_seconds = SUCCESSOR_ANSWER_SECONDS if took_over else FIRST_ANSWER_SECONDS
         answered = await _first_answer(loop, discovery, stop, timeout_seconds)
         if not answered:
             log.warning("discovery: no answer in %.1f s; serving by the last known list", timeout_seconds)
     if member is not None:
-        await member.opens(stop, lambda: len(workers) > 0)
+        await member.wait_until_open(stop, lambda: len(workers) > 0)
     if links is not None:
         waiting = {loop.create_task(links.ready()), loop.create_task(stop.wait())}
         await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
@@ -206,7 +210,7 @@
     if discovery.state is WatchState.STOPPED:
         discovery.start()  # a service that all gatekeepers share is first called in this gatekeeper's own time slot
 
-    server.accepts = True
+    server.accepting = True
     if handoff is not None and handoff_folder:
         handoff.on_accepting(
             config.name, handoff_folder, listener, lambda: _open_listener(loop, config, server), discovery
@@ -233,10 +237,10 @@
         - KILL_MARGIN_SECONDS
     )
     log.info("stopping")
-    server.retire()
+    server.begin_shutdown()
     if handoff is None or not handoff.superseded:
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_SECONDS)
-    await server.finish(drain_until)
+    await server.drain(drain_until)
     listener.close()  # only now: a client whose request crossed the close of its connection connects again
     discovery.stop()
     if counter is not None:
@@ -273,7 +277,7 @@
         sock = listening_socket(config.listen)
     else:
         sock = socket.socket(fileno=os.dup(config.accept_fd))  # a copy: the inherited one stays open to resume from
-    return ClientListener(loop, sock, lambda: Client(server), server.make_room)
+    return ClientListener(loop, sock, lambda: ClientConnection(server), server.make_room)
 
 
 def _forwarder_config(config: Config, index: int, file: str, started_at: float) -> ForwarderConfig:
--- a/oliveloft/manage/client.py
+++ b/oliveloft/manage/client.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from oliveloft.config.loading import ConfigError, address, read
+from oliveloft.config.loading import ConfigError, parse_address, read
 from oliveloft.manage import protocol
 
 EXIT_OK, EXIT_FAILED, EXIT_USAGE, EXIT_NO_ANSWER = 0, 1, 2, 3
@@ -29,26 +29,26 @@
     return answer.decode("ascii", "replace").strip()
 
 
-def resolve_address(given: str | None) -> tuple[str, int]:
+def resolve_address(address: str | None) -> tuple[str, int]:
     """Return the address that is given, or else that of PROXY_MANAGEMENT or of the file that PROXY_CONFIG names."""
-    if given is None:
-        given = os.environ.get("PROXY_MANAGEMENT")
-    if given is None and os.environ.get("PROXY_CONFIG"):
-        given = read(os.environ).get("management")
-    if given is None:
+    if address is None:
+        address = os.environ.get("PROXY_MANAGEMENT")
+    if address is None and os.environ.get("PROXY_CONFIG"):
+        address = read(os.environ).get("management")
+    if address is None:
         raise ConfigError("--at: no address; neither PROXY_MANAGEMENT nor PROXY_CONFIG names one")
     try:
-        return address(given)
+        return parse_address(address)
     except ValueError as error:
         raise ConfigError(f"--at: {error}") from error
 
 
-def main(command: str, worker: str | None, at: str | None, timeout_seconds: float, as_json: bool) -> int:
+def main(command: str, worker: str | None, address: str | None, timeout_seconds: float, as_json: bool) -> int:
     """Make a call and print its answer; return the exit status."""
     line = command if worker is None else f"{command} {worker}"
     try:
         call = protocol.parse(line.encode())
-        server_address = resolve_address(at)
+        server_address = resolve_address(address)
     except (protocol.InvalidCall, ConfigError) as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return EXIT_USAGE
--- a/oliveloft/manage/operations.py
+++ b/oliveloft/manage/operations.py
@@ -45,10 +45,10 @@
         if self._member is None or not succeeded or call.command in protocol.READ_ONLY_CALLS:
             return succeeded, answer
         if call.command in (protocol.OFFLINE, protocol.ONLINE):
-            persisted = self._member.said(call.worker, call.command == protocol.OFFLINE)
+            persisted = self._member.set_maintenance(call.worker, call.command == protocol.OFFLINE)
         else:
-            persisted = self._member.drained(call.command == protocol.LEAVE)
-        if not self._member.remembers():
+            persisted = self._member.record_drain(call.command == protocol.LEAVE)
+        if not self._member.has_record_store():
             return True, f"{answer}; there is no memory, it ends with this process"
         result: asyncio.Future[tuple[bool, str]] = self._loop.create_future()
         persisted.add_done_callback(
@@ -64,7 +64,7 @@
         """Execute a call in this process alone, without persisting it."""
         match call.command:
             case protocol.HEALTH:
-                if self._member is not None and (waiting_for := self._member.health()):
+                if self._member is not None and (waiting_for := self._member.startup_state()):
                     return False, waiting_for
                 return self._server.health()
             case protocol.REFUSED:
@@ -72,16 +72,16 @@
             case protocol.OFFLINE | protocol.ONLINE:
                 return self._set_maintenance(call.worker, call.command == protocol.OFFLINE)
             case protocol.LEAVE:
-                if self._presence.leave(self._loop.time()):
+                if self._presence.start_drain(self._loop.time()):
                     log.info("sending clients away")
                 return True, "sending clients away; JOIN takes them again"
             case _:
-                if self._presence.join():
+                if self._presence.end_drain():
                     log.info("taking clients again")
                 return True, "taking clients"
 
     def _set_maintenance(self, worker: str, in_maintenance: bool) -> tuple[bool, str]:
-        if not self._dispatcher.maintain(worker, in_maintenance):
+        if not self._dispatcher.set_maintenance(worker, in_maintenance):
             return False, f"no worker {worker} is known here"
         log.info("worker %s is %s", worker, "out for maintenance" if in_maintenance else "back")
         return True, f"nothing more goes to {worker}" if in_maintenance else f"{worker} is back"
--- a/oliveloft/memory/files.py
+++ b/oliveloft/memory/files.py
@@ -17,7 +17,7 @@
     def append(self, data: bytes) -> None:
         """Write at the end; not durable before `sync`."""
 
-    def put(self, data: bytes) -> None:
+    def overwrite_start(self, data: bytes) -> None:
         """Overwrite the beginning in place."""
 
     def sync(self) -> None:
@@ -33,8 +33,8 @@
     def names(self) -> list[str]:
         """Return the names of the files in the folder."""
 
-    def open(self, name: str, fresh: bool = False) -> File:
-        """Open an existing file, or with `fresh` an empty new one. FileNotFoundError where it does not exist."""
+    def open(self, name: str, create: bool = False) -> File:
+        """Open an existing file, or with `create` an empty new one. FileNotFoundError where it does not exist."""
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
@@ -48,11 +48,11 @@
     def lock(self, name: str) -> bool:
         """Lock the folder until this process ends; return False where another process holds the lock."""
 
-    def machine(self) -> str:
+    def boot_id(self) -> str:
         """Return an identifier of the machine's current boot; empty where it is unknown."""
 
 
-class PlainFile:
+class SystemFile:
     """A file of the operating system."""
 
     def __init__(self, path: str, fresh: bool) -> None:
@@ -71,7 +71,7 @@
         os.lseek(self._fd, 0, os.SEEK_END)
         self._write(data)
 
-    def put(self, data: bytes) -> None:
+    def overwrite_start(self, data: bytes) -> None:
         """Overwrite the beginning in place."""
         os.lseek(self._fd, 0, os.SEEK_SET)
         self._write(data)
@@ -92,7 +92,7 @@
             self._fd = -1
 
 
-class PlainDisk:
+class SystemDisk:
     """A folder of the operating system, created if it does not exist."""
 
     def __init__(self, folder: str) -> None:
@@ -107,9 +107,9 @@
         """Return the names of the files in the folder."""
         return os.listdir(self._folder)
 
-    def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file, or with `fresh` an empty new one."""
-        return PlainFile(self._path(name), fresh)
+    def open(self, name: str, create: bool = False) -> File:
+        """Open a file, or with `create` an empty new one."""
+        return SystemFile(self._path(name), create)
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
@@ -138,7 +138,7 @@
         self._lock = fd
         return True
 
-    def machine(self) -> str:
+    def boot_id(self) -> str:
         """Return the kernel's boot id."""
         with contextlib.suppress(OSError), open("/proc/sys/kernel/random/boot_id") as file:
             return file.read().strip()
--- a/oliveloft/memory/log.py
+++ b/oliveloft/memory/log.py
@@ -115,8 +115,8 @@
     return owner, salt, batches, False, ""
 
 
-class Log:
-    """The log of one folder. Call `find`, then `begin`, before appending.
+class RecordLog:
+    """The log of one folder. Call `load`, then `rewrite`, before appending.
 
     Every call may raise OSError; the given records are then not known to be on disk.
     """
@@ -132,7 +132,7 @@
         self._is_void = False
         self.size = 0  # bytes appended to the current file
 
-    def find(self) -> LogContents:
+    def load(self) -> LogContents:
         """Read the folder. Files of another owner are not deleted but renamed to a name that includes that owner."""
         contents, names = (
             LogContents(),
@@ -174,14 +174,14 @@
             self._state = self._disk.open(STATE_FILE)
         except FileNotFoundError:
             # Created ahead of need: it can be overwritten in place even on a full disk.
-            self._state = self._disk.open(STATE_FILE, fresh=True)
+            self._state = self._disk.open(STATE_FILE, create=True)
             self._state.append(b"good" + bytes(508))
             self._state.sync()
             return False
         self._is_void = self._state.read()[:4] != b"good"
         return self._is_void
 
-    def begin(self, records: Iterable[Record]) -> None:
+    def rewrite(self, records: Iterable[Record]) -> None:
         """Write all records to a new file and sync it, then remove older files and clear an earlier void mark."""
         was_void = self._is_void  # a mark that is set during this call stays
         self.start_copy()
@@ -190,7 +190,7 @@
             self.copy_records(rows[first : first + COPY_CHUNK_RECORDS])
         self.finish_copy()
         if was_void and self._state is not None:  # only now: the old file must stay untrusted
-            self._state.put(b"good")
+            self._state.overwrite_start(b"good")
             self._state.sync()
             self._is_void = False
 
@@ -200,7 +200,7 @@
         self._file_number += 1
         name = f"memory.{self._file_number:08d}.log"
         salt = secrets.token_bytes(8)
-        file = self._disk.open(name, fresh=True)
+        file = self._disk.open(name, create=True)
         file.append(_file_header(self._owner, salt))
         self._copy_target, self._copy_frame_count = (file, name, salt), 0
 
@@ -262,7 +262,7 @@
         """Mark the log void by overwriting the state file in place, which works on a full disk as well."""
         self._is_void = True
         if self._state is not None:
-            self._state.put(b"void")
+            self._state.overwrite_start(b"void")
             self._state.sync()
 
     def close(self) -> None:
--- a/oliveloft/memory/memory.py
+++ b/oliveloft/memory/memory.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from oliveloft.memory.files import Disk
-from oliveloft.memory.log import COPY_CHUNK_RECORDS, LOCK_FILE, Key, Log, LogContents
+from oliveloft.memory.log import COPY_CHUNK_RECORDS, LOCK_FILE, Key, LogContents, RecordLog
 
 log = logging.getLogger("oliveloft")
 
@@ -54,7 +54,7 @@
         on_recovered: Callable[[], None] = lambda: None,
     ) -> None:
         self._loop, self._disk, self._on_lost, self._on_recovered = loop, disk, on_lost, on_recovered
-        self._log = Log(disk, owner)
+        self._log = RecordLog(disk, owner)
         self._write_executor = ThreadPoolExecutor(1, "memory")
         self._void_executor = ThreadPoolExecutor(1, "memory-void")  # marks the log void while the writer hangs
         self._current: dict[Key, msgspec.Raw] = {}  # all current records, encoded
@@ -83,7 +83,7 @@
         def find() -> LogContents:
             if not self._disk.lock(LOCK_FILE):
                 raise MemoryUnavailableError("another process has it")
-            return self._log.find()
+            return self._log.load()
 
         try:
             contents = await self._loop.run_in_executor(self._write_executor, find)
@@ -98,7 +98,7 @@
         self._writing, self._write_started_at = True, time.monotonic()
         self._tick()
         try:
-            await self._loop.run_in_executor(self._write_executor, self._log.begin, rows)
+            await self._loop.run_in_executor(self._write_executor, self._log.rewrite, rows)
         except OSError as error:
             self._writing = False
             self._record_failure(error)
@@ -273,15 +273,15 @@
                 self._next_retry_at = now + RETRY_INTERVAL_SECONDS
                 rows = [(kind, key, raw) for (kind, key), raw in self._current.items()]
                 self._pending.clear()
-                self._submit(self._log.begin, rows, waiters=[], full_rewrite=True)
+                self._submit(self._log.rewrite, rows, waiters=[], full_rewrite=True)
             return
         self._write_next_batch()
 
-    async def close(self, last: Sequence[tuple[str, str, Any]] = ()) -> None:
-        """Write the pending records and the `last` ones, then close the log."""
+    async def close(self, final_records: Sequence[tuple[str, str, Any]] = ()) -> None:
+        """Write the pending records and `final_records`, then close the log."""
         if self._timer is not None:
             self._timer.cancel()
-        for kind, key, value in last:
+        for kind, key, value in final_records:
             self.put(kind, key, value)
         while self._pending and self._failing_since is None and not self._closed:
             await self.sync()
--- a/oliveloft/planners/config.py
+++ b/oliveloft/planners/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from micagate.planning.terms import Terms
-from oliveloft.config.loading import ConfigError, address
+from oliveloft.config.loading import ConfigError, parse_address
 
 MAX_FORWARDERS = 10_000
 MIN_SECRET_BYTES = 16
@@ -117,7 +117,7 @@
         if not name or len(name) > 64 or "/" in name:
             raise ConfigError(f"planners.{name}: a name has 1 to 64 characters and no slash")
         try:
-            planners[name] = address(raw_address)
+            planners[name] = parse_address(raw_address)
         except ValueError as error:
             raise ConfigError(f"planners.{name}: {error}") from error
     if not planners:
--- a/oliveloft/planners/keeper.py
+++ b/oliveloft/planners/keeper.py
@@ -105,7 +105,7 @@
                 snapshot = await self._store.read(self._prefix)
                 now = self._now()
                 self._ownership.reset(now)
-                self._ownership.members(
+                self._ownership.set_members(
                     now,
                     [
                         entry.key.rpartition("/")[2]
@@ -128,15 +128,15 @@
     def _apply_entry(self, now: float, key: str, value: str | None, modified: int) -> None:
         kind, _, name = key.removeprefix(self._prefix).partition("/")
         if kind == "members":
-            self._ownership.member(now, name, value is not None)
+            self._ownership.update_member(now, name, value is not None)
             return
         try:
             shard = int(name)
             if kind == "epochs" and value is not None:
-                self._ownership.epoch(shard, int(value), modified)
+                self._ownership.set_epoch(shard, int(value), modified)
             elif kind == "owners":
                 raw = json.loads(value) if value is not None else None
-                self._ownership.owner(
+                self._ownership.set_owner(
                     now, shard, None if raw is None else Owner(str(raw["planner"]), int(raw["epoch"]), modified)
                 )
         except (ValueError, KeyError, TypeError) as error:
@@ -154,7 +154,7 @@
             await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
             if not self._lease or not self._state_known:
                 continue
-            for transfer in self._ownership.wishes(self._now()):
+            for transfer in self._ownership.store_operations(self._now()):
                 try:
                     await self._commit_transfer(transfer)
                 except StoreError as error:
@@ -166,7 +166,7 @@
         key, now = f"{self._prefix}owners/{transfer.shard}", self._now()
         if isinstance(transfer, Release):
             if await self._store.commit({key: transfer.modified}, [], [key]) is not None:
-                self._ownership.owner(now, transfer.shard, None)
+                self._ownership.set_owner(now, transfer.shard, None)
                 self._notify_ownership()
             return
         value = json.dumps({"planner": self._ownership.name, "epoch": transfer.epoch})
@@ -175,6 +175,6 @@
             {key: 0, epoch_key: transfer.modified}, [Put(key, value, self._lease), Put(epoch_key, str(transfer.epoch))]
         )
         if revision is not None:
-            self._ownership.owner(now, transfer.shard, Owner(self._ownership.name, transfer.epoch, revision))
-            self._ownership.epoch(transfer.shard, transfer.epoch, revision)
+            self._ownership.set_owner(now, transfer.shard, Owner(self._ownership.name, transfer.epoch, revision))
+            self._ownership.set_epoch(transfer.shard, transfer.epoch, revision)
             self._notify_ownership()
--- a/oliveloft/planners/link.py
+++ b/oliveloft/planners/link.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from micagate import interface
-from micagate.planning.demand import Demands
+from micagate.planning.demand import DemandEstimator
 from micagate.planning.holder import Holder
 from micagate.planning.messages import PlannerUpdate, RestartSession, check
 from micagate.planning.ownership import shard_of
@@ -180,8 +180,8 @@
         self.holder = Holder(
             config.terms, index, config.forwarders, started_at, first_session=random.getrandbits(52), shard_of=shard
         )
-        self._demands = Demands(started_at)
-        self._links = {planner: _PlannerLink(self, planner, where) for planner, where in config.planners.items()}
+        self._demands = DemandEstimator(started_at)
+        self._links = {planner: _PlannerLink(self, planner, address) for planner, address in config.planners.items()}
         self._owned_shards: dict[str, set[int]] = {}
         self.planner_start_times: dict[str, float] = {}  # start time of each planner's process, where known
         # Called before leases are promised up to a time: whether that is recorded on disk. If not, reports wait.
@@ -281,7 +281,7 @@
         if now - self._demand_reported_at >= self.config.terms.interval / 2:
             self._demand_reported_at = now
             report = self._share_consumer.demand_report(self.config.paces)
-            self.holder.demand(now, self._demands.survey(now, report.resources))
+            self.holder.update_needs(now, self._demands.update(now, report.resources))
             self.holder.record_worker_loads(report.workers)
         self._flush()
         for link in self._links.values():
--- a/oliveloft/planners/planner.py
+++ b/oliveloft/planners/planner.py
@@ -217,7 +217,7 @@
     def _record_epochs(self, epochs: tuple[tuple[int, int], ...]) -> None:
         for shard, epoch in epochs:
             if 0 <= shard < self.config.terms.shards and 0 <= epoch < 1 << 62:
-                self._ownership.heard(shard, epoch)
+                self._ownership.report_epoch(shard, epoch)
 
     def log_problem(self, source: str, reason: str) -> None:
         """Log a problem once per source and reason."""
@@ -293,7 +293,7 @@
         for shard, ledger in sorted(self._ledgers.items()):
             shards[str(shard)] = {
                 "epoch": ledger.epoch,
-                "age_s": round(now - ledger.began, 1),
+                "age_s": round(now - ledger.started_at, 1),
                 "things": ledger.resource_count,
                 "mismatched": ledger.mismatched,
                 "left_out": ledger.rejected_needs,
@@ -331,14 +331,14 @@
         }
 
 
-async def serve(name: str, config: PlannersConfig) -> int:
+async def run_planner(name: str, config: PlannersConfig) -> int:
     """Run a planner until a signal; return the exit status. The first of the planners hosts an embedded store."""
     embedded_store = None
     if config.embedded and name == next(iter(config.planners)):
-        from rig.etcd import EtcdStandIn
+        from rig.etcd import FakeEtcd
 
         try:
-            embedded_store = await EtcdStandIn(int(config.endpoints[0].rpartition(":")[2])).start()
+            embedded_store = await FakeEtcd(int(config.endpoints[0].rpartition(":")[2])).start()
         except (OSError, ValueError) as error:
             raise ConfigError(f"store.endpoints: {error}") from error
     store = Etcd(config.endpoints)
--- a/oliveloft/planners/status.py
+++ b/oliveloft/planners/status.py
@@ -60,7 +60,7 @@
     raise wire.WireError("the connection was closed")
 
 
-async def gather(config: PlannersConfig) -> dict[str, dict[str, Any]]:
+async def query_planners(config: PlannersConfig) -> dict[str, dict[str, Any]]:
     """Return the state of each planner; one that cannot be queried has an `error`."""
 
     async def one(name: str) -> dict[str, Any]:
@@ -128,7 +128,7 @@
     except ConfigError as error:
         print(f"oliveloft: {error}", file=sys.stderr)
         return 2
-    states = asyncio.run(gather(config))
+    states = asyncio.run(query_planners(config))
     if as_json:
         print(json.dumps(states))
     else:
--- a/oliveloft/shared_types.py
+++ b/oliveloft/shared_types.py
@@ -10,7 +10,7 @@
 
 from micagate import interface
 from micagate.estimates.start_times import StartTimes
-from oliveloft.config.loading import address
+from oliveloft.config.loading import parse_address
 
 WORKER_STATES = {"up": interface.HEALTHY, "draining": interface.DRAINING, "removed": interface.REMOVED}
 
@@ -65,7 +65,7 @@
         raise ValueError("name: missing or not a string")
     if state not in WORKER_STATES:
         raise ValueError(f"status: {state!r}")
-    worker_address = ("", 0) if state == "removed" else address(entry_json.get("address"))
+    worker_address = ("", 0) if state == "removed" else parse_address(entry_json.get("address"))
     zone, cell = entry_json.get("zone", ""), entry_json.get("group", 0)
     if not isinstance(zone, str) or not isinstance(cell, int):
         raise ValueError("zone: not a string, or group: not an integer")
@@ -90,7 +90,7 @@
     only if the update is applied. Raises ValueError if the update itself is malformed.
     """
 
-    __slots__ = ("index", "whole", "endpoints", "skipped", "_start_times")
+    __slots__ = ("index", "is_snapshot", "endpoints", "skipped", "_start_times")
 
     def __init__(self, update_json: Any) -> None:
         if not isinstance(update_json, dict) or not isinstance(update_json.get("endpoints"), list):
@@ -98,7 +98,7 @@
         index = update_json.get("index")
         if not isinstance(index, int) or isinstance(index, bool):
             raise ValueError(f"index: {index!r}")
-        self.index, self.whole = index, bool(update_json.get("snapshot"))
+        self.index, self.is_snapshot = index, bool(update_json.get("snapshot"))
         self.endpoints: list[Endpoint] = []
         self._start_times: list[float] = []
         self.skipped = ""
@@ -111,7 +111,7 @@
             self.endpoints.append(found)
             self._start_times.append(start)
 
-    def date(self, times: StartTimes, now: float) -> None:
+    def set_start_times(self, times: StartTimes, now: float) -> None:
         """Set the start times of the endpoints; call it only for an update that is applied."""
         listed = set()
         for position, (found, started_wall) in enumerate(zip(self.endpoints, self._start_times, strict=True)):
@@ -120,6 +120,6 @@
                 times.forget(name)
                 continue
             listed.add(name)
-            if (started := times.started(now, name, started_wall)) is not None:
+            if (started := times.start_time(now, name, started_wall)) is not None:
                 self.endpoints[position] = replace(found, entry=replace(found.entry, started=started))
-        times.listed(self.whole, listed)
+        times.record_list(self.is_snapshot, listed)
--- a/oliveloft/takeover/channel.py
+++ b/oliveloft/takeover/channel.py
@@ -80,7 +80,7 @@
                 return
             try:
                 message = wire.decode(data)
-            except wire.Damaged as error:
+            except wire.MalformedMessage as error:
                 for fd in fds:
                     os.close(fd)
                 self.close(f"damaged: {error}")
--- a/oliveloft/takeover/handoff.py
+++ b/oliveloft/takeover/handoff.py
@@ -68,7 +68,7 @@
     async def take_over(self, name: str, folder: str) -> bool:
         """Take over the state of the serving process; return whether there was one and its state was restored."""
         successor = Successor(self._loop, name, self._gateway, self, self._loop.time, self._dispatcher.handle)
-        if await successor.take(folder):
+        if await successor.request_state(folder):
             self._successor = successor
         return self._successor is not None
 
@@ -94,44 +94,47 @@
         if self.listener is not None:
             self.listener.close()
             self.listener = None
-        self._dispatcher.began, self._dispatcher.ended = self._on_attempt_started, self._on_attempt_ended
+        self._dispatcher.on_attempt_started, self._dispatcher.on_attempt_ended = (
+            self._on_attempt_started,
+            self._on_attempt_ended,
+        )
 
     def resume(self) -> None:
         """Accept clients again, unless this process is shutting down."""
-        self._dispatcher.began = self._dispatcher.ended = self._server.hand = None
-        if self.open_listener is not None and not self._server.closing:
+        self._dispatcher.on_attempt_started = self._dispatcher.on_attempt_ended = self._server.hand_off = None
+        if self.open_listener is not None and not self._server.shutting_down:
             self.listener = self.open_listener()
 
-    def outside(self) -> dict[str, Any]:
+    def network_state(self) -> dict[str, Any]:
         """Return the worker list, its version and source, and since when clients are sent away."""
         watch = self.discovery
         return {
             "clock_offset": self.clock_offset,
             "start_times": self._start_times.state(),
-            "left": self._presence.left,
+            "left": self._presence.draining_since,
             "index": watch.index if watch is not None else None,
             "told_by": list(watch.address) if watch is not None else None,
             "list": [
                 [e.worker, e.zone, e.cell, e.state, e.size, e.started, *address]
-                for e in self._gateway.maintenance.told.values()
+                for e in self._gateway.maintenance.entries.values()
                 if (address := self._workers.address(e.worker)) is not None
             ],
         }
 
-    def gone(self) -> None:
+    def on_superseded(self) -> None:
         """Pass connections to the successor, which serves now: idle ones at once, others after their reply."""
-        self._server.hand = self._send_client
-        for worker, idle_since, fd in self._workers.release():
+        self._server.hand_off = self._send_client
+        for worker, idle_since, fd in self._workers.release_idle():
             if self.predecessor is not None:
                 self.predecessor.send(wire.WorkerConnection(worker, idle_since), fd)
-        self._server.hand_over()
+        self._server.hand_off_idle()
 
     def _send_client(self, fd: int, good: bool) -> bool:
         return self.predecessor is not None and self.predecessor.send(wire.ClientConnection(good), fd)
 
     def _on_attempt_started(self, name: str, number: int) -> None:
         if self.predecessor is not None and (attempt := self._gateway.in_flight.get((name, number))) is not None:
-            self.predecessor.send(wire.AttemptStarted(state.out_row(name, number, attempt)))
+            self.predecessor.send(wire.AttemptStarted(state.attempt_row(name, number, attempt)))
 
     def _on_attempt_ended(self, attempt: Attempt, outcome: interface.Outcome) -> None:
         if self.predecessor is not None:
@@ -144,7 +147,7 @@
     def forward_call(self, call: protocol.Call) -> None:
         """Forward an operator's call to the other process of a hot restart, if both are alive.
 
-        So the predecessor's retries respect maintenance that only the successor was told of, and the successor
+        So the predecessor's retries respect maintenance that only the successor was notified of, and the successor
         follows calls that still reach the predecessor.
         """
         if self.predecessor is not None and self.predecessor.superseded:
@@ -159,37 +162,37 @@
 
     # The successor's side.
 
-    def receive(self, parts: dict[str, Any]) -> None:
-        """Restore what the predecessor's `outside` returned."""
+    def restore_network_state(self, parts: dict[str, Any]) -> None:
+        """Restore what the predecessor's `network_state` returned."""
         self.clock_offset = self._start_times.wall_offset = float(parts["clock_offset"])
         if "start_times" in parts:  # a predecessor of an earlier version does not send them
             self._start_times.restore(parts["start_times"])
-        self._gateway.counting.clock(self.clock_offset)
+        self._gateway.counting.set_clock_offset(self.clock_offset)
         draining_since = parts.get("left")
         if draining_since is not None:
-            self._presence.leave(float(draining_since))
+            self._presence.start_drain(float(draining_since))
         update = DiscoveryUpdate({"index": 0, "snapshot": True, "endpoints": []})
         for worker, zone, cell, status, size, started, host, port in parts["list"]:
             entry = interface.WorkerEntry(worker, zone, cell, status, size, started)
             update.endpoints.append(Endpoint(entry, (host, port)))
         if update.endpoints:
             self._dispatcher.update_workers(update)
-            self._server.able()
+            self._server.workers_available()
         index, address = parts.get("index"), parts.get("told_by")
         if isinstance(index, int) and isinstance(address, list | tuple):
             self.index, self.discovery_address = index, (address[0], address[1])
         for worker_in_maintenance in parts.get("banned", ()):
-            self._workers.ban(str(worker_in_maintenance))
+            self._workers.start_maintenance(str(worker_in_maintenance))
 
-    def client(self, sock: socket.socket, good: bool) -> None:
+    def adopt_client(self, sock: socket.socket, good: bool) -> None:
         """Adopt a client connection; `good` is whether it has carried a valid request."""
         self._track(self._loop.create_task(self._server.adopt(sock, good)))
 
-    def worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
+    def adopt_worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
         """Adopt an idle connection to a worker."""
         self._track(self._loop.create_task(self._workers.adopt(sock, worker, idle_since)))
 
-    def call(self, command: str, worker: str) -> None:
+    def on_operator_call(self, command: str, worker: str) -> None:
         """Apply an operator's call that the other process received."""
         if self.apply_call is not None:
             self.apply_call(protocol.Call(command, worker))
--- a/oliveloft/takeover/predecessor.py
+++ b/oliveloft/takeover/predecessor.py
@@ -43,13 +43,13 @@
     def resume(self) -> None:
         """Accept clients again."""
 
-    def outside(self) -> dict[str, Any]:
+    def network_state(self) -> dict[str, Any]:
         """Return the state of the network side: the worker list, its version, whether clients are sent away."""
 
-    def gone(self) -> None:
+    def on_superseded(self) -> None:
         """The successor serves: finish the requests in flight and pass connections on."""
 
-    def call(self, command: str, worker: str) -> None:
+    def on_operator_call(self, command: str, worker: str) -> None:
         """Apply an operator's call that the successor received."""
 
 
@@ -69,7 +69,7 @@
         self._gateway, self._process, self._clock = gateway, process, clock
         self._socket: socket.socket | None = None
         self.channel: Channel | None = None
-        self._copy: state.Copy | None = None
+        self._copy: state.AccountCopy | None = None
         self._paused = False
         self.superseded = False  # the successor accepts clients; this process accepts none
 
@@ -112,7 +112,7 @@
 
     def _on_closed(self, reason: str) -> None:
         if self._copy is not None:
-            self._gateway.quotas.deficits.rest()  # ends the recording of changes for the copy
+            self._gateway.quotas.deficits.take_changes()  # ends the recording of changes for the copy
         self.channel = self._copy = None
         if not self._paused:
             return
@@ -139,7 +139,7 @@
                 ):
                     channel.send(wire.Rejected(f"version {wire.VERSION}, {self._name}, clock {now:.1f}"))
                     return
-                self._copy = state.Copy(self._gateway, now)
+                self._copy = state.AccountCopy(self._gateway, now)
                 self._copy_accounts()
             case wire.StateRequest() if self._copy is not None:
                 self._send_final_state(channel, self._copy)
@@ -147,9 +147,9 @@
                 self.superseded = True
                 self.stop()
                 log.info("takeover: the new process serves")
-                self._process.gone()
+                self._process.on_superseded()
             case wire.OperatorCall(command, worker) if self.superseded:
-                self._process.call(command, worker)
+                self._process.on_operator_call(command, worker)
             case wire.Rejected(reason):
                 channel.close(f"the new process rejected the handoff: {reason}")
 
@@ -159,11 +159,11 @@
         if channel is None or copy is None:
             return
         if channel.queued_messages < MAX_QUEUED_MESSAGES:
-            if (deficits := copy.debts()) is not None:
+            if (deficits := copy.next_deficits()) is not None:
                 channel.send(wire.StatePart("debts", deficits))
-            elif copy.lists():
+            elif copy.load_next_queue():
                 pass
-            elif rows := copy.more(self._clock(), ROWS_PER_MESSAGE):
+            elif rows := copy.next_accounts(self._clock(), ROWS_PER_MESSAGE):
                 channel.send(wire.Accounts(rows))
             else:
                 channel.send(wire.AccountsCopied())
@@ -172,16 +172,16 @@
         else:
             self._loop.call_later(0.001, self._copy_accounts)
 
-    def _send_final_state(self, channel: Channel, copy: state.Copy) -> None:
+    def _send_final_state(self, channel: Channel, copy: state.AccountCopy) -> None:
         """Stop accepting clients and send the rest of the state, all as of the same instant."""
         self._paused = True
         self._process.pause()
-        rows = copy.rest()
+        rows = copy.remaining_accounts()
         for first in range(0, len(rows), ROWS_PER_MESSAGE):
             channel.send(wire.Accounts(rows[first : first + ROWS_PER_MESSAGE]))
-        for name, value in {**self._process.outside(), **state.core(self._gateway)}.items():
+        for name, value in {**self._process.network_state(), **state.core_state(self._gateway)}.items():
             channel.send(wire.StatePart(name, value))
-        attempts = list(state.outs(self._gateway))
+        attempts = list(state.in_flight_rows(self._gateway))
         for first in range(0, len(attempts), ROWS_PER_MESSAGE):
             channel.send(wire.StatePart("outs", attempts[first : first + ROWS_PER_MESSAGE]))
         channel.send(wire.StateComplete(self._clock()))
--- a/oliveloft/takeover/successor.py
+++ b/oliveloft/takeover/successor.py
@@ -12,7 +12,7 @@
 from micagate import interface
 from micagate.gateway import Gateway
 from micagate.handover import state
-from micagate.handover.fields import Damaged
+from micagate.handover.fields import MalformedState
 from oliveloft.takeover import wire
 from oliveloft.takeover.channel import Channel
 from oliveloft.takeover.predecessor import socket_path
@@ -25,16 +25,16 @@
 class SuccessorProcess(Protocol):
     """What `Successor` needs of the process it runs in."""
 
-    def receive(self, parts: dict[str, Any]) -> None:
+    def restore_network_state(self, parts: dict[str, Any]) -> None:
         """Restore the state of the predecessor's network side."""
 
-    def client(self, sock: socket.socket, good: bool) -> None:
+    def adopt_client(self, sock: socket.socket, good: bool) -> None:
         """Adopt a client connection; `good` is whether it has carried a valid request."""
 
-    def worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
+    def adopt_worker(self, sock: socket.socket, worker: str, idle_since: float) -> None:
         """Adopt an idle connection to a worker."""
 
-    def call(self, command: str, worker: str) -> None:
+    def on_operator_call(self, command: str, worker: str) -> None:
         """Apply an operator's call that the predecessor received."""
 
 
@@ -60,7 +60,7 @@
         self._predecessor_attempts: set[tuple[str, int]] = set()  # request id and attempt number, in flight there
         self._restored = False
 
-    async def take(self, folder: str) -> bool:
+    async def request_state(self, folder: str) -> bool:
         """Take over the whole state; return whether there was one and it could be read. If not, none of it is used."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
@@ -103,7 +103,7 @@
             log.warning("takeover: %s; starting with nothing", reason)
             self._completed.set_result(False)
         # The predecessor's connections are closed with it, so its attempts are no longer in flight.
-        for outcome in state.left_out(self._gateway, self._predecessor_attempts):
+        for outcome in state.cancelled_outcomes(self._gateway, self._predecessor_attempts):
             self._handle(outcome)
         self._predecessor_attempts.clear()
 
@@ -113,7 +113,7 @@
             return
         try:
             self._apply(message)
-        except (Damaged, KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
+        except (MalformedState, KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
             if self._restored:
                 log.warning("takeover: unusable news: %s", error)
             else:
@@ -124,9 +124,9 @@
         sock.setblocking(False)
         match message:
             case wire.ClientConnection(good):
-                self._process.client(sock, good)
+                self._process.adopt_client(sock, good)
             case wire.WorkerConnection(worker, idle_since):
-                self._process.worker(sock, worker, idle_since)
+                self._process.adopt_worker(sock, worker, idle_since)
             case _:
                 sock.close()
 
@@ -150,7 +150,7 @@
                 self._restore(now)
             case wire.AttemptStarted(row):
                 self._predecessor_attempts.add((row["request"], row["number"]))
-                state.adopt(self._gateway, now, row, spends=True)
+                state.adopt_attempt(self._gateway, now, row, spend_units=True)
             case wire.AttemptEnded():
                 self._predecessor_attempts.discard((message.request, message.number))
                 self._handle(
@@ -165,20 +165,20 @@
                     )
                 )
             case wire.OperatorCall(command, worker):
-                self._process.call(command, worker)
+                self._process.on_operator_call(command, worker)
 
     def _insert_accounts(self) -> None:
         """Insert accounts as they arrive, so that no single step at the end takes long."""
         rows, self._rows = self._rows, []
-        state.put_accounts(self._gateway, self._clock(), rows)
+        state.restore_accounts(self._gateway, self._clock(), rows)
         # Keeps garbage collections from scanning a growing number of accounts, which would stall clients: 90 ms with
         # 30,000 accounts. Accounts are in no reference cycle, so they are freed without the collector.
         gc.freeze()
 
     def _restore(self, now: float) -> None:
-        self._process.receive(self._parts)
+        self._process.restore_network_state(self._parts)
         self._predecessor_attempts.update((row["request"], row["number"]) for row in self._parts["outs"])
-        state.put_core(self._gateway, now, self._parts, self._parts["outs"])
+        state.restore_core(self._gateway, now, self._parts, self._parts["outs"])
         for deficits in self._deficits:
             self._gateway.quotas.deficits.restore(deficits)
         self._restored = True
--- a/oliveloft/takeover/wire.py
+++ b/oliveloft/takeover/wire.py
@@ -16,7 +16,7 @@
 MAX_DATAGRAM_BYTES = 128 * 1024
 
 
-class Damaged(Exception):
+class MalformedMessage(Exception):
     """Raised for a datagram that cannot be decoded."""
 
 
@@ -88,7 +88,7 @@
 
 
 class AttemptStarted(msgspec.Struct, tag="Began"):
-    """From the predecessor: it has started an attempt; `row` is what `state.out_row` returns."""
+    """From the predecessor: it has started an attempt; `row` is what `state.attempt_row` returns."""
 
     row: dict[str, Any]
 
@@ -136,11 +136,11 @@
 
 
 def decode(datagram: bytes) -> Message:
-    """Decode a datagram; raise `Damaged` if it is not a valid message."""
+    """Decode a datagram; raise `MalformedMessage` if it is not a valid message."""
     if zlib.crc32(datagram[4:]).to_bytes(4, "big") != datagram[:4]:
-        raise Damaged("checksum mismatch")
+        raise MalformedMessage("checksum mismatch")
     try:
         message: Message = _decoder.decode(datagram[4:])
     except msgspec.MsgspecError as error:
-        raise Damaged(str(error)) from error
+        raise MalformedMessage(str(error)) from error
     return message
--- a/rig/bulk.py
+++ b/rig/bulk.py
@@ -29,7 +29,7 @@
     return whole[first - start * BLOCK_BYTES : first - start * BLOCK_BYTES + size]
 
 
-def check(name: str, size: int) -> int:
+def body_checksum(name: str, size: int) -> int:
     """Return the CRC-32 of a whole body."""
     checksum = 0
     for first in range(0, size, 1 << 20):
@@ -90,7 +90,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.took: list[tuple[str, int, int, bool]] = []  # id, bytes, checksum, whole
+        self.received: list[tuple[str, int, int, bool]] = []  # id, bytes, checksum, whole
         self.connections = 0
 
     async def start(self) -> Self:
@@ -138,7 +138,7 @@
         size, checksum, is_complete = await read_body(
             reader, request.headers if framed else {"content-length": "0"}, float(query.get("read", 0))
         )
-        self.took.append((name, size, checksum, is_complete))
+        self.received.append((name, size, checksum, is_complete))
         if not is_complete:
             return False
         if attempt <= int(query.get("turn", 0)):
@@ -182,26 +182,26 @@
 
 
 class BulkClient:
-    """A client of long bodies on one connection. `made` counts the requests, for unique ids."""
+    """A client of long bodies on one connection. `requests_made` counts the requests, for unique ids."""
 
-    made = 0
+    requests_made = 0
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, port: int, window: int = 0) -> BulkClient:
-        """Connect; `window` limits the bytes that the reader buffers ahead."""
-        return cls(*await asyncio.open_connection("127.0.0.1", port, **({"limit": window} if window else {})))
+    async def connect(cls, port: int, read_limit: int = 0) -> BulkClient:
+        """Connect; `read_limit` limits the bytes that the reader buffers ahead."""
+        return cls(*await asyncio.open_connection("127.0.0.1", port, **({"limit": read_limit} if read_limit else {})))
 
-    async def ask(
+    async def fetch(
         self,
         klass: str = "write",
         size: int = 0,
-        want: str = "",
+        worker_query: str = "",
         chunked: bool = False,
-        pace: float = 0.0,
-        read: float = 0.0,
+        send_bytes_per_second: float = 0.0,
+        read_bytes_per_second: float = 0.0,
         step: int = 65536,
         stop: int | None = None,
         plan: str = "free",
@@ -209,27 +209,29 @@
     ) -> tuple[int, str, int, int, bool]:
         """Send a request; return status, request id, response size, its checksum and whether it is complete.
 
-        The request body has `size` bytes, is sent in steps of `step` bytes at `pace` bytes a second, and stops after
-        `stop` bytes. `want` is the query for the worker. The response is read at `read` bytes a second.
+        The request body has `size` bytes, is sent in steps of `step` bytes at `send_bytes_per_second`, and stops after
+        `stop` bytes. `worker_query` is the query for the worker. The response is read at `read_bytes_per_second`.
         """
-        BulkClient.made += 1
-        name = f"bulk{BulkClient.made}"
+        BulkClient.requests_made += 1
+        name = f"bulk{BulkClient.requests_made}"
         framing = "Transfer-Encoding: chunked\r\n" if chunked else f"Content-Length: {size}\r\n"
         self.writer.write(
             (
                 f"{'GET' if klass == 'read' else 'POST'} /{klass}"
-                f"?customer={BulkClient.made:016x}&{want} HTTP/1.1\r\n"
+                f"?customer={BulkClient.requests_made:016x}&{worker_query} HTTP/1.1\r\n"
                 f"Host: x\r\nX-Request-ID: {name}\r\nX-Priority-Class: {klass}\r\nX-Tariff: {plan}\r\n"
                 f"X-Timeout: {timeout}\r\nX-Weight: units=1,spread=1,first=0\r\n"
                 f"{'' if klass == 'read' else framing}\r\n"
             ).encode()
         )
-        sending = asyncio.create_task(self._send(name, size, chunked, pace, step, size if stop is None else stop))
+        sending = asyncio.create_task(
+            self._send(name, size, chunked, send_bytes_per_second, step, size if stop is None else stop)
+        )
         try:
             response = await read_head(self.reader)
             if response is None:
                 return 0, name, 0, 0, False
-            size_received, checksum, is_complete = await read_body(self.reader, response.headers, read)
+            size_received, checksum, is_complete = await read_body(self.reader, response.headers, read_bytes_per_second)
             return response.status, name, size_received, checksum, is_complete
         finally:
             sending.cancel()
@@ -252,12 +254,12 @@
         self.writer.transport.abort()
 
 
-async def at_once(port: int, count: int, size: int) -> None:
+async def transfer_concurrently(port: int, count: int, size: int) -> None:
     """Transfer `count` long bodies concurrently, half of them responses; assert that each arrives complete."""
 
     async def transfer(number: int) -> tuple[int, str, int, int, bool]:
         client = await BulkClient.connect(port)
-        return await client.ask(size=size) if number % 2 else await client.ask("read", want=f"give={size}")
+        return await client.fetch(size=size) if number % 2 else await client.fetch("read", worker_query=f"give={size}")
 
     results = await asyncio.gather(*(transfer(number) for number in range(count)))
     assert all(each[0] == 200 and each[4] for each in results), results
--- a/rig/capacity.py
+++ b/rig/capacity.py
@@ -11,18 +11,18 @@
 class Capacity:
     """Parameters of a worker's model; times are in seconds.
 
-    `cores` requests are processed in parallel, up to `queue` more wait, and any further one is rejected. A warm worker
-    takes 1/`speed` of a request's nominal time. A worker that starts has the fraction `cold_from` of its speed, which
-    rises linearly to 1 over `ramp`. `thrash` is the fraction by which each request waiting per core slows new work:
-    a worker with a long queue gets less done, so that overload reinforces itself.
+    `cores` requests are processed in parallel, up to `queue_limit` more wait, and any further one is rejected. A warm
+    worker takes 1/`speed` of a request's nominal time. A worker that starts has the fraction `min_warm_up_factor` of
+    its speed, which rises linearly to 1 over `warm_up_seconds`. `queue_slowdown` is the fraction by which each request
+    waiting per core slows new work: a worker with a long queue gets less done, so that overload reinforces itself.
     """
 
     cores: int = 2
-    queue: int = 16
+    queue_limit: int = 16
     speed: float = 1.0
-    cold_from: float = 1.0
-    ramp: float = 0.0
-    thrash: float = 0.0
+    min_warm_up_factor: float = 1.0
+    warm_up_seconds: float = 0.0
+    queue_slowdown: float = 0.0
 
 
 class Load:
@@ -35,32 +35,35 @@
         self.served = self.rejected = 0
         self.max_queue_length = 0  # longest queue so far
 
-    def warmth(self, now: float) -> float:
+    def warm_up_factor(self, now: float) -> float:
         """Return the warm-up factor: the fraction of its full speed that the worker has, up to 1."""
         capacity = self.capacity
-        if self.started is None or now - self.started >= capacity.ramp:
+        if self.started is None or now - self.started >= capacity.warm_up_seconds:
             return 1.0
-        return capacity.cold_from + (1 - capacity.cold_from) * max(0.0, now - self.started) / capacity.ramp
+        return (
+            capacity.min_warm_up_factor
+            + (1 - capacity.min_warm_up_factor) * max(0.0, now - self.started) / capacity.warm_up_seconds
+        )
 
-    def waiting(self, now: float) -> int:
+    def queue_length(self, now: float) -> int:
         """Return the number of requests that wait for a core."""
         while self._queued_start_times and self._queued_start_times[0] <= now:
             self._queued_start_times.popleft()
         return len(self._queued_start_times)
 
-    def free(self, now: float) -> float:
+    def next_core_free_at(self, now: float) -> float:
         """Return when the next core is free."""
         return max(now, self._core_free_times[0])
 
     def arrive(self, now: float, work: float) -> float | None:
         """Add a request of `work` seconds of a warm core at speed 1; return its end, or None if the queue is full."""
-        waiting = self.waiting(now)
-        start = self.free(now)
-        if start > now and waiting >= self.capacity.queue:
+        waiting = self.queue_length(now)
+        start = self.next_core_free_at(now)
+        if start > now and waiting >= self.capacity.queue_limit:
             self.rejected += 1
             return None
-        slowdown = 1.0 + self.capacity.thrash * waiting / self.capacity.cores
-        done = start + work * slowdown / (self.capacity.speed * self.warmth(now))
+        slowdown = 1.0 + self.capacity.queue_slowdown * waiting / self.capacity.cores
+        done = start + work * slowdown / (self.capacity.speed * self.warm_up_factor(now))
         heapq.heapreplace(self._core_free_times, done)
         if start > now:
             self._queued_start_times.append(start)
--- a/rig/counting.py
+++ b/rig/counting.py
@@ -1,6 +1,7 @@
 """A fake of the shared counter service: totals by name on shards that process calls in turn, with fault injection.
 
-`Service` has no I/O and takes the time as an argument, for simulations; `Counter` serves it over RESP2 on a socket.
+`CounterService` has no I/O and takes the time as an argument, for simulations; `CounterServer` serves it over RESP2 on
+a socket.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 MAX_KEY_TTL_SECONDS = 60.0  # maximum lifetime of a name
 
 
-class Service:
-    """Totals by name. Each shard handles `rate` calls per second and rejects those that would wait over `queue` s."""
+class CounterService:
+    """Totals by name. Each shard handles `rate` calls per second and rejects those that would wait too long."""
 
-    def __init__(self, rate: float = 5000.0, shards: int = 1, queue: float = 0.1, seed: int = 1) -> None:
-        self.rate, self.queue = rate, queue
+    def __init__(self, rate: float = 5000.0, shards: int = 1, max_wait_seconds: float = 0.1, seed: int = 1) -> None:
+        self.rate, self.max_wait_seconds = rate, max_wait_seconds
         self._shard_free_times = [0.0] * shards  # when each shard has processed its calls
         self._totals: dict[str, tuple[float, float]] = {}
         self._random = Random(seed)
         self.calls: list[tuple[str, float]] = []  # name and amount of each processed call
-        self.dead: set[int] = set()  # shards that never answer
+        self.unresponsive_shards: set[int] = set()  # shards that never answer
         self.busy = False  # rejects all calls
 
     def accept(self, now: float, name: str) -> float | None:
         """Return when a call that arrives now is processed; None if it is rejected, infinity if it never is."""
         shard = crc32(name.encode()) % len(self._shard_free_times)
-        if shard in self.dead:
+        if shard in self.unresponsive_shards:
             return math.inf
-        if self.busy or self._shard_free_times[shard] - now > self.queue:
+        if self.busy or self._shard_free_times[shard] - now > self.max_wait_seconds:
             return None
         self._shard_free_times[shard] = max(now, self._shard_free_times[shard]) + 1 / self.rate
         return self._shard_free_times[shard]
@@ -50,7 +51,7 @@
         self.calls.append((name, amount))
         return total
 
-    def forget(self, share: float = 1.0) -> None:
+    def drop_keys(self, share: float = 1.0) -> None:
         """Lose that share of the names, chosen at random."""
         for name in sorted(self._totals):
             if self._random.random() < share:
@@ -60,7 +61,7 @@
 class _Connection(asyncio.Protocol):
     """A client connection: replies are written in the order of the calls."""
 
-    def __init__(self, server: Counter) -> None:
+    def __init__(self, server: CounterServer) -> None:
         self._server, self._reader = server, hiredis.Reader()
         self._pending_replies: deque[list[bytes]] = deque()  # one list per call, empty until its reply is known
         self._transport: asyncio.Transport | None = None
@@ -96,17 +97,17 @@
             self._transport.abort()
 
 
-class Counter:
-    """Serves a `Service` on a loopback port."""
+class CounterServer:
+    """Serves a `CounterService` on a loopback port."""
 
-    def __init__(self, service: Service | None = None) -> None:
-        self.service = Service() if service is None else service
+    def __init__(self, service: CounterService | None = None) -> None:
+        self.service = CounterService() if service is None else service
         self.connections: set[_Connection] = set()
-        self.spoil: bytes | None = None  # written instead of the next reply
+        self.malformed_reply: bytes | None = None  # written instead of the next reply
         self._server: asyncio.Server | None = None
         self.port = 0
 
-    async def start(self) -> Counter:
+    async def start(self) -> CounterServer:
         """Listen; a server that was stopped listens on the same port again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), "127.0.0.1", self.port)
@@ -137,6 +138,6 @@
 
     def _reply(self, name: str, amount: float, ttl: float, reply_slot: list[bytes], connection: _Connection) -> None:
         total = f"{self.service.add(asyncio.get_running_loop().time(), name, amount, ttl):.7g}".encode()
-        malformed, self.spoil = self.spoil, None
+        malformed, self.malformed_reply = self.malformed_reply, None
         reply_slot.append(b"$%d\r\n%s\r\n" % (len(total), total) if malformed is None else malformed)
         connection.flush()
