--- a/rig/crash_recovery.py
+++ b/rig/crash_recovery.py
@@ -12,13 +12,13 @@
 
 from micagate import Plan
 from micagate.quotas import Quotas
-from micagate.recovery.high_water_mark import Mark
-from micagate.recovery.write_ahead import Marks
-from rig.limited_worker import overspent
+from micagate.recovery.high_water_mark import HighWaterMark
+from micagate.recovery.write_ahead import HighWaterMarks
+from rig.limited_worker import max_overspending
 
 PLAN = Plan("capped", rate=1000.0, burst=1000.0, ceiling_rate=12.0, ceiling_capacity=24.0)
 CUSTOMERS = 2
-SURE = 1e-6
+TOLERANCE = 1e-6
 
 
 class Variant(Enum):
@@ -35,7 +35,7 @@
 class Disk:
     """State that survives a crash: the marks that were synced, and when the previous incarnation started."""
 
-    marks: dict[str, Mark] = field(default_factory=dict)
+    marks: dict[str, HighWaterMark] = field(default_factory=dict)
     previous_start: float | None = None
 
 
@@ -45,11 +45,12 @@
     def __init__(self, disk: Disk, now: float, number: int, variant: Variant) -> None:
         self.disk, self.variant = disk, variant
         self.quotas = Quotas(now, None, 100, str(number))
-        self.marks = self.quotas.ceiling_marks = Marks(now, disk.marks, disk.previous_start)
+        self.marks = self.quotas.ceiling_high_water_marks = HighWaterMarks(now, disk.marks, disk.previous_start)
         if variant is not Variant.LAST_LIFE or disk.previous_start is None:
             disk.previous_start = now
         self.full_after_crash = variant is Variant.FULL
-        self.pending_writes: list[tuple[float, list[Mark]]] = []  # marks with the time at which they are on disk
+        # Marks with the time at which they are on disk.
+        self.pending_writes: list[tuple[float, list[HighWaterMark]]] = []
 
     def admit(self, now: float, customer: str, units: float, count: int) -> bool:
         """Return whether a request of a customer is admitted."""
@@ -58,8 +59,8 @@
             account.ceiling_balance = PLAN.ceiling_capacity / count
         account.demand += units
         account.largest_request = max(account.largest_request, units)
-        if self.variant is Variant.NOT_AHEAD and account.ceiling_mark is not None:
-            account.ceiling_mark = account.ceiling_mark._replace(level=-1e9)
+        if self.variant is Variant.NOT_AHEAD and account.ceiling_high_water_mark is not None:
+            account.ceiling_high_water_mark = account.ceiling_high_water_mark._replace(level=-1e9)
         if not self.quotas.ceiling_allows(account, units, False):
             return False
         self.quotas.spend(account, units, True)
@@ -67,9 +68,9 @@
 
     def write(self, now: float, sync_seconds: float) -> None:
         """Start to write the marks that are due; they are on disk after `sync_seconds`."""
-        if marks := self.marks.make(now):
+        if marks := self.marks.next_marks(now):
             if self.variant is Variant.EARLY:
-                self.marks.written(marks, self.quotas.accounts.get)
+                self.marks.mark_written(marks, self.quotas.accounts.get)
             self.pending_writes.append((now + sync_seconds, marks))
 
     def complete_writes(self, now: float) -> None:
@@ -77,14 +78,14 @@
         for when, marks in [entry for entry in self.pending_writes if entry[0] <= now]:
             self.pending_writes.remove((when, marks))
             self.disk.marks.update({mark.key: mark for mark in marks})
-            self.marks.written(marks, self.quotas.accounts.get)
+            self.marks.mark_written(marks, self.quotas.accounts.get)
 
 
 @dataclass
 class ScheduleResult:
     """Result of a schedule."""
 
-    sent: int = 0
+    admitted: int = 0
     refused: int = 0
     crashes: int = 0
     excess: float = 0.0  # units beyond the ceiling
@@ -116,8 +117,8 @@
             last_check = now
             for other in gatekeepers:
                 if other is not None:
-                    other.marks.look()
-                    for key in other.marks.idle(now, 5):
+                    other.marks.refresh()
+                    for key in other.marks.removable_keys(now, 5):
                         other.disk.marks.pop(key, None)
         if gatekeeper is None:
             if random.random() < 0.5:
@@ -133,12 +134,12 @@
             amount = random.choice((0.5, 1.0, 1.0, 2.0))
             customer = f"{random.randrange(customers):x}"
             if gatekeeper.admit(now, customer, amount, count):
-                result.sent += 1
+                result.admitted += 1
                 admitted_units[customer].append((now, amount))
             else:
                 result.refused += 1
     result.excess = max(
-        overspent(admitted, PLAN.ceiling_rate, PLAN.ceiling_capacity)
+        max_overspending(admitted, PLAN.ceiling_rate, PLAN.ceiling_capacity)
         for admitted in admitted_units.values()
         if admitted
     )
--- a/rig/customers.py
+++ b/rig/customers.py
@@ -2,8 +2,8 @@
 
 First requests and client retries go to real `Quotas`, one for each gatekeeper, with a meter that reports late. The
 units that they admit are compared with one token bucket that sees all requests. Workers are not simulated: each attempt
-gets a response, but for the share `lost`, whose responses are written and never arrive; their gatekeeper counts them as
-in flight until the latency objective has passed. Times are in seconds.
+gets a response, but for the share `response_loss`, whose responses are written and never arrive; their gatekeeper
+counts them as in flight until the latency objective has passed. Times are in seconds.
 
     python -m rig.customers [--gateways N] [--seeds N]
 """
@@ -20,7 +20,7 @@
 from micagate import interface
 from micagate.accounts import Account
 from micagate.quotas import Quotas
-from rig.traffic import PlanShape, Store
+from rig.traffic import PlanShape, TokenBucket
 
 KIND_SHARES = {"calm": 0.52, "full": 0.20, "heavy": 0.10, "spiky": 0.18}  # share of customers by kind of load
 PLANS = (
@@ -36,34 +36,34 @@
 
 
 @dataclass(frozen=True)
-class Day:
+class Scenario:
     """Parameters of a simulated day; times are in seconds, the rest shares and counts."""
 
     gateways: int = 4
     customers: int = 90
     seconds: float = 22.0
     skew: float = 1.0  # exponent of a customer's weights of its gatekeepers; 0: even weights
-    moves: float = 12.0  # mean time between changes of those weights
-    patient: float = 0.3  # share of rejections whose retry advice is followed; the others retry at once
-    elsewhere: float = 0.03  # share of retries that go to another gatekeeper of the customer
-    late: float = 0.8  # from the end of a meter period to the first reading of it
-    period: float = 0.5  # length of a meter period
-    lost: float = 0.0  # share of attempts whose responses never arrive
+    weights_change_interval: float = 12.0  # mean time between changes of those weights
+    follows_advice: float = 0.3  # share of rejections whose retry advice is followed; the others retry at once
+    retry_elsewhere: float = 0.03  # share of retries that go to another gatekeeper of the customer
+    meter_delay: float = 0.8  # from the end of a meter period to the first reading of it
+    meter_period: float = 0.5  # length of a meter period
+    response_loss: float = 0.0  # share of attempts whose responses never arrive
     plans: tuple[interface.Plan, ...] = PLANS
-    units: int = 1  # maximum units of a request; uniform from 1
-    marked: bool = True  # whether retries are marked as such
-    wait: float = 0.002  # delay of a client retry, beside the advised delay
-    tries: int = 3  # maximum number of times that a client sends a request
+    max_units: int = 1  # maximum units of a request; uniform from 1
+    mark_retries: bool = True  # whether retries are marked as such
+    retry_delay: float = 0.002  # delay of a client retry, beside the advised delay
+    max_attempts: int = 3  # maximum number of times that a client sends a request
     meter: bool = True  # without one, local shares of quotas decide alone
     # If set, replaces the decisions of `Quotas`: each gatekeeper sees the true balance of so many seconds ago, and what
     # it admitted itself since then.
-    sees: float | None = None
-    mix: tuple[tuple[str, float], ...] = tuple(KIND_SHARES.items())
+    global_view_delay: float | None = None
+    kind_shares: tuple[tuple[str, float], ...] = tuple(KIND_SHARES.items())
 
 
-def wide(gateways: int) -> Day:
+def scenario_for(gateways: int) -> Scenario:
     """Return a day with so many gatekeepers, and enough customers for them."""
-    return Day(gateways=gateways, customers=max(90, 18 * gateways))
+    return Scenario(gateways=gateways, customers=max(90, 18 * gateways))
 
 
 @dataclass
@@ -75,7 +75,7 @@
     plan: interface.Plan
     first_gateway: int
     weights: list[tuple[float, list[float]]]  # weights of its gatekeepers, with the time from which they hold
-    bucket: Store
+    bucket: TokenBucket
     in_flight: int = 0
     # Time, balance and attempts in flight after each change.
     history: list[tuple[float, float, int]] = field(default_factory=list)
@@ -101,11 +101,11 @@
 
     def record_state(self, now: float) -> None:
         """Record the current state for gateways that see it with a delay."""
-        self.history.append((now, self.bucket.fill(now), self.in_flight))
+        self.history.append((now, self.bucket.refill(now), self.in_flight))
 
     def has_room(self, now: float, units: int) -> bool:
         """Whether the whole quota has room for a request of so many units now."""
-        return self.bucket.fill(now) >= units and (
+        return self.bucket.refill(now) >= units and (
             not self.plan.concurrency_limit or self.in_flight < self.plan.concurrency_limit
         )
 
@@ -117,19 +117,19 @@
     offered: int = 0  # first requests that one bucket that sees them all admits
     served: int = 0  # within the whole quota and the latency objective
     over_quota: int = 0  # admitted beyond the whole quota
-    worth: float = 0.0  # price of the offered units
-    earned: float = 0.0  # price of the served units
+    revenue_offered: float = 0.0  # price of the offered units
+    revenue_served: float = 0.0  # price of the served units
     cost: float = 0.0  # excess cost of the units admitted beyond the quota, less their revenue
     units_requested: int = 0
     refused_with_room: int = 0  # units rejected while the whole bucket was at least half full
 
 
-def full_bucket(plan: interface.Plan) -> Store:
+def full_bucket(plan: interface.Plan) -> TokenBucket:
     """Return a full token bucket of the whole quota."""
-    return Store(PlanShape(plan.rate, plan.burst), 0.0)
+    return TokenBucket(PlanShape(plan.rate, plan.burst), 0.0)
 
 
-def arrivals(random: Random, scenario: Day, kind: str, rate: float) -> list[float]:
+def arrivals(random: Random, scenario: Scenario, kind: str, rate: float) -> list[float]:
     """Return the times of a customer's first requests: a steady Poisson process, or one with spikes."""
     low, high = {"calm": (0.16, 0.36), "full": (0.8, 1.0), "heavy": (1.9, 4.3), "spiky": (0.16, 0.36)}[kind]
     base_load, spikes, at = random.uniform(low, high), [], random.uniform(0.0, 18.0)
@@ -148,32 +148,35 @@
     return times
 
 
-def play(scenario: Day, seed: int) -> dict[str, KindTotals]:
+def play(scenario: Scenario, seed: int) -> dict[str, KindTotals]:
     """Simulate a day; return the totals by kind of customer."""
     random = Random(seed)
     quotas_by_gateway = [
-        Quotas(-60.0, period=scenario.period if scenario.meter else 0.0) for _ in range(scenario.gateways)
+        Quotas(-60.0, meter_period=scenario.meter_period if scenario.meter else 0.0) for _ in range(scenario.gateways)
     ]
     customers, totals = [], {kind: KindTotals() for kind in KIND_SHARES}
     queue: list[tuple[float, int, Customer, float, int, int, Account | None, bool, int]] = []
     for number in range(scenario.customers):
-        plan, kind_name = scenario.plans[PLAN_INDEXES[number % 18]], random.choices(*zip(*scenario.mix, strict=True))[0]
+        plan, kind_name = (
+            scenario.plans[PLAN_INDEXES[number % 18]],
+            random.choices(*zip(*scenario.kind_shares, strict=True))[0],
+        )
         spread = random.randint(max(1, scenario.gateways // 2), scenario.gateways)
         even = [(rank + 1) ** -scenario.skew for rank in range(spread)]
-        weights, since = [(0.0, random.sample(even, spread))], random.uniform(0.0, scenario.moves)
+        weights, since = [(0.0, random.sample(even, spread))], random.uniform(0.0, scenario.weights_change_interval)
         while since < scenario.seconds:
             weights.append((since, random.sample(even, spread)))
-            since += random.uniform(0.6, 1.4) * scenario.moves
+            since += random.uniform(0.6, 1.4) * scenario.weights_change_interval
         customer = Customer(
             f"c{number}", kind_name, plan, random.randrange(scenario.gateways), weights, full_bucket(plan)
         )
         customers.append(customer)
         ideal = full_bucket(plan)
-        for now in arrivals(random, scenario, kind_name, plan.rate / ((1 + scenario.units) / 2)):
-            units = random.randint(1, scenario.units) if scenario.units > 1 else 1
+        for now in arrivals(random, scenario, kind_name, plan.rate / ((1 + scenario.max_units) / 2)):
+            units = random.randint(1, scenario.max_units) if scenario.max_units > 1 else 1
             offered = units * ideal.take(now, units)
             totals[kind_name].offered += offered
-            totals[kind_name].worth += offered * plan.price
+            totals[kind_name].revenue_offered += offered * plan.price
             queue.append(
                 (
                     now,
@@ -195,39 +198,39 @@
         spread = len(customer.weights[0][1])
         if account is not None:  # a response, or the end of the wait for one
             customer.in_flight -= attempt != ATTEMPT_EXPIRED
-            if scenario.sees is not None:
+            if scenario.global_view_delay is not None:
                 customer.record_state(now)
             account.in_flight -= attempt != RESPONSE_LOST
             if attempt in (RESPONSE_LOST, ATTEMPT_EXPIRED):
                 continue
-            period = int((now - scenario.late) / scenario.period) - 1
+            period = int((now - scenario.meter_delay) / scenario.meter_period) - 1
             if period >= 0:
                 account.record_reading(
-                    now, customer.metered_units[period] / scenario.period / customer.plan.rate, quotas.meter
+                    now, customer.metered_units[period] / scenario.meter_period / customer.plan.rate, quotas.meter
                 )
-            in_time = within_quota and now - started <= AIM_SECONDS + (scenario.tries - 1) * scenario.wait
+            in_time = within_quota and now - started <= AIM_SECONDS + (scenario.max_attempts - 1) * scenario.retry_delay
             kind_totals.served += units * in_time
-            kind_totals.earned += units * in_time * customer.plan.price
+            kind_totals.revenue_served += units * in_time * customer.plan.price
             continue
         kind_totals.units_requested += units
         account = quotas.account(now, customer.name, customer.plan, spread)
         quotas.record_demand(
             account,
             interface.Request(
-                "r", "k", customer.plan.name, customer.name, 1.0, units, spread, scenario.marked and attempt > 0
+                "r", "k", customer.plan.name, customer.name, 1.0, units, spread, scenario.mark_retries and attempt > 0
             ),
         )
         has_room = customer.has_room(now, units)
         allowed = (
             quotas.is_within_quota(account, units, False) and quotas.ceiling_allows(account, units, False)
-            if scenario.sees is None
-            else customer.appears_to_have_room(now, scenario.sees, gateway_index, units)
+            if scenario.global_view_delay is None
+            else customer.appears_to_have_room(now, scenario.global_view_delay, gateway_index, units)
         )
         if allowed:
             quotas.spend(account, units, True)
             account.in_flight += 1
             customer.in_flight += 1
-            customer.metered_units[int(now / scenario.period)] += units
+            customer.metered_units[int(now / scenario.meter_period)] += units
             if has_room:
                 customer.bucket.take(now, units)
             kind_totals.over_quota += units * (not has_room)
@@ -237,10 +240,10 @@
                 * customer.plan.price
                 * (customer.plan.excess_cost - customer.plan.excess_revenue)
             )
-            if scenario.sees is not None:
+            if scenario.global_view_delay is not None:
                 customer.sent.append((now, gateway_index, units))
                 customer.record_state(now)
-            response_lost = random.random() < scenario.lost
+            response_lost = random.random() < scenario.response_loss
             end = now + random.uniform(0.02, 0.06)
             heapq.heappush(
                 queue,
@@ -274,14 +277,14 @@
                 )
         else:
             kind_totals.refused_with_room += units * (has_room and customer.bucket.level >= customer.plan.burst / 2)
-            wait = 0.2 * AIM_SECONDS * random.uniform(0.5, 1.0) if random.random() < scenario.patient else 0.0
-            if attempt + 1 < scenario.tries and now + wait - started < DEADLINE_SECONDS:
-                if random.random() < scenario.elsewhere:
+            wait = 0.2 * AIM_SECONDS * random.uniform(0.5, 1.0) if random.random() < scenario.follows_advice else 0.0
+            if attempt + 1 < scenario.max_attempts and now + wait - started < DEADLINE_SECONDS:
+                if random.random() < scenario.retry_elsewhere:
                     gateway_index = customer.gateway(now, random, scenario.gateways)
                 heapq.heappush(
                     queue,
                     (
-                        now + wait + scenario.wait,
+                        now + wait + scenario.retry_delay,
                         sequence,
                         customer,
                         started,
@@ -313,7 +316,7 @@
     parser.add_argument("--gateways", type=int, default=4, help="gatekeepers (default %(default)s)")
     parser.add_argument("--seeds", type=int, default=8, help="days simulated (default %(default)s)")
     options = parser.parse_args()
-    days = [play(wide(options.gateways), seed) for seed in range(options.seeds)]
+    days = [play(scenario_for(options.gateways), seed) for seed in range(options.seeds)]
     for kinds in (*((kind,) for kind in KIND_SHARES), ()):
         figures = "  ".join(f"{name} {value:.3f}" for name, value in total(days, *kinds).items())
         print(f"{', '.join(kinds) or 'all':6} {figures}")
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -39,7 +39,7 @@
                 name,
                 steady,
                 route,
-                top=mean,
+                peak_rate=mean,
                 spread=gatekeepers,
                 klass="write" if n % 3 == 2 else "read",
             )
@@ -57,7 +57,9 @@
     write_line: Callable[[str], None],
 ) -> dict[str, int]:
     """Run the demo until SIGINT, SIGTERM or the end of the seconds; return the number of requests by outcome."""
-    installation = Installation(gatekeepers, planners, workers, service=SERVICE_SECONDS, seed=seed, terms=Terms())
+    installation = Installation(
+        gatekeepers, planners, workers, service_seconds=SERVICE_SECONDS, seed=seed, terms=Terms()
+    )
     if planners:
         write_line(f"starting; gatekeepers with planners wait {installation.terms.term:g} s before they serve")
     async with installation:
@@ -67,7 +69,7 @@
         )
         if planners:
             endpoint = installation.store.endpoint if installation.store else ""
-            file = installation.planners_file(installation.planner_ports, endpoint, "demo")
+            file = installation.write_planners_config(installation.planner_ports, endpoint, "demo")
             write_line(
                 f"planners at {', '.join(map(str, installation.planner_ports.values()))}; show their status with: "
                 f"python -m oliveloft planners status --config {file}"
@@ -83,7 +85,7 @@
             installation.plans,
             seed,
             timeout=1.5,
-            aim=0.4,
+            latency_objective=0.4,
         )
         loop, stop = asyncio.get_running_loop(), asyncio.Event()
         for signal_number in (signal.SIGINT, signal.SIGTERM):
@@ -93,21 +95,21 @@
         started_at, number = loop.time(), 0
         while not stop.is_set() and (seconds is None or loop.time() - started_at < seconds):
             left = 1.0 if seconds is None else min(1.0, seconds - (loop.time() - started_at))
-            traffic.report.waits.clear()
+            traffic.report.latencies.clear()
             # In steps of a second: no arrival is drawn that is never sent, and Ctrl-C takes effect within a second.
-            await traffic.run(max(0.05, left), settle=False)
+            await traffic.run(max(0.05, left), wait_for_in_flight=False)
             number += 1
             outcomes, traffic.recent_outcomes = traffic.recent_outcomes, type(traffic.recent_outcomes)()
             for outcome in totals:
                 totals[outcome] += outcomes[outcome]
-            median = f"{1000 * statistics.median(traffic.report.waits):.0f} ms" if traffic.report.waits else "-"
+            median = f"{1000 * statistics.median(traffic.report.latencies):.0f} ms" if traffic.report.latencies else "-"
             write_line(
                 f"{number:7} {outcomes['served']:7} {outcomes['late']:6} {outcomes['refused']:8} "
                 f"{outcomes['failed']:7} "
                 f"{median:>9}   {sum(totals.values())} ended; twice begun "
-                f"{sum(n > 1 for n in installation.record.begun.values())}"
+                f"{sum(n > 1 for n in installation.record.start_counts.values())}"
             )
-        await traffic.settle()
+        await traffic.wait_for_in_flight()
         for outcome in totals:
             totals[outcome] += traffic.recent_outcomes[outcome]
         write_line("in all: " + ", ".join(f"{count} {outcome}" for outcome, count in totals.items()))
--- a/rig/disks.py
+++ b/rig/disks.py
@@ -1,7 +1,8 @@
 """Disks with injected faults: unsynced writes are lost, syncs are slow or fail, the disk is full or read-only.
 
-`Broken` wraps any disk that persisted state is written to. Within one process the test sets its faults directly; in a
-process of its own it reads them from a file at each operation, so that a test can change them while the program runs.
+`FaultyDisk` wraps any disk that persisted state is written to. Within one process the test sets its faults directly.
+In a process of its own it reads them from a file at each operation, so that a test can change them while the program
+runs.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 @dataclass
-class Knobs:
+class DiskFaults:
     """The faults of a disk; also the fields of the fault file."""
 
     room: int = -1  # bytes that may be written in all; negative: no bound
@@ -34,11 +35,11 @@
     def __init__(self, path: str) -> None:
         self._path = path
 
-    def now(self) -> Knobs:
+    def load(self) -> DiskFaults:
         """Read the present faults."""
         with contextlib.suppress(OSError, ValueError), open(self._path) as file:
-            return Knobs(**json.load(file))
-        return Knobs()
+            return DiskFaults(**json.load(file))
+        return DiskFaults()
 
 
 def write_disk_faults(path: str, **faults: object) -> None:
@@ -48,7 +49,7 @@
     os.replace(path + ".new", path)
 
 
-class Memory:
+class MemoryDisk:
     """A disk in memory: the files by name, as they are after a power loss."""
 
     def __init__(self) -> None:
@@ -59,9 +60,9 @@
         """Return the names of the files."""
         return list(self.files)
 
-    def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file; `fresh` creates it or makes it empty."""
-        if fresh:
+    def open(self, name: str, create: bool = False) -> File:
+        """Open a file; `create` creates it or makes it empty."""
+        if create:
             self.files[name] = bytearray()
         elif name not in self.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
@@ -83,7 +84,7 @@
         free, self.locked = not self.locked, True
         return free
 
-    def machine(self) -> str:
+    def boot_id(self) -> str:
         """Return a fixed machine identity."""
         return "machine 1, boot 1"
 
@@ -98,7 +99,7 @@
     def append(self, data: bytes) -> None:
         self._data += data
 
-    def put(self, data: bytes) -> None:
+    def overwrite_start(self, data: bytes) -> None:
         self._data[: len(data)] = data
 
     def sync(self) -> None:
@@ -111,7 +112,7 @@
 class FaultyFile:
     """A file whose writes reach the underlying file only by a sync."""
 
-    def __init__(self, disk: Broken, underlying: File) -> None:
+    def __init__(self, disk: FaultyDisk, underlying: File) -> None:
         self._disk, self._underlying = disk, underlying
         self.unsynced: list[tuple[bool, bytes]] = []  # (whether written in place, data)
 
@@ -130,14 +131,14 @@
         self._disk.check_write(len(data))
         self.unsynced.append((False, data))
 
-    def put(self, data: bytes) -> None:
+    def overwrite_start(self, data: bytes) -> None:
         """Overwrite the beginning of the file, which needs no space."""
         self._disk.check_write(0)
         self.unsynced.append((True, data))
 
     def sync(self) -> None:
         """Write unsynced data to the underlying file and sync it, slowly or with an error if such a fault is set."""
-        faults = self._disk.knobs()
+        faults = self._disk.current_faults()
         if faults.sync_takes:
             time.sleep(faults.sync_takes)
         if faults.sync_fails:
@@ -149,7 +150,7 @@
         """Write unsynced data to the underlying file, about `max_bytes` of it, and drop the rest."""
         for in_place, piece in self.unsynced:
             if in_place:
-                self._underlying.put(piece)
+                self._underlying.overwrite_start(piece)
             else:
                 self._underlying.append(piece[:max_bytes])
             max_bytes -= len(piece)
@@ -162,21 +163,21 @@
         self._underlying.close()
 
 
-class Broken:
+class FaultyDisk:
     """A disk that wraps another and injects faults."""
 
-    def __init__(self, underlying: Disk, faults: Knobs | DiskFaultsFile | None = None) -> None:
-        self._underlying, self._faults = underlying, faults or Knobs()
+    def __init__(self, underlying: Disk, faults: DiskFaults | DiskFaultsFile | None = None) -> None:
+        self._underlying, self._faults = underlying, faults or DiskFaults()
         self.open_files: list[FaultyFile] = []
         self.used_bytes = 0
 
-    def knobs(self) -> Knobs:
+    def current_faults(self) -> DiskFaults:
         """Return the present faults."""
-        return self._faults.now() if isinstance(self._faults, DiskFaultsFile) else self._faults
+        return self._faults.load() if isinstance(self._faults, DiskFaultsFile) else self._faults
 
     def check_write(self, size: int) -> None:
         """Count a write of so many bytes; raise OSError where the disk is read-only or full."""
-        faults = self.knobs()
+        faults = self.current_faults()
         if faults.read_only:
             raise OSError(errno.EROFS, "injected fault: disk is read only")
         if faults.room >= 0 and size > faults.room - self.used_bytes:
@@ -184,7 +185,7 @@
         if faults.room >= 0:
             self.used_bytes += size
 
-    def power(self, random: Random) -> None:
+    def cut_power(self, random: Random) -> None:
         """Lose power: of each file's unsynced writes a random prefix reaches the disk, often none."""
         for file in self.open_files:
             file.flush(random.choice((0, 0, random.randrange(200), 1 << 20)))
@@ -194,11 +195,11 @@
         """Return the names of the files."""
         return self._underlying.names()
 
-    def open(self, name: str, fresh: bool = False) -> File:
-        """Open a file; `fresh` creates it or makes it empty."""
-        if fresh:
+    def open(self, name: str, create: bool = False) -> File:
+        """Open a file; `create` creates it or makes it empty."""
+        if create:
             self.check_write(0)
-        file = FaultyFile(self, self._underlying.open(name, fresh))
+        file = FaultyFile(self, self._underlying.open(name, create))
         self.open_files.append(file)
         return file
 
@@ -213,7 +214,7 @@
 
     def sync(self) -> None:
         """Sync the names of the files."""
-        if self.knobs().sync_fails:
+        if self.current_faults().sync_fails:
             raise OSError(errno.EIO, "injected fault: sync failed")
         self._underlying.sync()
 
@@ -221,6 +222,6 @@
         """Take the lock of the underlying disk."""
         return self._underlying.lock(name)
 
-    def machine(self) -> str:
+    def boot_id(self) -> str:
         """Return the machine identity that the faults set."""
-        return self.knobs().machine
+        return self.current_faults().machine
--- a/rig/driver.py
+++ b/rig/driver.py
@@ -56,9 +56,9 @@
     def __init__(self, count: int = 6, **changes: Any) -> None:
         self.gateway = Gateway(interface.Settings(**{**SETTINGS, **changes}), seed=7, now=0.0)
         self.now = 0.0
-        self.made = 0
+        self.request_count = 0
         self.timers: list[tuple[float, int]] = []
-        self.shots: dict[str, int] = {}
+        self.attempt_numbers: dict[str, int] = {}
         self.give(workers(count))
 
     def give(self, event: interface.Event, after: float = 0.0) -> list[interface.Action]:
@@ -69,10 +69,10 @@
             if isinstance(action, interface.SetTimer):
                 self.timers.append((self.now + action.delay, action.ref))
             elif isinstance(action, interface.Send):
-                self.shots[action.request] = self.shots.get(action.request, -1) + 1
+                self.attempt_numbers[action.request] = self.attempt_numbers.get(action.request, -1) + 1
         return [action for action in actions if not isinstance(action, interface.SetTimer)]
 
-    def ask(
+    def send_request(
         self,
         klass: str = "read",
         plan: str = "free",
@@ -84,8 +84,8 @@
         repeat: bool = False,
     ) -> tuple[str, list[interface.Action]]:
         """Send a new request; return its id and the actions."""
-        self.made += 1
-        name = f"r{self.made}"
+        self.request_count += 1
+        name = f"r{self.request_count}"
         request = interface.Request(name, klass, plan, customer, time_left, units, spread, repeat)
         return name, self.give(request, after)
 
@@ -102,7 +102,7 @@
         **more: Any,
     ) -> list[interface.Action]:
         """Report the outcome of a request's latest attempt, or of the given one; return the actions."""
-        number = self.shots[name] if attempt is None else attempt
+        number = self.attempt_numbers[name] if attempt is None else attempt
         done = status == interface.SUCCESS if terminal is None else terminal
         return self.give(interface.Outcome(name, number, worker, status, done, took, **more), after)
 
@@ -122,17 +122,17 @@
     return [action.worker for action in actions if isinstance(action, interface.Send)]
 
 
-def answered(driver: Driver, count: int) -> list[str]:
+def send_and_answer(driver: Driver, count: int) -> list[str]:
     """Send `count` requests one after another, each answered; return the workers that they went to."""
     workers_used: list[str] = []
     for _ in range(count):
-        name, actions = driver.ask(after=0.01)
+        name, actions = driver.send_request(after=0.01)
         workers_used += sends(actions)
         driver.answer(name, workers_used[-1], after=0.01, took=0.02)
     return workers_used
 
 
-def losing(driver: Driver, count: int = 6) -> None:
+def record_missed_objectives(driver: Driver, count: int = 6) -> None:
     """Record `count` attempts that just missed their latency objective though their workers answered later attempts."""
     for _ in range(count):
-        driver.gateway.fleet.tails.missed(driver.now)
+        driver.gateway.fleet.tails.record_missed(driver.now)
--- a/rig/engines.py
+++ b/rig/engines.py
@@ -17,8 +17,8 @@
 import lmdb
 import msgspec
 
-from oliveloft.memory.files import PlainDisk
-from oliveloft.memory.log import Log
+from oliveloft.memory.files import SystemDisk
+from oliveloft.memory.log import RecordLog
 
 BATCH_COUNT, BATCH_SIZE, CUSTOMER_COUNT = 100, 20, 5000
 
@@ -36,16 +36,16 @@
 
 
 def _open_log(folder: str) -> tuple[Callable[[Batch], None], Callable[[], int]]:
-    log = Log(PlainDisk(folder), "g")
-    log.find()
-    log.begin([])
+    log = RecordLog(SystemDisk(folder), "g")
+    log.load()
+    log.rewrite([])
 
     def append(batch: Batch) -> None:
         log.append(batch)
         log.sync()
 
     def read() -> int:
-        return len(Log(PlainDisk(folder), "g").find().records)
+        return len(RecordLog(SystemDisk(folder), "g").load().records)
 
     return append, read
 
--- a/rig/etcd.py
+++ b/rig/etcd.py
@@ -35,13 +35,13 @@
     expires_at: float
 
 
-class EtcdStandIn:
+class FakeEtcd:
     """The fake etcd server; listens on a free port, or on the one given."""
 
     def __init__(self, port: int = 0) -> None:
         self.port = port
-        self.delay = 0.0  # seconds before each call is handled
-        self.down = False  # connections are aborted without a response
+        self.delay_seconds = 0.0  # seconds before each call is handled
+        self.unreachable = False  # connections are aborted without a response
         self._reset_state()
         self._lease_ids = itertools.count(7587_000_001)
         self._runner: web.AppRunner | None = None
@@ -66,7 +66,7 @@
         """The URL for clients."""
         return f"http://127.0.0.1:{self.port}"
 
-    async def start(self) -> EtcdStandIn:
+    async def start(self) -> FakeEtcd:
         """Start to listen."""
         app = web.Application(client_max_size=4 * 1024 * 1024)
         for path, call in (
@@ -104,9 +104,9 @@
         return handle
 
     async def _apply_faults(self, request: web.Request) -> None:
-        if self.delay:
-            await asyncio.sleep(self.delay)
-        if self.down and request.transport is not None:
+        if self.delay_seconds:
+            await asyncio.sleep(self.delay_seconds)
+        if self.unreachable and request.transport is not None:
             request.transport.abort()
             raise web.HTTPServiceUnavailable
 
@@ -240,7 +240,7 @@
                 found = [
                     entry for entry in self._history if entry["revision"] >= revision and start <= entry["key"] < end
                 ]
-                if found and not self.down:
+                if found and not self.unreachable:
                     await write_result({"events": [entry["event"] for entry in found]})
                     revision = found[-1]["revision"] + 1
                 await changed.wait()
--- a/rig/fake_servers.py
+++ b/rig/fake_servers.py
@@ -25,7 +25,7 @@
 SCENARIO_TIMEOUT_SECONDS = 20.0  # after which `run` ends a scenario that hangs
 CONFIG_DIRECTORY = tempfile.TemporaryDirectory()  # configuration files, removed when the tests end
 # The settings that `config` starts from.
-FACTS: dict[str, Any] = {
+DEFAULT_SETTINGS: dict[str, Any] = {
     "Caps": {
         "Cancel": True,
         "MaxAttempts": 3,
@@ -127,7 +127,7 @@
     return script
 
 
-def once(event: asyncio.Event, script: Script | None = None) -> Script:
+def after_event(event: asyncio.Event, script: Script | None = None) -> Script:
     """Return a script that waits for `event` and then runs `script`, by default a normal response."""
 
     async def delayed(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -169,24 +169,24 @@
         raise NotImplementedError
 
 
-class Worker(Listener):
+class FakeWorker(Listener):
     """A worker whose script handles each request; it records the requests that it received."""
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         self.name, self.script = name, script or answer()
-        self.seen: list[Message] = []
-        self.over: list[int] = []  # for each request in `seen`: the number of its connection
-        self.connections = self.closed = 0
+        self.received: list[Message] = []
+        self.connection_numbers: list[int] = []  # for each request in `received`: the number of its connection
+        self.connections = self.connections_closed = 0
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         number = self.connections
         with contextlib.suppress(asyncio.CancelledError):  # when the test ends
             while (message := await read_message(reader)) is not None:
-                self.seen.append(message)
-                self.over.append(number)
+                self.received.append(message)
+                self.connection_numbers.append(number)
                 await self.script(message, writer)
-        self.closed += 1
+        self.connections_closed += 1
         writer.close()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
@@ -204,15 +204,15 @@
         }
 
 
-def tcp_states(port: int, state: str, local: bool) -> int:
+def count_tcp_connections(port: int, state: str, local: bool) -> int:
     """Count the connections from (`local`) or to a port that are in a TCP state, a code of /proc/net/tcp."""
     end = f"0100007F:{port:04X}"
     lines = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()]
     return sum(line[1 if local else 2] == end and line[3] == state for line in lines)
 
 
-class Plugged(Worker):
-    """A worker with a full accept queue: connections to it stay in SYN-SENT until `open` is called."""
+class FullBacklogWorker(FakeWorker):
+    """A worker with a full accept queue: connections to it stay in SYN-SENT until `accept_connections` is called."""
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         super().__init__(name, script)
@@ -223,7 +223,7 @@
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.port = self.sock.getsockname()[1]
-        while not self.coming:  # a connection in SYN-SENT shows that the queue is full
+        while not self.connecting:  # a connection in SYN-SENT shows that the queue is full
             self.fillers.append(plug := socket.socket())
             plug.setblocking(False)
             plug.connect_ex(("127.0.0.1", self.port))
@@ -231,39 +231,39 @@
         return self
 
     @property
-    def coming(self) -> int:
+    def connecting(self) -> int:
         """How many connections to it are in SYN-SENT, of any client."""
-        return tcp_states(self.port, "02", local=False)
+        return count_tcp_connections(self.port, "02", local=False)
 
-    async def open(self) -> None:
+    async def accept_connections(self) -> None:
         """Empty the accept queue and accept connections."""
         for plug in self.fillers:
             plug.close()
         self._server = await asyncio.start_server(self._serve, sock=self.sock)
 
 
-class Discovery(Listener):
+class FakeDiscovery(Listener):
     """A scripted discovery server with a list of endpoints; open watches receive its changes."""
 
     def __init__(self, entries: list[Any]) -> None:
         self.entries, self.index = entries, 1
-        self.asked: list[str] = []
-        self.silent = False
+        self.requested_paths: list[str] = []
+        self.unresponsive = False
         self.raw: bytes | None = None  # sent in place of the list
         self._changed = asyncio.Event()
         self._delta: list[Any] = []
-        self._ends: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self._connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     def stop(self) -> None:
         """Stop listening and abort all connections."""
         super().stop()
-        for _, writer in self._ends:
+        for _, writer in self._connections:
             writer.transport.abort()
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections are open."""
-        return sum(not (reader.at_eof() or writer.transport.is_closing()) for reader, writer in self._ends)
+        return sum(not (reader.at_eof() or writer.transport.is_closing()) for reader, writer in self._connections)
 
     def change(self, *entries: Any) -> None:
         """Publish one version with these changed entries to the watch."""
@@ -271,12 +271,12 @@
         self._delta = list(entries)
         self._changed.set()
 
-    async def watched(self) -> None:
+    async def wait_until_watched(self) -> None:
         """Wait until a watch has requested the changes after the latest version."""
-        await until(lambda: any(f"index={self.index}&" in path for path in self.asked))
+        await until(lambda: any(f"index={self.index}&" in path for path in self.requested_paths))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._ends.append((reader, writer))
+        self._connections.append((reader, writer))
         with contextlib.suppress(asyncio.CancelledError, ConnectionError, RuntimeError):
             await self._answer(reader, writer)  # uvloop raises RuntimeError when the peer has disconnected
         writer.close()
@@ -284,8 +284,8 @@
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while (message := await read_message(reader)) is not None:
             path = message.first.split(" ")[1]
-            self.asked.append(path)
-            if self.silent:
+            self.requested_paths.append(path)
+            if self.unresponsive:
                 continue
             known_index = int(path.partition("index=")[2].partition("&")[0] or -1)
             if is_snapshot := known_index != self.index and not (
@@ -347,9 +347,9 @@
 
 
 class Client:
-    """A client connection. `made` counts the requests built, for unique ids."""
+    """A client connection. `requests_made` counts the requests built, for unique ids."""
 
-    made = 0
+    requests_made = 0
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -369,12 +369,12 @@
         drop: str = "",
     ) -> bytes:
         """Return the bytes of a request; `drop` omits the headers whose line begins with it."""
-        Client.made += 1
+        Client.requests_made += 1
         method = method or ("GET" if klass == "read" else "POST")
         path = path or f"/{klass}?customer={customer}"
         length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
         lines = [
-            f"X-Request-ID: {id or f'id{Client.made}'}\r\n",
+            f"X-Request-ID: {id or f'id{Client.requests_made}'}\r\n",
             f"X-Priority-Class: {klass}\r\n",
             f"X-Tariff: {plan}\r\n",
             f"X-Timeout: {timeout}\r\n",
@@ -391,14 +391,14 @@
         """Read the next response; None at the end of the connection."""
         return await read_message(self.reader)
 
-    async def ask(self, *args: Any, **changes: Any) -> Message:
+    async def fetch(self, *args: Any, **changes: Any) -> Message:
         """Send a request and wait for its response."""
         self.send(self.request(*args, **changes))
         reply = await self.receive()
         assert reply is not None
         return reply
 
-    async def ended(self) -> bool:
+    async def is_closed_cleanly(self) -> bool:
         """Wait for the end of the connection; whether nothing more was received on it."""
         try:
             return await self.reader.read() == b""
@@ -406,27 +406,27 @@
             return True
 
 
-class Gatekeeper:
+class GatekeeperProcess:
     """The real program in a process of its own, with its log; `port` is 0 until it listens."""
 
     def __init__(self, process: asyncio.subprocess.Process, file: Path) -> None:
         self.process, self.file, self.port = process, file, 0
-        self.management = 0  # port of the management interface, 0 until it is logged
+        self.management_port = 0  # port of the management interface, 0 until it is logged
         self.log: list[str] = []
         self._has_port = asyncio.Event()
-        self._reading = asyncio.create_task(self._read_log())
+        self._log_reader = asyncio.create_task(self._read_log())
 
     async def _read_log(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
             self.log.append(line.decode())
             if found := re.search(r"management at 127\.0\.0\.1:(\d+)", self.log[-1]):
-                self.management = int(found[1])
+                self.management_port = int(found[1])
             if found := re.search(r"(?:listens|plans) at 127\.0\.0\.1:(\d+)", self.log[-1]):
                 self.port = int(found[1])
                 self._has_port.set()
 
-    async def listening(self) -> None:
+    async def wait_until_listening(self) -> None:
         """Wait until it listens."""
         await self._has_port.wait()
 
@@ -435,7 +435,7 @@
         self.file.write_text(text)
         self.log.clear()
         self.process.send_signal(signal.SIGHUP)
-        await self.logged(line)
+        await self.wait_for_log(line)
 
     async def client(self) -> Client:
         """Open a new client connection."""
@@ -452,7 +452,7 @@
 
     async def call(self, line: str | bytes, end: bool = False) -> str:
         """Return the response to a management call; `end` half-closes the connection after the call."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.management)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.management_port)
         writer.write(line if isinstance(line, bytes) else line.encode() + b"\n")
         if end:
             writer.write_eof()
@@ -460,7 +460,7 @@
         writer.close()
         return reply.decode().rstrip("\n")
 
-    async def logged(self, text: str) -> None:
+    async def wait_for_log(self, text: str) -> None:
         """Wait for a log line that contains the text."""
         await until(lambda: any(text in line for line in self.log))
 
@@ -473,7 +473,7 @@
     limits: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
     """Return a configuration; `changes` update objects of the settings by key, `limits` override the default limits."""
-    settings = copy.deepcopy(FACTS)
+    settings = copy.deepcopy(DEFAULT_SETTINGS)
     for key, values in (changes or {}).items():
         settings[key].update(values)
     return {
@@ -488,11 +488,13 @@
     }
 
 
-async def launch(configuration: object, *arguments: str, environment: dict[str, str] | None = None) -> Gatekeeper:
+async def launch(
+    configuration: object, *arguments: str, environment: dict[str, str] | None = None
+) -> GatekeeperProcess:
     """Start the program, with a verb and its options if any, and wait until it listens or has exited."""
     gatekeeper = await spawn(configuration, *arguments, environment=environment)
     # It has read its configuration once it has logged its port or exited.
-    waiting = [asyncio.create_task(gatekeeper.listening()), asyncio.create_task(gatekeeper.process.wait())]
+    waiting = [asyncio.create_task(gatekeeper.wait_until_listening()), asyncio.create_task(gatekeeper.process.wait())]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     waiting[0].cancel()
     return gatekeeper
@@ -501,20 +503,20 @@
 async def spawn(
     configuration: object,
     *arguments: str,
-    accept: socket.socket | None = None,
-    folder: str = "",
-    root: Path | None = None,
+    listening_socket: socket.socket | None = None,
+    temp_directory: str = "",
+    source_root: Path | None = None,
     module: str = "oliveloft",
     environment: dict[str, str] | None = None,
-) -> Gatekeeper:
+) -> GatekeeperProcess:
     """Start the program without waiting for it to listen.
 
-    `accept` is a listening socket that it inherits, `folder` its temporary directory, `root` the source tree to run
-    from, `module` the module to run in place of the program itself, `environment` additional environment variables.
+    It inherits `listening_socket`. `temp_directory` is its TMPDIR, `source_root` the source tree to run from, `module`
+    the module to run in place of the program itself, `environment` additional environment variables.
     """
-    extra_environment = {**(environment or {}), **({"TMPDIR": folder} if folder else {})}
-    if accept is not None:
-        extra_environment["PROXY_ACCEPT_FD"] = str(accept.fileno())
+    extra_environment = {**(environment or {}), **({"TMPDIR": temp_directory} if temp_directory else {})}
+    if listening_socket is not None:
+        extra_environment["PROXY_ACCEPT_FD"] = str(listening_socket.fileno())
     file = Path(tempfile.mkstemp(suffix=".json", dir=CONFIG_DIRECTORY.name)[1])
     file.write_text(configuration if isinstance(configuration, str) else json.dumps(configuration))
     process = await asyncio.create_subprocess_exec(
@@ -523,29 +525,30 @@
         module,
         *arguments,
         env={**os.environ, "PROXY_CONFIG": str(file), **extra_environment},
-        cwd=root or Path(__file__).parents[1],
+        cwd=source_root or Path(__file__).parents[1],
         stderr=asyncio.subprocess.PIPE,
-        pass_fds=(accept.fileno(),) if accept is not None else (),
+        pass_fds=(listening_socket.fileno(),) if listening_socket is not None else (),
     )
-    return Gatekeeper(process, file)
+    return GatekeeperProcess(process, file)
 
 
 @contextlib.asynccontextmanager
-async def scene(
-    *workers: Any, ends: bool = False, **options: Any
-) -> AsyncIterator[tuple[Gatekeeper, Discovery, Client]]:
+async def running_gatekeeper(
+    *workers: Any, expect_exit: bool = False, **options: Any
+) -> AsyncIterator[tuple[GatekeeperProcess, FakeDiscovery, Client]]:
     """Start workers, a discovery server that lists them, a gatekeeper that has received the list, and a client.
 
-    `options` are those of `config`. At the end the gatekeeper must still run, or must have exited if `ends` is set.
+    `options` are those of `config`. At the end the gatekeeper must still run, or must have exited if
+    `expect_exit` is set.
     """
     for worker in workers:
         await worker.start()
-    discovery = await Discovery([worker.entry() for worker in workers]).start()
+    discovery = await FakeDiscovery([worker.entry() for worker in workers]).start()
     gatekeeper = await launch(config(discovery.port, **options))
     try:
-        await discovery.watched()
+        await discovery.wait_until_watched()
         yield gatekeeper, discovery, await gatekeeper.client()
-        assert (gatekeeper.process.returncode is not None) is ends, gatekeeper.log
+        assert (gatekeeper.process.returncode is not None) is expect_exit, gatekeeper.log
         assert not any("Traceback" in line for line in gatekeeper.log), gatekeeper.log
     finally:
         if gatekeeper.process.returncode is None:
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -21,18 +21,18 @@
     """One direction of a link, shared by all its connections."""
 
     def __init__(self) -> None:
-        self.delay = 0.0  # seconds added to each chunk
-        self.rate = 0.0  # bytes a second, 0 for no bound
+        self.delay_seconds = 0.0  # seconds added to each chunk
+        self.bytes_per_second = 0.0  # bytes a second, 0 for no bound
         self.bytes_carried = 0
         self._open = asyncio.Event()
         self._open.set()
 
     @property
-    def silent(self) -> bool:
+    def blocked(self) -> bool:
         """Whether the direction is blocked."""
         return not self._open.is_set()
 
-    def silence(self, enabled: bool = True) -> None:
+    def block(self, enabled: bool = True) -> None:
         """Hold back all bytes while connections stay open, or deliver them again."""
         if enabled:
             self._open.clear()
@@ -74,7 +74,7 @@
             nonlocal buffered_bytes, ended
             try:
                 while data := await reader.read(CHUNK_BYTES):
-                    buffered.append((time.monotonic() + direction.delay, data))
+                    buffered.append((time.monotonic() + direction.delay_seconds, data))
                     buffered_bytes += len(data)
                     data_available.set()
                     while buffered_bytes > MAX_BUFFERED_BYTES:
@@ -96,8 +96,8 @@
                     writer.write(data)
                     direction.bytes_carried += len(data)
                     await writer.drain()
-                    if direction.rate > 0:
-                        await asyncio.sleep(len(data) / direction.rate)
+                    if direction.bytes_per_second > 0:
+                        await asyncio.sleep(len(data) / direction.bytes_per_second)
                     buffered_bytes -= len(data)
                     space_available.set()
                 if ended:
@@ -138,22 +138,22 @@
         return f"127.0.0.1:{self.port}"
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections are open."""
         return len(self._connections)
 
     def delay(self, up: float = 0.0, down: float = 0.0) -> None:
         """Delay each direction by so many seconds."""
-        self.up.delay, self.down.delay = up, down
+        self.up.delay_seconds, self.down.delay_seconds = up, down
 
     def throttle(self, up: float = 0.0, down: float = 0.0) -> None:
         """Limit each direction to so many bytes a second; 0 is no bound."""
-        self.up.rate, self.down.rate = up, down
+        self.up.bytes_per_second, self.down.bytes_per_second = up, down
 
-    def silence(self, up: bool = True, down: bool = True) -> None:
+    def block(self, up: bool = True, down: bool = True) -> None:
         """Block the directions: open connections stay, new ones are accepted, and no bytes are delivered."""
-        self.up.silence(up)
-        self.down.silence(down)
+        self.up.block(up)
+        self.down.block(down)
 
     def reset_new_connections(self, enabled: bool = True) -> None:
         """Set whether each new connection is reset."""
@@ -168,7 +168,7 @@
         """Remove all faults; bytes that were held back are delivered."""
         self.delay()
         self.throttle()
-        self.silence(False, False)
+        self.block(False, False)
         self.reset_new_connections(False)
 
     async def stop(self) -> None:
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -21,10 +21,10 @@
 
     load: Load
     zone: str = "a"
-    lost: float = 0.0  # probability that a response is lost on the way back
-    hung: bool = False  # accepts requests and never responds
+    response_loss: float = 0.0  # probability that a response is lost on the way back
+    unresponsive: bool = False  # accepts requests and never responds
     refuses_connections: bool = False
-    up: bool = True  # False: draining
+    in_service: bool = True  # False: draining
 
 
 @dataclass(slots=True)
@@ -32,13 +32,13 @@
     """Number of requests received, and of requests by result."""
 
     received: int = 0
-    ends: Counter[str] = field(default_factory=Counter)
+    results: Counter[str] = field(default_factory=Counter)
 
 
 class Fleet:
-    """Simulated workers, and one `Entrance` for each gateway's `handle`.
+    """Simulated workers, and one `EntryPoint` for each gateway's `handle`.
 
-    A gateway receives its events through `Entrance.hand`. The simulated workers serve its attempts, timers and
+    A gateway receives its events through `EntryPoint.dispatch`. The simulated workers serve its attempts, timers and
     deadlines fire, and each attempt has one outcome.
     """
 
@@ -52,47 +52,47 @@
         work_cv: float = 0.5,
     ) -> None:
         self.clock, self.random, self.network_delay, self.work_cv = clock, random, network_delay, work_cv
-        self.places = {
+        self.workers = {
             name: SimulatedWorker(Load(capacity), zones[n % len(zones)])
             for n, (name, capacity) in enumerate(sorted(capacities.items()))
         }
-        self.entrances: list[Entrance] = []
+        self.entry_points: list[EntryPoint] = []
         # Called for each attempt that reaches a worker: time, worker, seconds of work, end (None: the queue is full).
-        self.arrived: Callable[[float, str, float, float | None], object] = lambda *_: None
+        self.on_arrival: Callable[[float, str, float, float | None], object] = lambda *_: None
 
     @property
-    def ends(self) -> Counter[str]:
+    def results(self) -> Counter[str]:
         """Number of ended requests by result, over all gateways."""
         total: Counter[str] = Counter()
-        for entrance in self.entrances:
-            total.update(entrance.counts.ends)
+        for entrance in self.entry_points:
+            total.update(entrance.counts.results)
         return total
 
     def entry(self, name: str) -> interface.WorkerEntry:
         """Return a worker's entry in the worker list."""
-        worker = self.places[name]
+        worker = self.workers[name]
         return interface.WorkerEntry(
             name,
             zone=worker.zone,
-            cell=sorted(self.places).index(name) // 2,
-            state=interface.HEALTHY if worker.up else interface.DRAINING,
+            cell=sorted(self.workers).index(name) // 2,
+            state=interface.HEALTHY if worker.in_service else interface.DRAINING,
             started=worker.load.started,
         )
 
-    def tell(self, *names: str, whole: bool = False) -> None:
+    def send_update(self, *names: str, whole: bool = False) -> None:
         """Send an update with these workers (all if none is named) to all gateways."""
-        update = interface.WorkerList(tuple(self.entry(name) for name in names or self.places), whole=whole)
-        for entrance in self.entrances:
-            entrance.hand(update, "")
+        update = interface.WorkerList(tuple(self.entry(name) for name in names or self.workers), whole=whole)
+        for entrance in self.entry_points:
+            entrance.dispatch(update, "")
 
     def restart(self, name: str, capacity: Capacity | None = None) -> None:
         """Replace a worker by a newly started one; the requests that it held get no response."""
-        worker = self.places[name]
+        worker = self.workers[name]
         worker.load = Load(capacity or worker.load.capacity, started=self.clock.now)
-        self.tell(name)
+        self.send_update(name)
 
 
-class Entrance:
+class EntryPoint:
     """Connects one gateway to the fleet: submits client requests and carries out the gateway's actions."""
 
     def __init__(self, fleet: Fleet, handle: Handle, settings: interface.Settings, name: str = "g") -> None:
@@ -103,10 +103,10 @@
         self._open_requests: dict[str, tuple[interface.Request, float]] = {}  # request and its deadline, by request id
         self._attempts: dict[str, list[str]] = {}  # by request: each attempt's worker, "" once the attempt has ended
         self._request_count = 0
-        self.used: Callable[[str], float | None] = lambda customer: None  # the meter's reading
-        fleet.entrances.append(self)
+        self.metered_use: Callable[[str], float | None] = lambda customer: None  # the meter's reading
+        fleet.entry_points.append(self)
 
-    def ask(
+    def submit(
         self, klass: str, plan: str, customer: str, units: float = 1.0, spread: int = 1, time_left: float | None = None
     ) -> None:
         """Submit a client's request to the gateway."""
@@ -119,15 +119,15 @@
         )
         self._open_requests[request.request] = request, self.fleet.clock.now + time_left_seconds
         self.fleet.clock.after(time_left_seconds, self._expired, request.request)
-        self.hand(request, request.request)
+        self.dispatch(request, request.request)
 
-    def hand(self, event: interface.Event, request_id: str) -> None:
+    def dispatch(self, event: interface.Event, request_id: str) -> None:
         """Pass an event to the gateway and carry out its actions."""
         clock = self.fleet.clock
         for action in self.handle(clock.now, event):
             match action:
                 case interface.SetTimer(delay, ref):
-                    clock.after(delay, self.hand, interface.TimerFired(ref), request_id)
+                    clock.after(delay, self.dispatch, interface.TimerFired(ref), request_id)
                 case interface.Send(name, worker):
                     self._send(name, worker)
                 case interface.Refuse(name):
@@ -147,17 +147,17 @@
         if name not in self._open_requests:
             fleet.clock.after(0.0, self._outcome, name, number, interface.NOT_SENT, now)
             return
-        simulated_worker = fleet.places[worker]
+        simulated_worker = fleet.workers[worker]
         if simulated_worker.refuses_connections:
             fleet.clock.after(fleet.network_delay, self._outcome, name, number, interface.UNREACHABLE, now)
             return
         request, deadline = self._open_requests[name]
         work = fleet.random.gammavariate(1 / fleet.work_cv**2, fleet.work_cv**2) * UNIT_CORE_SECONDS * request.units
         done = simulated_worker.load.arrive(now + fleet.network_delay, work)
-        fleet.arrived(now + fleet.network_delay, worker, work, done)
+        fleet.on_arrival(now + fleet.network_delay, worker, work, done)
         if done is None:
             fleet.clock.after(2 * fleet.network_delay, self._outcome, name, number, interface.OVERLOADED, now)
-        elif not simulated_worker.hung and fleet.random.random() >= simulated_worker.lost:
+        elif not simulated_worker.unresponsive and fleet.random.random() >= simulated_worker.response_loss:
             fleet.clock.at(done + fleet.network_delay, self._answered, name, number, now, simulated_worker.load)
         fleet.clock.at(deadline, self._outcome, name, number, interface.TIMED_OUT, now)
 
@@ -165,7 +165,7 @@
         attempts = self._attempts.get(name)
         if attempts is None or not attempts[number]:
             return
-        if self.fleet.places[attempts[number]].load is load:  # otherwise the worker was restarted meanwhile
+        if self.fleet.workers[attempts[number]].load is load:  # otherwise the worker was restarted meanwhile
             self._outcome(name, number, interface.SUCCESS, sent)
 
     def _outcome(self, name: str, number: int, status: str, sent: float) -> None:
@@ -183,17 +183,17 @@
             if in_aim:
                 key = request.customer, request.plan
                 self.units_served[key] = self.units_served.get(key, 0.0) + request.units
-            used = self.used(request.customer)
+            used = self.metered_use(request.customer)
         ended = name not in self._open_requests
         if ended and not any(attempts):
             del self._attempts[name]
-        self.hand(interface.Outcome(name, number, worker, status, ended, now - sent, used), name)
+        self.dispatch(interface.Outcome(name, number, worker, status, ended, now - sent, used), name)
 
     def _end(self, name: str, result: str) -> None:
         if self._open_requests.pop(name, None) is not None:
-            self.counts.ends[result] += 1
+            self.counts.results[result] += 1
 
     def _expired(self, name: str) -> None:
         if name in self._open_requests:
             self._end(name, "lost")
-            self.hand(interface.ClientDisconnected(name), name)
+            self.dispatch(interface.ClientDisconnected(name), name)
--- a/rig/gossip.py
+++ b/rig/gossip.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from micagate.membership.members import Members, News, Terms
+from micagate.membership.members import Members, MembershipUpdate, Terms
 from micagate.membership.messages import Fact, Heartbeat, StateSummary
 from rig.simulation import Clock
 
@@ -25,24 +25,25 @@
     """A member's machine: the state that survives its incarnations, and the running member, if any."""
 
     name: str
-    boot: int = 0  # incarnation number
-    life: Members | None = None
+    incarnation: int = 0  # incarnation number
+    member: Members | None = None
     run_number: int = 0  # of the incarnation; calls and messages meant for an earlier one are dropped
     paused: bool = False
     # Messages received while paused: source, message.
     queued_messages: list[tuple[Any, ...]] = field(default_factory=list)
-    wall: float = 0.0  # offset of its wall clock from the true time, in seconds
-    slow: float = 0.0  # additional delay of each message that it sends, in seconds
-    kept: list[Fact] = field(default_factory=list)  # facts persisted at its last stop
-    news: list[tuple[float, News]] = field(default_factory=list)  # the member's updates, with their times
+    wall_clock_offset: float = 0.0  # offset of its wall clock from the true time, in seconds
+    extra_delay: float = 0.0  # additional delay of each message that it sends, in seconds
+    persisted_facts: list[Fact] = field(default_factory=list)  # facts persisted at its last stop
+    # The member's updates, with their times.
+    updates: list[tuple[float, MembershipUpdate]] = field(default_factory=list)
     stopped_at: float | None = None  # when its last incarnation ended
 
 
-class Gossip:
+class MembershipSimulation:
     """A fleet of members. `network_delay` is the mean delay of a message in seconds.
 
-    With `digests` False members do not compare summaries of their state, and with `boots` False every incarnation has
-    the same number: faulty variants that tests and benchmarks must detect.
+    With `send_summaries` False members do not compare summaries of their state, and with `new_incarnations` False
+    every incarnation has the same number: faulty variants that tests and benchmarks must detect.
     """
 
     def __init__(
@@ -51,36 +52,48 @@
         seed: int,
         terms: Terms | None = None,
         network_delay: float = 0.002,
-        digests: bool = True,
-        boots: bool = True,
+        send_summaries: bool = True,
+        new_incarnations: bool = True,
         names: Sequence[str] = (),
     ) -> None:
         self.clock, self.random = Clock(1000.0), Random(seed)
-        self.terms, self.network_delay, self.digests, self.boots = terms or Terms(), network_delay, digests, boots
+        self.terms, self.network_delay, self.send_summaries, self.new_incarnations = (
+            terms or Terms(),
+            network_delay,
+            send_summaries,
+            new_incarnations,
+        )
         self.names = list(names) or [f"g{n:03d}" for n in range(count)]
         self.nodes = {name: Node(name) for name in self.names}
         self.blocked_links: set[tuple[str, str]] = set()  # blocked directions: source, target
-        self.loss = 0.0  # probability that TCP has to retransmit a message
-        self.lost = 0.0  # probability per message that its link breaks
+        self.retransmission_rate = 0.0  # probability that TCP has to retransmit a message
+        self.disconnect_rate = 0.0  # probability per message that its link breaks
         # By pair: the run numbers of both members, in name order.
         self._links: dict[frozenset[str], tuple[int, int]] = {}
         self._queues: dict[tuple[str, str], list[tuple[float, Any]]] = {}
         self.sent: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
 
-    def wall(self, node: Node) -> float:
+    def wall_clock(self, node: Node) -> float:
         """Return the reading of a member's wall clock, in seconds since the epoch."""
-        return 1.7e9 + self.clock.now + node.wall
+        return 1.7e9 + self.clock.now + node.wall_clock_offset
 
     def start(self, name: str, **attributes: Any) -> Members:
-        """Start a member, under a new incarnation number (with `boots` False always under the same)."""
+        """Start a member, under a new incarnation number (with `new_incarnations` False always under the same)."""
         node = self.nodes[name]
-        node.boot = max(node.boot + 1, int(self.wall(node))) if self.boots else 1
+        node.incarnation = max(node.incarnation + 1, int(self.wall_clock(node))) if self.new_incarnations else 1
         node.run_number += 1
         node.paused = False
         node.queued_messages.clear()
-        member = node.life = Members(
-            name, self.names, node.boot, self.clock.now, Random(self.random.random()), self.terms, attributes, node.kept
+        member = node.member = Members(
+            name,
+            self.names,
+            node.incarnation,
+            self.clock.now,
+            Random(self.random.random()),
+            self.terms,
+            attributes,
+            node.persisted_facts,
         )
         self.clock.after(self.random.random() * TICK_INTERVAL_SECONDS, self._tick, name, node.run_number)
         return member
@@ -88,9 +101,9 @@
     def stop(self, name: str) -> None:
         """Stop a member without a message to its peers; its machine stays up and refuses connections."""
         node = self.nodes[name]
-        if node.life is not None:
-            node.kept = list(node.life.facts)
-        node.life, node.stopped_at = None, self.clock.now
+        if node.member is not None:
+            node.persisted_facts = list(node.member.facts)
+        node.member, node.stopped_at = None, self.clock.now
         for pair in [pair for pair in self._links if name in pair]:
             del self._links[pair]
             (other,) = pair - {name}
@@ -101,7 +114,7 @@
                     self.network_delay, self._connection_failed, other, self.nodes[other].run_number, name, True
                 )
 
-    def sleep(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """Pause a member for `seconds`; messages that arrive meanwhile are handled when it resumes."""
         node = self.nodes[name]
         node.paused = True
@@ -109,7 +122,7 @@
 
     def _resume(self, name: str, run_number: int) -> None:
         node = self.nodes[name]
-        if node.run_number != run_number or node.life is None:
+        if node.run_number != run_number or node.member is None:
             return
         node.paused = False
         self._tick(name, run_number, reschedule=False)
@@ -122,7 +135,7 @@
 
     def _tick(self, name: str, run_number: int, reschedule: bool = True) -> None:
         node = self.nodes[name]
-        member = node.life
+        member = node.member
         if member is None or node.run_number != run_number:
             return
         if reschedule:
@@ -132,7 +145,7 @@
         now = self.clock.now
         for peer in member.peers_to_connect(now):
             self._connect(name, run_number, peer)
-        for peer, message in member.tick(now, self.wall(node)):
+        for peer, message in member.tick(now, self.wall_clock(node)):
             self._send(name, peer, message)
         for peer in member.links_to_close(now):
             if self._links.pop(frozenset((name, peer)), None) is not None:
@@ -143,15 +156,15 @@
         self._record_updates(node)
 
     def _record_updates(self, node: Node) -> None:
-        if node.life is not None:
-            node.news += [(self.clock.now, update) for update in node.life.updates]
-            node.life.updates.clear()
+        if node.member is not None:
+            node.updates += [(self.clock.now, update) for update in node.member.updates]
+            node.member.updates.clear()
 
     def _connect(self, name: str, run_number: int, peer: str) -> None:
         other = self.nodes[peer]
         if self._is_blocked(name, peer):
             self.clock.after(CONNECT_TIMEOUT_SECONDS, self._connection_failed, name, run_number, peer, False)
-        elif other.life is None:
+        elif other.member is None:
             self.clock.after(2 * self.network_delay, self._connection_failed, name, run_number, peer, True)
         elif other.paused:
             self.clock.after(CONNECT_TIMEOUT_SECONDS, self._connection_failed, name, run_number, peer, False)
@@ -163,8 +176,8 @@
         if (
             node.run_number != run_number
             or peer_node.run_number != peer_run_number
-            or node.life is None
-            or peer_node.life is None
+            or node.member is None
+            or peer_node.member is None
         ):
             return
         self._links[frozenset((name, peer))] = (
@@ -172,19 +185,19 @@
         )
         self._queues[name, peer] = []
         self._queues[peer, name] = []
-        node.life.link_opened(self.clock.now, peer)
-        peer_node.life.link_opened(self.clock.now, name)
+        node.member.link_opened(self.clock.now, peer)
+        peer_node.member.link_opened(self.clock.now, name)
 
     def _connection_failed(self, name: str, run_number: int, peer: str, refused: bool) -> None:
         node = self.nodes[name]
-        if node.run_number == run_number and node.life is not None and not node.paused:
-            if refused and self.nodes[peer].life is not None and peer in node.life.links:
+        if node.run_number == run_number and node.member is not None and not node.paused:
+            if refused and self.nodes[peer].member is not None and peer in node.member.links:
                 return  # the peer restarted meanwhile
-            node.life.link_closed(self.clock.now, peer, refused)
+            node.member.link_closed(self.clock.now, peer, refused)
             self._links.pop(frozenset((name, peer)), None)
 
     def _send(self, name: str, peer: str, message: Any) -> None:
-        if not self.digests:
+        if not self.send_summaries:
             if isinstance(message, StateSummary):
                 return
             if isinstance(message, Heartbeat):
@@ -194,13 +207,13 @@
         pair = frozenset((name, peer))
         if pair not in self._links:
             return
-        if self.random.random() < self.lost:  # the connection breaks and its messages in transit are lost
+        if self.random.random() < self.disconnect_rate:  # the connection breaks and its messages in transit are lost
             del self._links[pair]
             for source, target in ((name, peer), (peer, name)):
                 self._connection_failed(source, self.nodes[source].run_number, target, False)
             return
-        delay = self.network_delay * (0.5 + self.random.random()) + self.nodes[name].slow
-        if self.random.random() < self.loss:
+        delay = self.network_delay * (0.5 + self.random.random()) + self.nodes[name].extra_delay
+        if self.random.random() < self.retransmission_rate:
             delay += 0.2  # retransmission
         queue = self._queues[name, peer]
         due = max(self.clock.now + delay, queue[-1][0] if queue else 0.0)
@@ -224,9 +237,9 @@
 
     def _receive(self, name: str, run_number: int, source: str, message: Any) -> None:
         node = self.nodes[name]
-        if node.life is None or node.run_number != run_number:
+        if node.member is None or node.run_number != run_number:
             return
-        for peer, reply in node.life.receive(self.clock.now, self.wall(node), source, message):
+        for peer, reply in node.member.receive(self.clock.now, self.wall_clock(node), source, message):
             self._send(name, peer, reply)
         self._record_updates(node)
 
@@ -236,7 +249,7 @@
         """Advance the time by `seconds`."""
         self.clock.run(self.clock.now + seconds)
 
-    def cut(self, sources: Sequence[str], targets: Sequence[str], both: bool = True) -> None:
+    def block(self, sources: Sequence[str], targets: Sequence[str], both: bool = True) -> None:
         """Block messages from sources to targets, and back unless `both` is False."""
         for source in sources:
             for target in targets:
@@ -250,25 +263,25 @@
 
     def running(self) -> list[str]:
         """Names of the members that run."""
-        return [name for name, node in self.nodes.items() if node.life is not None]
+        return [name for name, node in self.nodes.items() if node.member is not None]
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether all running members see exactly the running incarnations, and have the same facts."""
         running = set(self.running())
-        members = [member for node in self.nodes.values() if (member := node.life) is not None]
+        members = [member for node in self.nodes.values() if (member := node.member) is not None]
         for member in members:
             for name in self.names:
                 if member.is_alive(name) != (name in running):
                     return False
-                if name in running and member.records[name].incarnation != self.nodes[name].boot:
+                if name in running and member.records[name].incarnation != self.nodes[name].incarnation:
                     return False
-        return len({member.facts.sum for member in members}) <= 1
+        return len({member.facts.checksum for member in members}) <= 1
 
-    def settled(self, within: float) -> float | None:
+    def seconds_to_converge(self, within: float) -> float | None:
         """Run until the members agree; return the seconds that it took, or None after `within` seconds."""
         started = self.clock.now
         while self.clock.now - started < within:
-            if self.agree():
+            if self.has_converged():
                 return self.clock.now - started
             self.run(0.05)
         return None
--- a/rig/installation.py
+++ b/rig/installation.py
@@ -20,15 +20,15 @@
 from micagate.planning.terms import Terms
 from oliveloft.planners.config import PlannersConfig, load
 from rig.capacity import Capacity
-from rig.etcd import EtcdStandIn
-from rig.fake_servers import Discovery, Gatekeeper, spawn
+from rig.etcd import FakeEtcd
+from rig.fake_servers import FakeDiscovery, GatekeeperProcess, spawn
 from rig.faults import FaultProxy
 from rig.limited_worker import LimitedWorker, Meter, WorkRecord
 from rig.traffic import PlanShape
 
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "example.json"
 PORT_RANGE, PORT_RANDOM = (12_000, 32_000), SystemRandom()  # below the range of ephemeral ports
-QUICK = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: about a third of the default times
+SHORT_TERMS = Terms(life=0.6, term=1.4, interval=0.1)  # for tests: about a third of the default times
 
 
 def free_port() -> int:
@@ -49,9 +49,9 @@
 class Installation:
     """Starts and owns all parts of an installation; an async context that ends every process it started.
 
-    `service` is the core seconds that a unit of work takes at a worker, `session` the seconds of a planner's session
-    in the store, `paces` whether planners also plan the capacity of workers. `settings` overrides keys of the example
-    configuration. Without planners the forwarders are plain gatekeepers.
+    `service_seconds` is the core time that a unit of work takes at a worker, `session_seconds` the length of a
+    planner's session in the store, `paces` whether planners also plan the capacity of workers. `settings` overrides
+    keys of the example configuration. Without planners the forwarders are plain gatekeepers.
     """
 
     def __init__(
@@ -60,19 +60,19 @@
         planners: int = 0,
         workers: int = 3,
         capacity: Capacity | None = None,
-        service: float = 0.01,
-        terms: Terms = QUICK,
+        service_seconds: float = 0.01,
+        terms: Terms = SHORT_TERMS,
         plans: list[dict[str, Any]] | None = None,
         seed: int = 1,
         proxied: bool = False,
         sockets: int = 1024,
-        session: float = 1.0,
+        session_seconds: float = 1.0,
         settings: dict[str, Any] | None = None,
         paces: bool = False,
         capacities: Sequence[Capacity] | None = None,
     ) -> None:
-        self.count, self.terms, self.seed, self.proxied = forwarders, terms, seed, proxied
-        self.sockets, self.session, self.paces = sockets, session, paces
+        self.forwarder_count, self.terms, self.seed, self.proxied = forwarders, terms, seed, proxied
+        self.sockets, self.session_seconds, self.paces = sockets, session_seconds, paces
         example: dict[str, Any] = json.loads(EXAMPLE.read_text())
         example["settings"]["NInstances"] = forwarders
         if plans is not None:
@@ -88,21 +88,21 @@
         self.plans = {p["Name"]: PlanShape(p["Refill"], p["MostAtOnce"]) for p in self.settings["Plans"]}
         self.record = WorkRecord()
         self.meter = Meter({name: plan.rate for name, plan in self.plans.items()})
-        worker_capacity = capacity or Capacity(cores=2, queue=24, thrash=0.05)
+        worker_capacity = capacity or Capacity(cores=2, queue_limit=24, queue_slowdown=0.05)
         worker_capacities = list(capacities) if capacities is not None else [worker_capacity] * workers
         self.workers = [
             LimitedWorker(
-                f"worker-{n + 1}", each, service, seed, zone="abc"[n % 3], meter=self.meter, record=self.record
+                f"worker-{n + 1}", each, service_seconds, seed, zone="abc"[n % 3], meter=self.meter, record=self.record
             )
             for n, each in enumerate(worker_capacities)
         ]
-        self.names = [f"p{n + 1}" for n in range(planners)]
-        self.planner_ports = {name: free_port() for name in self.names}
-        self.forwarders: list[Gatekeeper] = []
-        self.planners: dict[str, Gatekeeper] = {}
-        self.links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder number and planner name
+        self.planner_names = [f"p{n + 1}" for n in range(planners)]
+        self.planner_ports = {name: free_port() for name in self.planner_names}
+        self.forwarders: list[GatekeeperProcess] = []
+        self.planners: dict[str, GatekeeperProcess] = {}
+        self.planner_links: dict[tuple[int, str], FaultProxy] = {}  # by forwarder number and planner name
         self.store_links: dict[str, FaultProxy] = {}  # by planner name
-        self.store: EtcdStandIn | None = EtcdStandIn() if planners else None
+        self.store: FakeEtcd | None = FakeEtcd() if planners else None
         self._directory = tempfile.TemporaryDirectory()
         self.secret = "a secret of the installation"
 
@@ -118,14 +118,14 @@
     async def _start(self) -> None:
         for worker in self.workers:
             await worker.start()
-        self.discovery = await Discovery([worker.entry() for worker in self.workers]).start()
+        self.discovery = await FakeDiscovery([worker.entry() for worker in self.workers]).start()
         if self.store is not None:
             await self.store.start()
-            for name in self.names:
-                await self.plan(name)
-        await asyncio.gather(*(self.forward(n) for n in range(self.count)))
+            for name in self.planner_names:
+                await self.start_planner(name)
+        await asyncio.gather(*(self.start_forwarder(n) for n in range(self.forwarder_count)))
 
-    def planners_file(self, ports: dict[str, int], endpoint: str, name: str, secret: str = "") -> str:
+    def write_planners_config(self, ports: dict[str, int], endpoint: str, name: str, secret: str = "") -> str:
         """Write a planners configuration file; return its path."""
         directory = Path(self._directory.name)
         (directory / f"{name}.secret").write_text(secret or self.secret)
@@ -135,8 +135,8 @@
         planners = "\n".join(f'{key} = "127.0.0.1:{port}"' for key, port in ports.items())
         path = directory / f"{name}.toml"
         path.write_text(
-            f"[forwarders]\ncount = {self.count}\n[planners]\n{planners}\n"
-            f'[store]\nengine = "etcd"\nendpoints = ["{endpoint}"]\nsession = {self.session}\n'
+            f"[forwarders]\ncount = {self.forwarder_count}\n[planners]\n{planners}\n"
+            f'[store]\nengine = "etcd"\nendpoints = ["{endpoint}"]\nsession = {self.session_seconds}\n'
             f"[workers]\npaces = {str(self.paces).lower()}\n"
             f'[access]\nsecret_file = "{name}.secret"\n[terms]\n{terms}\n'
         )
@@ -145,9 +145,9 @@
     def config(self) -> PlannersConfig:
         """Return the planners configuration without fault proxies."""
         assert self.store is not None
-        return load(self.planners_file(self.planner_ports, self.store.endpoint, "plain"))
+        return load(self.write_planners_config(self.planner_ports, self.store.endpoint, "plain"))
 
-    async def plan(self, name: str) -> Gatekeeper:
+    async def start_planner(self, name: str) -> GatekeeperProcess:
         """Start or restart a planner."""
         assert self.store is not None
         endpoint = self.store.endpoint
@@ -156,12 +156,12 @@
                 host, _, port = endpoint.removeprefix("http://").rpartition(":")
                 self.store_links[name] = await FaultProxy((host, int(port))).start()
             endpoint = f"http://{self.store_links[name].address}"
-        file = self.planners_file(self.planner_ports, endpoint, f"planner-{name}")
+        file = self.write_planners_config(self.planner_ports, endpoint, f"planner-{name}")
         planner = self.planners[name] = await spawn("{}", "plan", "--config", file, "--name", name)
         await self._wait_until_listening(planner)
         return planner
 
-    async def forward(self, number: int) -> Gatekeeper:
+    async def start_forwarder(self, number: int) -> GatekeeperProcess:
         """Start a forwarder, or restart it under the same name; without planners it is a plain gatekeeper."""
         configuration = copy.deepcopy(self._example)
         configuration.update(
@@ -172,15 +172,15 @@
         )
         configuration["limits"]["sockets"] = self.sockets
         arguments: tuple[str, ...] = ()
-        if self.names:
+        if self.planner_names:
             assert self.store is not None
             ports = dict(self.planner_ports)
             if self.proxied:
                 for name, port in self.planner_ports.items():
-                    if (number, name) not in self.links:
-                        self.links[number, name] = await FaultProxy(("127.0.0.1", port)).start()
-                    ports[name] = self.links[number, name].port
-            file = self.planners_file(ports, self.store.endpoint, f"forwarder-{number}")
+                    if (number, name) not in self.planner_links:
+                        self.planner_links[number, name] = await FaultProxy(("127.0.0.1", port)).start()
+                    ports[name] = self.planner_links[number, name].port
+            file = self.write_planners_config(ports, self.store.endpoint, f"forwarder-{number}")
             arguments = ("forward", "--number", str(number), "--config", file)
         gatekeeper = await self._spawn(number, configuration, arguments)
         await self._wait_until_listening(gatekeeper)
@@ -191,13 +191,16 @@
         self.forwarders[number] = gatekeeper
         return gatekeeper
 
-    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> Gatekeeper:
+    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> GatekeeperProcess:
         """Start the program as this forwarder; overridden by installations with other commands."""
         return await spawn(configuration, *arguments)
 
     @staticmethod
-    async def _wait_until_listening(gatekeeper: Gatekeeper) -> None:
-        listening, ended = asyncio.create_task(gatekeeper.listening()), asyncio.create_task(gatekeeper.process.wait())
+    async def _wait_until_listening(gatekeeper: GatekeeperProcess) -> None:
+        listening, ended = (
+            asyncio.create_task(gatekeeper.wait_until_listening()),
+            asyncio.create_task(gatekeeper.process.wait()),
+        )
         await asyncio.wait({listening, ended}, return_when=asyncio.FIRST_COMPLETED)
         listening.cancel()
         if not gatekeeper.port:
@@ -218,7 +221,7 @@
                 process.kill()
         for process in processes:
             await process.wait()
-        for proxy in [*self.links.values(), *self.store_links.values()]:
+        for proxy in [*self.planner_links.values(), *self.store_links.values()]:
             await proxy.stop()
         if self.store is not None:
             await self.store.stop()
--- a/rig/limited_worker.py
+++ b/rig/limited_worker.py
@@ -39,21 +39,21 @@
 
 
 class WorkRecord:
-    """Records how often a set of workers started each request and, with `keep_units`, when units were spent."""
+    """Records how often a set of workers started each request and, with `records_units`, when units were spent."""
 
     def __init__(self) -> None:
-        self.begun: Counter[str] = Counter()
+        self.start_counts: Counter[str] = Counter()
         self.units: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by customer and plan: (time, units)
-        self.keep_units = False
+        self.records_units = False
 
     def record_start(self, now: float, request: str, customer: str, plan: str, units: float) -> None:
         """Record that a worker has started a request."""
-        self.begun[request] += 1
-        if self.keep_units:
+        self.start_counts[request] += 1
+        if self.records_units:
             self.units.setdefault((customer, plan), []).append((now, units))
 
 
-def overspent(units: list[tuple[float, float]], rate: float, capacity: float) -> float:
+def max_overspending(units: list[tuple[float, float]], rate: float, capacity: float) -> float:
     """Return the most units by which the spending exceeded a token bucket of this rate and capacity that began full.
 
     A negative result means that the bucket was never exceeded: its magnitude is the lowest level of the bucket.
@@ -68,15 +68,15 @@
 class LimitedWorker:
     """A worker with a simulated capacity.
 
-    `service` is the seconds that a unit takes of one core at full speed, `service_cv` the coefficient of variation of
-    that time, `slow_start` whether each start begins with the warm-up of its capacity.
+    `service_seconds` is the time that a unit takes of one core at full speed, `service_cv` its coefficient of
+    variation, `slow_start` whether each start begins with the warm-up of its capacity.
     """
 
     def __init__(
         self,
         name: str,
         capacity: Capacity,
-        service: float,
+        service_seconds: float,
         seed: int = 0,
         service_cv: float = 0.5,
         zone: str = "a",
@@ -84,23 +84,23 @@
         record: WorkRecord | None = None,
         slow_start: bool = False,
     ) -> None:
-        self.name, self.zone, self.service, self.service_cv = name, zone, service, service_cv
+        self.name, self.zone, self.service_seconds, self.service_cv = name, zone, service_seconds, service_cv
         self.meter, self.record = meter, record or WorkRecord()
         self.random = Random(f"{seed} {name}")
-        self.capacity, self.cold = capacity, slow_start
+        self.capacity, self.slow_start = capacity, slow_start
         self.load = Load(capacity)
         self.frozen = False
         self.port = 0
-        self.peak = 0.0  # longest seconds from arrival to completion, queue included
+        self.peak_completion_seconds = 0.0  # longest seconds from arrival to completion, queue included
         self.since_ms = 0
         self._server: asyncio.Server | None = None
-        self._ends: set[_Connection] = set()
+        self._connections: set[_Connection] = set()
 
     async def start(self) -> LimitedWorker:
         """Start to listen, with a slow start if set so."""
         self.loop = asyncio.get_running_loop()
-        self.load = Load(self.capacity, started=self.loop.time() if self.cold else None)
-        if self.cold:
+        self.load = Load(self.capacity, started=self.loop.time() if self.slow_start else None)
+        if self.slow_start:
             import time
 
             self.since_ms = int(time.time() * 1000)
@@ -112,7 +112,7 @@
         """Stop: connections are aborted and new ones refused."""
         if self._server is not None:
             self._server.close()
-        for connection in list(self._ends):
+        for connection in list(self._connections):
             connection.abort()
 
     def entry(self, **changes: Any) -> dict[str, Any]:
@@ -142,11 +142,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._worker._ends.add(self)
+        self._worker._connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._worker._ends.discard(self)
+        self._worker._connections.discard(self)
 
     def abort(self) -> None:
         if self._transport is not None:
@@ -178,12 +178,12 @@
         units = float(next((part[6:] for part in weight.split(b",") if part.startswith(b"units=")), b"1"))
         customer = self._url.partition(b"customer=")[2].partition(b"&")[0].decode()
         shape = 1 / worker.service_cv**2
-        work = units * worker.service * worker.random.gammavariate(shape, 1 / shape)
+        work = units * worker.service_seconds * worker.random.gammavariate(shape, 1 / shape)
         done_at = worker.load.arrive(now, work)
         if done_at is None:
             self._reply(503, b"X-Not-Processed: 1\r\n", b"full\n")
             return
-        worker.peak = max(worker.peak, done_at - now)
+        worker.peak_completion_seconds = max(worker.peak_completion_seconds, done_at - now)
         worker.record.record_start(now, request_id, customer, plan, units)
         use_ratio = worker.meter.record_use(now, customer, plan, units) if worker.meter else None
         use_header = b"" if use_ratio is None else b"X-Allowance-Used: %.1f\r\n" % (100 * use_ratio)
--- a/rig/loops.py
+++ b/rig/loops.py
@@ -44,7 +44,7 @@
         return -1
 
 
-class Wire:
+class SimulatedTransport:
     """A transport that records what its protocol writes.
 
     `delivered` is what was sent before the connection ended; the rest is lost. As with uvloop, a write is sent at the
@@ -77,7 +77,7 @@
             self.delivered += self._unflushed
             self._unflushed.clear()
             if self._closing:
-                self.lost()
+                self.disconnect()
 
     def write_eof(self) -> None:
         """Do nothing: the half-close is not simulated."""
@@ -93,9 +93,9 @@
         if not self.closed:
             self._closing = True
             self._unflushed.clear()
-            self._loop.call_soon(self.lost)
+            self._loop.call_soon(self.disconnect)
 
-    def lost(self) -> None:
+    def disconnect(self) -> None:
         """End the connection, whichever side ended it, and notify the protocol."""
         if not self.closed:
             self.closed = self._closing = True
--- a/rig/member.py
+++ b/rig/member.py
@@ -9,15 +9,15 @@
 
 from oliveloft.cli import main as verbs
 from oliveloft.fleet import member
-from oliveloft.memory.files import Disk, PlainDisk
-from rig.disks import Broken, DiskFaultsFile
+from oliveloft.memory.files import Disk, SystemDisk
+from rig.disks import DiskFaultsFile, FaultyDisk
 
 
 def main(faults_path: str, arguments: list[str]) -> int:
     """Run a verb of the program on a disk with the faults of this file; return the exit status."""
 
     def open_faulty_disk(folder: str) -> Disk:
-        return Broken(PlainDisk(folder), DiskFaultsFile(faults_path))
+        return FaultyDisk(SystemDisk(folder), DiskFaultsFile(faults_path))
 
     member.open_disk = open_faulty_disk
     return verbs(arguments)
--- a/rig/members.py
+++ b/rig/members.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 from oliveloft.fleet.config import FleetConfig, load
-from oliveloft.fleet.status import States, gather
+from oliveloft.fleet.status import States, query_members
 from rig.disks import write_disk_faults
-from rig.fake_servers import Gatekeeper, spawn
+from rig.fake_servers import GatekeeperProcess, spawn
 from rig.faults import FaultProxy
 from rig.installation import Installation, free_port
 
 
-class MemberSite(Installation):
+class MemberInstallation(Installation):
     """Gatekeepers f0, f1, ... as members of one cluster.
 
     With `memory` False they persist nothing; with `fleet` False they are not members at all. `times` and `recovery` are
@@ -46,15 +46,15 @@
         self.arguments_by_member: dict[int, tuple[str, ...]] = {}  # command line of a member, if not the usual
         self._example["management"] = "127.0.0.1:0"
 
-    def folder(self, number: int) -> Path:
+    def disk_directory(self, number: int) -> Path:
         """Return the directory of a member's disk."""
         return Path(self._directory.name) / f"disk-{number}"
 
-    def knobs(self, number: int, **faults: object) -> None:
+    def set_disk_faults(self, number: int, **faults: object) -> None:
         """Set the faults of a member's disk, the fields of the fault file of `rig.disks`."""
         write_disk_faults(str(Path(self._directory.name) / f"knobs-{number}"), **faults)
 
-    async def fleet_file(self, number: int, name: str = "") -> str:
+    async def write_fleet_config(self, number: int, name: str = "") -> str:
         """Write a member's configuration file; return its path."""
         members = {}
         for other, port in enumerate(self.peer_ports):
@@ -66,7 +66,7 @@
         tables: dict[str, dict[str, Any]] = {
             "members": members,
             "listen": {f"f{number}": f"127.0.0.1:{self.peer_ports[number]}"},
-            "memory": {"folder": str(self.folder(number)) if self.memory else ""},
+            "memory": {"folder": str(self.disk_directory(number)) if self.memory else ""},
             "access": {"open": True},
             "times": self.times,
             "recovery": self.recovery,
@@ -80,10 +80,10 @@
         )
         return str(path)
 
-    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> Gatekeeper:
+    async def _spawn(self, number: int, configuration: dict[str, Any], arguments: tuple[str, ...]) -> GatekeeperProcess:
         if not self.fleet:
             return await spawn(configuration, *arguments)
-        file = await self.fleet_file(number)
+        file = await self.write_fleet_config(number)
         command = (*arguments, "--fleet", file) if arguments else ("member", "--fleet", file)
         return await spawn(
             configuration, str(Path(self._directory.name) / f"knobs-{number}"), *command, module="rig.member"
@@ -93,19 +93,19 @@
         """Return the fleet configuration without fault proxies."""
         linked, self.linked = self.linked, False
         try:
-            return load(await self.fleet_file(0, "plain"))
+            return load(await self.write_fleet_config(0, "plain"))
         finally:
             self.linked = linked
 
-    async def states(self) -> States:
+    async def member_states(self) -> States:
         """Return the status that each member reports of itself and the others."""
-        return await gather(await self.fleet_config())
+        return await query_members(await self.fleet_config())
 
-    def cut(self, first: int, second: int, there: bool = True, back: bool = True) -> None:
-        """Block the links between two members: `there` blocks first to second, `back` second to first."""
-        for source, target, up, down in ((first, second, there, back), (second, first, back, there)):
+    def block_link(self, first: int, second: int, forward: bool = True, backward: bool = True) -> None:
+        """Block the links between two members: `forward` blocks first to second, `backward` second to first."""
+        for source, target, up, down in ((first, second, forward, backward), (second, first, backward, forward)):
             if (source, target) in self.peer_links:
-                self.peer_links[source, target].silence(up, down)
+                self.peer_links[source, target].block(up, down)
 
     def heal(self) -> None:
         """Remove all faults of the links."""
@@ -114,36 +114,38 @@
 
     def kill(self, *numbers: int) -> None:
         """Kill members, all of them if none is given, as a power loss does."""
-        for number in numbers or range(self.count):
+        for number in numbers or range(self.forwarder_count):
             if self.forwarders[number].process.returncode is None:
                 self.forwarders[number].process.kill()
 
-    async def dead(self, *numbers: int) -> None:
+    async def wait_until_exited(self, *numbers: int) -> None:
         """Wait until the processes of members, by default all, have exited."""
-        await asyncio.gather(*(self.forwarders[number].process.wait() for number in numbers or range(self.count)))
+        await asyncio.gather(
+            *(self.forwarders[number].process.wait() for number in numbers or range(self.forwarder_count))
+        )
 
-    def stop(self, number: int) -> None:
+    def suspend(self, number: int) -> None:
         """Suspend a member with SIGSTOP."""
         self.forwarders[number].process.send_signal(signal.SIGSTOP)
 
-    def go_on(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         """Resume a suspended member."""
         self.forwarders[number].process.send_signal(signal.SIGCONT)
 
     def copy_disk(self, source: int, target: int) -> None:
         """Replace a member's disk by a copy of another's."""
-        shutil.rmtree(self.folder(target), ignore_errors=True)
-        shutil.copytree(self.folder(source), self.folder(target))
+        shutil.rmtree(self.disk_directory(target), ignore_errors=True)
+        shutil.copytree(self.disk_directory(source), self.disk_directory(target))
 
-    async def agree(self, alive_count: int | None = None, within: float = 5.0) -> bool:
-        """Wait until all members that respond have the same view of the cluster; return False after `within` seconds.
+    async def wait_for_agreement(self, alive_count: int | None = None, timeout_seconds: float = 5.0) -> bool:
+        """Wait until all members that respond have the same view of the cluster; return False after a timeout.
 
         That view must have `alive_count` members alive, by default as many as respond.
         """
         loop = asyncio.get_running_loop()
-        timeout_at = loop.time() + within
+        timeout_at = loop.time() + timeout_seconds
         while loop.time() < timeout_at:
-            states = [state for state in (await self.states()).values() if "error" not in state]
+            states = [state for state in (await self.member_states()).values() if "error" not in state]
             alive_counts = {sum(each["status"] == "alive" for each in state["members"].values()) for state in states}
             same_digest = len({state["digest"] for state in states}) == 1
             if states and same_digest and alive_counts == {len(states) if alive_count is None else alive_count}:
--- a/rig/memory.py
+++ b/rig/memory.py
@@ -7,17 +7,17 @@
 from collections.abc import Awaitable
 
 
-def resident(pid: int | str = "self") -> int:
+def resident_bytes(pid: int | str = "self") -> int:
     """Return the resident memory of a process in bytes, by default this one's."""
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
-async def highest(pid: int, work: Awaitable[None]) -> int:
+async def peak_resident_bytes(pid: int, work: Awaitable[None]) -> int:
     """Return the peak resident memory of a process, in bytes, while `work` runs (sampled every 20 ms)."""
     peak, task = 0, asyncio.ensure_future(work)
     while not task.done():
-        peak = max(peak, resident(pid))
+        peak = max(peak, resident_bytes(pid))
         await asyncio.sleep(0.02)
     await task
     return peak
--- a/rig/overload.py
+++ b/rig/overload.py
@@ -16,14 +16,14 @@
 
 from micagate import Gateway, interface
 from rig.capacity import Capacity, Load
-from rig.fleet import UNIT_CORE_SECONDS, Entrance, Fleet
+from rig.fleet import UNIT_CORE_SECONDS, EntryPoint, Fleet
 from rig.simulation import Clock
 
 BOUND_SPAN_SECONDS = 2.0  # within which the bound may reorder work
 
 
 @dataclass(frozen=True)
-class Kind:
+class Deployment:
     """A deployment: its classes with their shares of requests and units per request, its workers, and its limits."""
 
     classes: tuple[tuple[interface.RequestClass, float, float], ...]
@@ -38,9 +38,9 @@
     slow: tuple[float, float, float] = (26.0, 32.0, 0.5)  # from, to, speed of every worker
     release: tuple[float, float] = (3.0, 4.0)  # start of the first worker's drain, and interval between drains
 
-    def settings(self, alike: bool) -> interface.Settings:
-        """Return a gateway's settings; with `alike` all classes have the same importance."""
-        classes = tuple(replace(klass, importance=1.0) if alike else klass for klass, _, _ in self.classes)
+    def settings(self, equal_importance: bool) -> interface.Settings:
+        """Return a gateway's settings; with `equal_importance` all classes have the same importance."""
+        classes = tuple(replace(klass, importance=1.0) if equal_importance else klass for klass, _, _ in self.classes)
         return interface.Settings(
             classes,
             (interface.Plan("free"),),
@@ -48,8 +48,8 @@
             zone="a",
             max_attempts=3,
             can_cancel=True,
-            slow_start_min_factor=self.capacity.cold_from,
-            slow_start_duration=self.capacity.ramp,
+            slow_start_min_factor=self.capacity.min_warm_up_factor,
+            slow_start_duration=self.capacity.warm_up_seconds,
             overload_factor=self.overload_factor,
             fall_time=self.fall_time,
         )
@@ -70,7 +70,7 @@
     by_class: dict[str, float]  # share of requests served within the objective, by class
 
 
-def arrivals(deployment: Kind, random: Random) -> list[tuple[float, int, int]]:
+def arrivals(deployment: Deployment, random: Random) -> list[tuple[float, int, int]]:
     """Return the requests of a day: time, index of the class, index of the gateway."""
     work = sum(share * units * UNIT_CORE_SECONDS for _, share, units in deployment.classes)
     base_rate = deployment.load * deployment.workers * deployment.capacity.cores / work
@@ -85,7 +85,7 @@
         arrival_list.append((now, random.choices(range(len(shares)), shares)[0], random.randrange(deployment.gateways)))
 
 
-def worth_bound(deployment: Kind, requests: list[tuple[float, int, int]]) -> float:
+def worth_bound(deployment: Deployment, requests: list[tuple[float, int, int]]) -> float:
     """Return the worth that the true capacity can serve, span by span, with all workers always warm and in service."""
     total, counts = 0.0, Counter((int(at / BOUND_SPAN_SECONDS), class_index) for at, class_index, _ in requests)
     by_value = sorted(
@@ -107,15 +107,15 @@
     return total
 
 
-def play(deployment: Kind, seed: int, alike: bool = False) -> DayResult:
+def play(deployment: Deployment, seed: int, equal_importance: bool = False) -> DayResult:
     """Simulate one day; the arrivals depend on the seed alone, not on the decisions."""
     random, clock = Random(seed), Clock()
     requests = arrivals(deployment, random)
     names = [f"w{n:02}" for n in range(deployment.workers)]
     fleet = Fleet(clock, Random(seed + 1), dict.fromkeys(names, deployment.capacity))
-    settings = deployment.settings(alike)
+    settings = deployment.settings(equal_importance)
     entrances = [
-        Entrance(fleet, Gateway(settings, seed * 100 + n, 0.0).handle, settings, f"g{n}")
+        EntryPoint(fleet, Gateway(settings, seed * 100 + n, 0.0).handle, settings, f"g{n}")
         for n in range(deployment.gateways)
     ]
     attempts: list[tuple[float, str, float]] = []  # time, worker, work
@@ -129,16 +129,16 @@
             attempts.append((now, name, work))
 
     def drain(name: str) -> None:
-        fleet.places[name].up = False
+        fleet.workers[name].in_service = False
         drain_times[name] = clock.now
-        fleet.tell(name)
+        fleet.send_update(name)
         clock.after(1.5, replace_worker, name)
 
     cold_starts: list[tuple[str, float]] = []
 
     def replace_worker(name: str) -> None:
         drain_times.pop(name)
-        fleet.places[name].up = True
+        fleet.workers[name].in_service = True
         cold_starts.append((name, clock.now))
         fleet.restart(name, current_capacity())
 
@@ -147,10 +147,10 @@
         return replace(deployment.capacity, speed=deployment.slow[2] if slow else 1.0)
 
     def update_capacities() -> None:
-        for place in fleet.places.values():
+        for place in fleet.workers.values():
             place.load.capacity = current_capacity()
 
-    fleet.arrived = record_arrival
+    fleet.on_arrival = record_arrival
     for n, name in enumerate(names):
         if (at := deployment.release[0] + n * deployment.release[1]) < deployment.seconds - 2.0:
             clock.at(at, drain, name)
@@ -158,8 +158,8 @@
         clock.at(at, update_capacities)
     for at, class_index, gateway in requests:
         klass, _, units = deployment.classes[class_index]
-        clock.at(at, entrances[gateway].ask, klass.name, "free", klass.name, units)
-    fleet.tell(whole=True)
+        clock.at(at, entrances[gateway].submit, klass.name, "free", klass.name, units)
+    fleet.send_update(whole=True)
     clock.run(deployment.seconds + max(klass.deadline for klass, _, _ in deployment.classes) + 1.0)
 
     worth, served, shares = 0.0, 0.0, {}
@@ -177,16 +177,20 @@
     )
 
 
-def was_overloaded(deployment: Kind, attempts: list[tuple[float, str, float]], name: str, started: float) -> bool:
+def was_overloaded(deployment: Deployment, attempts: list[tuple[float, str, float]], name: str, started: float) -> bool:
     """Whether a newly started worker got over `overload_factor` times its capacity during some `fall_time` seconds."""
     capacity = deployment.capacity
-    arrivals = [(at, work) for at, where, work in attempts if where == name and started <= at < started + capacity.ramp]
+    arrivals = [
+        (at, work)
+        for at, where, work in attempts
+        if where == name and started <= at < started + capacity.warm_up_seconds
+    ]
     for end, _ in arrivals:
         start = end - deployment.fall_time
         if start < started:
             continue
         # Work per second; the warm-up factor at the end is the highest within the span.
-        work_limit = deployment.overload_factor * capacity.cores * Load(capacity, started).warmth(end)
+        work_limit = deployment.overload_factor * capacity.cores * Load(capacity, started).warm_up_factor(end)
         if sum(work for at, work in arrivals if start < at <= end) > work_limit * deployment.fall_time:
             return True
     return False
--- a/rig/planning.py
+++ b/rig/planning.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from micagate import interface
-from micagate.planning.holder import Demand, Holder
+from micagate.planning.holder import Holder, ResourceNeed
 from micagate.planning.ledger import Ledger
 from micagate.planning.messages import PlannerUpdate, Report, RestartSession
 from micagate.planning.terms import Terms
@@ -37,7 +37,7 @@
 class Node:
     """A process on a machine with its own clock; messages wait while it is paused."""
 
-    def __init__(self, simulation: World, name: str) -> None:
+    def __init__(self, simulation: PlanningSimulation, name: str) -> None:
         self.simulation, self.name = simulation, name
         self.clock = LocalClock(
             simulation.clock,
@@ -99,7 +99,7 @@
 class Forwarder(Node):
     """A forwarder: a share holder, and needs that the simulation sets."""
 
-    def __init__(self, simulation: World, index: int) -> None:
+    def __init__(self, simulation: PlanningSimulation, index: int) -> None:
         self.index = index
         self.incarnations = 0
         self.needs: dict[str, float] = {}
@@ -119,14 +119,14 @@
             started,
             1_000_000 * self.index + 10_000 * self.incarnations,
         )
-        self.want(self.needs)
+        self.set_needs(self.needs)
 
-    def want(self, needs: dict[str, float]) -> None:
+    def set_needs(self, needs: dict[str, float]) -> None:
         """Set its needs: the share needed, by customer key."""
         self.needs = needs
         if self.up and not self.paused:
-            self.holder.demand(
-                self.clock.now, [Demand(key, 0, self.simulation.count, need) for key, need in needs.items()]
+            self.holder.update_needs(
+                self.clock.now, [ResourceNeed(key, 0, self.simulation.count, need) for key, need in needs.items()]
             )
 
     def handle_message(self, source: str, message: object) -> None:
@@ -165,11 +165,11 @@
 class Planner(Node):
     """A planner: has a ledger while it believes that it owns the shard."""
 
-    def __init__(self, simulation: World, name: str) -> None:
+    def __init__(self, simulation: PlanningSimulation, name: str) -> None:
         self.ledger: Ledger | None = None
         super().__init__(simulation, name)
 
-    def own(self, epoch: int) -> None:
+    def take_ownership(self, epoch: int) -> None:
         """Own the shard from now on, with a new ledger."""
         self.ledger = self.simulation.ledger(self.simulation.terms, 0, epoch, self.simulation.count, self.clock.now)
         self.announce()
@@ -208,15 +208,15 @@
     """Result of a simulated schedule."""
 
     steps: int = 0
-    excess: float = 0.0  # largest excess over 1 of the sum of a customer's shares
-    when: float = 0.0  # time of that excess
-    moved: float = 0.0  # largest share that a forwarder had beyond its equal part
-    spent: int = 0  # units
-    overspent: float = 0.0  # largest number of units by which all forwarders together exceeded a ceiling
+    max_excess: float = 0.0  # largest excess over 1 of the sum of a customer's shares
+    max_excess_at: float = 0.0  # time of that excess
+    max_borrowed: float = 0.0  # largest share that a forwarder had beyond its equal part
+    units_spent: int = 0  # units
+    max_overspent: float = 0.0  # largest number of units by which all forwarders together exceeded a ceiling
     faults: list[str] = field(default_factory=list)
 
 
-class World:
+class PlanningSimulation:
     """Forwarders, planners and customers under a random schedule; `run` checks the shares at every step."""
 
     def __init__(
@@ -226,7 +226,7 @@
         planners: int = 2,
         customers: int = 2,
         terms: Terms | None = None,
-        calm: bool = False,
+        fault_free: bool = False,
         holder: Callable[..., Holder] = Holder,
         ledger: Callable[..., Ledger] = Ledger,
     ) -> None:
@@ -236,10 +236,10 @@
         self.drift = self.terms.drift
         self.holder, self.ledger = holder, ledger
         self.count = forwarders
-        self.calm = calm
+        self.fault_free = fault_free
         default_link = (
             Link(0.0005, 0.004)
-            if calm
+            if fault_free
             else self.random.choice(
                 (
                     Link(0.0005, 0.004),
@@ -262,8 +262,8 @@
     def run(self, seconds: float) -> SimulationResult:
         """Run the schedule for `seconds`; return what was observed."""
         self._change_needs()
-        self.planners[0].own(self._next())
-        if not self.calm:
+        self.planners[0].take_ownership(self._next_epoch())
+        if not self.fault_free:
             self.clock.after(self.random.uniform(0.5, 2.0), self._inject_fault)
         end = self.clock.now + seconds
         while self.clock.now < end:
@@ -277,9 +277,9 @@
         for key in self.customer_keys:
             shares = [forwarder.share(key) for forwarder in self.forwarders]
             excess = sum(shares) - 1.0
-            if excess > self.result.excess:
-                self.result.excess, self.result.when = excess, self.clock.now
-            self.result.moved = max(self.result.moved, max(shares) - 1.0 / self.count)
+            if excess > self.result.max_excess:
+                self.result.max_excess, self.result.max_excess_at = excess, self.clock.now
+            self.result.max_borrowed = max(self.result.max_borrowed, max(shares) - 1.0 / self.count)
 
     def record_spent(self, key: str) -> None:
         """Record that a forwarder spent one unit of a customer."""
@@ -287,17 +287,17 @@
         now = self.clock.now
         level = min(PLAN.ceiling_capacity, level + (now - updated_at) * PLAN.ceiling_rate * (1 + self.drift)) - 1
         self._ideal_balances[key] = now, level
-        self.result.spent += 1
-        self.result.overspent = max(self.result.overspent, -level)
+        self.result.units_spent += 1
+        self.result.max_overspent = max(self.result.max_overspent, -level)
 
-    def _next(self) -> int:
+    def _next_epoch(self) -> int:
         self.epoch += 1
         return self.epoch
 
     def _change_needs(self) -> None:
         """Draw new needs for all forwarders, periodically."""
         for forwarder in self.forwarders:
-            forwarder.want({key: self.random.choice((0.0, 0.0, 0.1, 0.6, 1.0)) for key in self.customer_keys})
+            forwarder.set_needs({key: self.random.choice((0.0, 0.0, 0.1, 0.6, 1.0)) for key in self.customer_keys})
         self.clock.after(self.random.uniform(0.3, 3.0), self._change_needs)
 
     def _inject_fault(self) -> None:
@@ -325,7 +325,7 @@
             owners = [planner for planner in self.planners if planner.ledger is not None]
             new_owner = random.choice(self.planners)
             if new_owner.up and not new_owner.paused:
-                new_owner.own(self._next())
+                new_owner.take_ownership(self._next_epoch())
             for planner in owners:
                 if planner is not new_owner and random.random() < 0.6:
                     self.clock.after(random.uniform(0.0, 3.0), planner.reset)
@@ -349,4 +349,4 @@
     def _elect_planner(self) -> None:
         planner = self.random.choice(self.planners)
         if planner.up and not planner.paused:
-            planner.own(self._next())
+            planner.take_ownership(self._next_epoch())
--- a/rig/process_host.py
+++ b/rig/process_host.py
@@ -14,19 +14,19 @@
 from pathlib import Path
 from typing import Any, Self
 
-from rig.fake_servers import Client, Discovery, Gatekeeper, config, spawn, until
+from rig.fake_servers import Client, FakeDiscovery, GatekeeperProcess, config, spawn, until
 
 
-class House:
+class ProcessHost:
     """Owns the listening socket, temporary directory, workers and discovery that gatekeeper processes use in turn."""
 
     def __init__(self, *workers: Any, limits: dict[str, Any] | None = None) -> None:
         self.workers, self._limits = workers, limits
-        self.folder = tempfile.TemporaryDirectory()
+        self.temp_directory = tempfile.TemporaryDirectory()
         self.socket = socket.socket()
         self.socket.bind(("127.0.0.1", 0))
         self.socket.listen(512)
-        self.processes: list[Gatekeeper] = []
+        self.processes: list[GatekeeperProcess] = []
 
     @property
     def port(self) -> int:
@@ -37,20 +37,27 @@
     async def __aenter__(self) -> Self:
         for worker in self.workers:
             await worker.start()
-        self.discovery = await Discovery([worker.entry() for worker in self.workers]).start()
+        self.discovery = await FakeDiscovery([worker.entry() for worker in self.workers]).start()
         return self
 
-    async def process(self, ready: bool = True, root: Path | None = None, **changes: Any) -> Gatekeeper:
+    async def start_process(
+        self, ready: bool = True, source_root: Path | None = None, **changes: Any
+    ) -> GatekeeperProcess:
         """Start one more process and, if `ready`, wait until it reports that it serves.
 
-        `root` is the source tree of another version; `changes` override keys of the configuration.
+        `source_root` is the source tree of another version; `changes` override keys of the configuration.
         """
         configuration = {**config(self.discovery.port, limits=self._limits), **changes}
         configuration["listen"] = f"127.0.0.1:{self.port}"
-        gatekeeper = await spawn(json.dumps(configuration), accept=self.socket, folder=self.folder.name, root=root)
+        gatekeeper = await spawn(
+            json.dumps(configuration),
+            listening_socket=self.socket,
+            temp_directory=self.temp_directory.name,
+            source_root=source_root,
+        )
         self.processes.append(gatekeeper)
         if ready:
-            await gatekeeper.listening()
+            await gatekeeper.wait_until_listening()
             while not (await gatekeeper.call("HEALTH")).startswith("ok"):
                 await asyncio.sleep(0.01)
         return gatekeeper
@@ -63,17 +70,17 @@
             if not error[0]:
                 assert not any("Traceback" in line for line in gatekeeper.log), gatekeeper.log
         self.socket.close()
-        self.folder.cleanup()
+        self.temp_directory.cleanup()
 
 
-class Load:
+class ClosedLoopClients:
     """Closed-loop clients on persistent connections; each sends its next request `pause_seconds` after a reply."""
 
     def __init__(self, port: int, count: int, pause_seconds: float = 0.002) -> None:
         self.port, self.count, self.pause_seconds = port, count, pause_seconds
         self.statuses: list[int] = []
-        self.times: list[float] = []  # monotonic time of each reply
-        self.broken, self.running = 0, True
+        self.reply_times: list[float] = []  # monotonic time of each reply
+        self.connection_failures, self.running = 0, True
 
     async def _run_client(self, number: int) -> None:
         client = None
@@ -87,11 +94,11 @@
             except ConnectionError:
                 pass
             if reply is None:
-                self.broken += 1
+                self.connection_failures += 1
                 client = None
                 continue
             self.statuses.append(reply.status)
-            self.times.append(time.monotonic())
+            self.reply_times.append(time.monotonic())
             if reply.headers.get("connection") == "close":
                 client = None
             await asyncio.sleep(self.pause_seconds)
@@ -106,4 +113,4 @@
         _, stuck = await asyncio.wait(self.tasks, timeout=5)
         for task in stuck:  # a reply that never arrives counts like a lost connection
             task.cancel()
-        self.broken += len(stuck)
+        self.connection_failures += len(stuck)
--- a/rig/schedules.py
+++ b/rig/schedules.py
@@ -8,13 +8,13 @@
 
 from micagate import interface
 from micagate.accounts import Account
-from micagate.counting.budget import Budget
-from micagate.counting.counting import Counting
-from rig.counting import Service
+from micagate.counting.budget import CounterCallLimit
+from micagate.counting.counting import QuotaCounter
+from rig.counting import CounterService
 
 CALL_TIMEOUT_SECONDS, ROUND_TRIP_SECONDS = 0.03, 0.004  # of a call to the counter
 READ_CLASS = interface.RequestClass("read", aim=0.4, deadline=1.0)
-HELD = interface.Plan(
+CEILING_PLAN = interface.Plan(
     "team", rate=2.0, burst=4.0, excess_cost=1.0, ceiling_rate=4.0, ceiling_capacity=10.0, ceiling_slack=1.0
 )
 
@@ -23,12 +23,12 @@
 class CounterLoadResult:
     """Calls of all gateways in the second half of a run, those answered in time, and when the fleet settled."""
 
-    asked: int
-    answered: int
-    settles: float
+    calls: int
+    answered_in_time: int
+    settled_after_seconds: float
 
 
-def crowd(
+def simulate_counter_overload(
     rate: float, request_rate: float = 400.0, gateways: int = 40, seconds: float = 20.0, seed: int = 3
 ) -> CounterLoadResult:
     """Simulate gateways that all start at once, with `request_rate` requests per second over all of them.
@@ -36,25 +36,27 @@
     Each gateway's budget level decides which requests are counted by a counter that processes `rate` calls per second.
     The fleet has settled at the first second in which at least 90% of the calls are answered in time.
     """
-    service, random = Service(rate, queue=2 * CALL_TIMEOUT_SECONDS), Random(seed)
-    budgets = [Budget(0.0, 2.0, CALL_TIMEOUT_SECONDS, Random(n)) for n in range(gateways)]
-    waiting: list[tuple[float, int, float, bool, Budget]] = []  # when the result is known, and which
+    service, random = CounterService(rate, max_wait_seconds=2 * CALL_TIMEOUT_SECONDS), Random(seed)
+    budgets = [CounterCallLimit(0.0, 2.0, CALL_TIMEOUT_SECONDS, Random(n)) for n in range(gateways)]
+    waiting: list[tuple[float, int, float, bool, CounterCallLimit]] = []  # when the result is known, and which
     calls, answered = [0] * int(seconds), [0] * int(seconds)
     for n in range(int(request_rate * seconds)):
         now = n / request_rate
         while waiting and waiting[0][0] <= now:
             when, _, took, late, budget = heapq.heappop(waiting)
             if late:
-                budget.heard(when, interface.LATE_RESPONSE, took)
+                budget.record_response(when, interface.LATE_RESPONSE, took)
             else:
-                budget.heard(when, interface.SUCCESS if took < CALL_TIMEOUT_SECONDS else interface.TIMED_OUT, took)
+                budget.record_response(
+                    when, interface.SUCCESS if took < CALL_TIMEOUT_SECONDS else interface.TIMED_OUT, took
+                )
                 answered[min(int(when), int(seconds) - 1)] += took < CALL_TIMEOUT_SECONDS
         budget = random.choice(budgets)
-        if 2 * random.random() < budget.level and budget.may(now):
+        if 2 * random.random() < budget.level and budget.may_call(now):
             calls[int(now)] += 1
             due = service.accept(now, "x")
             if due is None:
-                budget.heard(now, interface.OVERLOADED, 0.0)
+                budget.record_response(now, interface.OVERLOADED, 0.0)
                 continue
             took = due + ROUND_TRIP_SECONDS - now
             heapq.heappush(
@@ -67,15 +69,18 @@
     return CounterLoadResult(sum(calls[half:]), sum(answered[half:]), float(settled_after_seconds))
 
 
-def ceiling(seed: int, gateways: int, seconds: float = 30.0, before: bool = True) -> float:
+def simulate_ceiling_overspend(
+    seed: int, gateways: int, seconds: float = 30.0, count_before_sending: bool = True
+) -> float:
     """Return by how many units a customer exceeds its ceiling while the counter fails to answer or loses its totals.
 
-    The customer sends without pause. `before` False: requests are sent to workers before they are counted.
+    The customer sends without pause. With `count_before_sending` False, requests are sent to workers
+    before they are counted.
     """
-    random, service = Random(seed), Service()
-    plan = replace(HELD, ceiling_capacity=2 * HELD.burst + gateways)
+    random, service = Random(seed), CounterService()
+    plan = replace(CEILING_PLAN, ceiling_capacity=2 * CEILING_PLAN.burst + gateways)
     counters = [
-        Counting(
+        QuotaCounter(
             interface.Settings((READ_CLASS,), (plan,), gateways, n, counter_timeout=CALL_TIMEOUT_SECONDS),
             0.0,
             0.0,
@@ -85,7 +90,7 @@
     ]
     accounts = [Account(plan, "c/team/x", gateways, 0.0, 0.0) for _ in range(gateways)]
     for counting in counters:
-        counting.budget.most = 1.0
+        counting.budget.max_level = 1.0
     level = lowest_level = plan.ceiling_capacity
     updated_at, lost_keys_at = 0.0, -9.0
     for n in range(int(seconds * 100)):
@@ -93,23 +98,23 @@
         level, updated_at = min(plan.ceiling_capacity, level + (now - updated_at) * plan.ceiling_rate), now
         if now - lost_keys_at > 4.0 and random.random() < 0.005:
             lost_keys_at = now
-            service.forget()
+            service.drop_keys()
         unresponsive = n % 1000 > 600 and random.random() < 0.9
         number = random.randrange(gateways)
         counting, account, allowed = counters[number], accounts[number], False
-        if counting.counts(now, account) and now >= account.ceiling_full_until:
-            counting.ask(now, account, 1.0, "r")
-            allowed = not before
+        if counting.should_count(now, account) and now >= account.ceiling_full_until:
+            counting.count(now, account, 1.0, "r")
+            allowed = not count_before_sending
             while counting.actions:
                 call = counting.actions.pop(0)
                 total = service.add(now, str(call.name), call.amount, call.ttl)
-                verdict = counting.answered(
+                verdict = counting.record_result(
                     now,
                     interface.CounterResult(
                         call.name, interface.TIMED_OUT if unresponsive else interface.SUCCESS, total, ROUND_TRIP_SECONDS
                     ),
                 )
-                allowed = allowed or verdict is not None and verdict.inside is True
+                allowed = allowed or verdict is not None and verdict.within_quota is True
                 unresponsive = False
         if not allowed and account.counter_unresponsive_since is not None and account.ceiling_balance >= 1.0:
             account.ceiling_balance -= 1.0
--- a/rig/soak.py
+++ b/rig/soak.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 from rig.agent import AgentFaults, FakeAgent
-from rig.fake_servers import Client, Gatekeeper, Message, Worker, config, launch, reset
+from rig.fake_servers import Client, FakeWorker, GatekeeperProcess, Message, config, launch, reset
 
 DRAIN_GRACE_SECONDS = 0.25  # after a notification, in which requests may still go to a draining worker
 MAX_NOTIFICATION_SECONDS = 6.0  # from the publication of a change until a gatekeeper with faults has it
@@ -76,7 +76,7 @@
         return json.dumps({"ok": not self.breaks, **self.__dict__})
 
 
-class SoakWorker(Worker):
+class SoakWorker(FakeWorker):
     """A worker that responds, or fails as `fault` says: hang, reset or slow."""
 
     def __init__(self, name: str, random: Random) -> None:
@@ -104,7 +104,7 @@
 
     number: int
     agents: list[FakeAgent]
-    gatekeeper: Gatekeeper | None = None
+    gatekeeper: GatekeeperProcess | None = None
     incarnation: int = 0
     started_at: list[float] = field(default_factory=list)
     agent_index: int = 0  # index of the agent that it watches
@@ -152,7 +152,7 @@
         self.ended = False
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def play(self) -> SoakResult:
+    async def run(self) -> SoakResult:
         """Run for the given seconds, then check the rules."""
         for worker in self.workers:
             await worker.start()
@@ -465,7 +465,7 @@
 
 
 async def _run_seed(seed: int, seconds: float, gatekeepers: int, workers: int, clients: int) -> SoakResult:
-    return await Soak(seed, seconds, gatekeepers, workers, clients).play()
+    return await Soak(seed, seconds, gatekeepers, workers, clients).run()
 
 
 def main() -> int:
--- a/rig/subsets.py
+++ b/rig/subsets.py
@@ -21,7 +21,7 @@
 CLASSES, PLANS = (interface.RequestClass("fetch", aim=0.4, deadline=1.0),), (interface.Plan("free"),)
 
 
-def fleet(names: Sequence[str], gateway: int, gateways: int, numbered: bool = True) -> Fleet:
+def gateway_fleet(names: Sequence[str], gateway: int, gateways: int, numbered: bool = True) -> Fleet:
     """Return a gateway's `Fleet` with these workers; with `numbered` False the gateway does not know its number."""
     settings = interface.Settings(CLASSES, PLANS, gateways=gateways, number=gateway if numbered else None)
     result = Fleet(settings, Random(gateway), 0.0, Shares())
@@ -31,7 +31,7 @@
 
 def gateway_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
     """Return the subset that a numbered gateway uses (a section of the ring)."""
-    return [worker.entry.worker for worker in fleet(names, gateway, gateways).subset.members(size)]
+    return [worker.entry.worker for worker in gateway_fleet(names, gateway, gateways).subset.members(size)]
 
 
 def random_subset(names: Sequence[str], gateway: int, gateways: int, size: int) -> list[str]:
--- a/rig/traces.py
+++ b/rig/traces.py
@@ -15,7 +15,7 @@
 from micagate import Gateway, interface
 from micagate.trace import Recorder
 from rig.capacity import Capacity
-from rig.fleet import Entrance, Fleet
+from rig.fleet import EntryPoint, Fleet
 from rig.simulation import Clock
 
 CLASSES = (
@@ -45,7 +45,7 @@
 }
 
 
-def record_day(name: str, write: object) -> Entrance:
+def record_day(name: str, write: object) -> EntryPoint:
     """Simulate a day with a series of faults and record the events and actions of its gateway."""
     scenario = SCENARIOS[name]
     random, clock = Random(scenario["seed"]), Clock()
@@ -67,21 +67,21 @@
     capacity = {
         f"s{n:02}": Capacity(
             cores=2 if scenario["workers"] < 10 else 1,
-            queue=12,
+            queue_limit=12,
             speed=random.uniform(0.8, 1.2),
-            cold_from=0.25,
-            ramp=6.0,
-            thrash=0.1,
+            min_warm_up_factor=0.25,
+            warm_up_seconds=6.0,
+            queue_slowdown=0.1,
         )
         for n in range(scenario["workers"])
     }
     fleet = Fleet(clock, random, capacity)
     gateway = Gateway(settings, scenario["seed"], 0.0)
     recorder = Recorder(gateway.handle, settings, scenario["seed"], 0.0, write)  # type: ignore[arg-type]
-    entrance = Entrance(fleet, recorder.handle, settings)
+    entrance = EntryPoint(fleet, recorder.handle, settings)
     metered_use: dict[str, float] = {}
-    entrance.used = lambda customer: metered_use.get(customer)
-    fleet.tell(whole=True)
+    entrance.metered_use = lambda customer: metered_use.get(customer)
+    fleet.send_update(whole=True)
     names, duration_seconds = sorted(capacity), scenario["seconds"]
 
     def meter() -> None:
@@ -94,7 +94,7 @@
     def ask(rate: float) -> None:
         number = int(random.random() ** 2 * CUSTOMERS)
         plan = PLANS[number % 3].name
-        entrance.ask(
+        entrance.submit(
             random.choices([c.name for c in CLASSES], (6, 2, 2))[0],
             plan,
             f"c{number}",
@@ -107,25 +107,25 @@
         clock.after(random.expovariate(rate * surge), ask, rate)
 
     def schedule_fault(at: float, fault: str) -> None:
-        place = fleet.places[random.choice(names)]
+        place = fleet.workers[random.choice(names)]
 
         def heal() -> None:
-            place.lost, place.hung, place.refuses_connections = 0.0, False, False
+            place.response_loss, place.unresponsive, place.refuses_connections = 0.0, False, False
 
         def inject() -> None:
-            place.lost = 0.6 if fault == "lost" else 0.0
-            place.hung, place.refuses_connections = fault == "hung", fault == "dead"
+            place.response_loss = 0.6 if fault == "lost" else 0.0
+            place.unresponsive, place.refuses_connections = fault == "hung", fault == "dead"
             clock.after(0.1 * duration_seconds, heal)
 
         clock.at(at * duration_seconds, inject)
 
     def drain(name: str) -> None:
-        fleet.places[name].up = False
-        fleet.tell(name)
+        fleet.workers[name].in_service = False
+        fleet.send_update(name)
         clock.after(0.05 * duration_seconds, restore, name)
 
     def restore(name: str) -> None:
-        fleet.places[name].up = True
+        fleet.workers[name].in_service = True
         fleet.restart(name)
 
     for at, fault in ((0.1, "lost"), (0.2, "hung"), (0.3, "dead"), (0.6, "lost")):
@@ -138,7 +138,7 @@
     return entrance
 
 
-def lines(path: str) -> Iterator[str]:
+def read_lines(path: str) -> Iterator[str]:
     """Yield the lines of a recorded trace."""
     with gzip.open(path, "rt", encoding="utf-8") as file:
         yield from file
@@ -151,7 +151,7 @@
         return 2
     with gzip.GzipFile(sys.argv[2], "wb", mtime=0) as file:
         entrance = record_day(sys.argv[1], lambda line: file.write(line.encode() + b"\n"))
-    print(json.dumps({"asked": entrance.counts.received, **entrance.counts.ends}))
+    print(json.dumps({"asked": entrance.counts.received, **entrance.counts.results}))
     return 0
 
 
--- a/rig/traffic.py
+++ b/rig/traffic.py
@@ -24,7 +24,7 @@
     plan: str
     rate: Callable[[float], float]
     route: Callable[[float], int]
-    top: float  # upper bound of `rate`, for sampling arrivals by thinning
+    peak_rate: float  # upper bound of `rate`, for sampling arrivals by thinning
     klass: str = "read"
     units: float = 1.0
     spread: int = 1
@@ -40,40 +40,40 @@
     price: float = 1.0
 
 
-class Store:
+class TokenBucket:
     """Token bucket of one customer, which tells whether a request is within its quota over all gateways."""
 
     def __init__(self, plan: PlanShape, now: float) -> None:
-        self.plan, self.level, self.at = plan, plan.burst, now
+        self.plan, self.level, self.updated_at = plan, plan.burst, now
 
-    def fill(self, now: float) -> float:
+    def refill(self, now: float) -> float:
         """Refill up to now; return the level."""
-        self.level = min(self.plan.burst, self.level + (now - self.at) * self.plan.rate)
-        self.at = now
+        self.level = min(self.plan.burst, self.level + (now - self.updated_at) * self.plan.rate)
+        self.updated_at = now
         return self.level
 
     def take(self, now: float, units: float) -> bool:
         """Spend the units if the level covers them; a plan without a rate always does."""
         if not self.plan.rate:
             return True
-        if self.fill(now) < units:
+        if self.refill(now) < units:
             return False
         self.level -= units
         return True
 
 
 @dataclass(slots=True)
-class Report:
+class TrafficReport:
     """The outcomes of requests; values are price times units, counted only for requests within the quotas."""
 
-    ends: Counter[str] = field(default_factory=Counter)
+    outcomes: Counter[str] = field(default_factory=Counter)
     offered_value: float = 0.0
     served_value: float = 0.0
-    waits: list[float] = field(default_factory=list)  # seconds, of requests that were served
-    series: dict[int, Counter[str]] = field(default_factory=dict)  # by whole second of the scheduled time
+    latencies: list[float] = field(default_factory=list)  # seconds, of requests that were served
+    outcomes_by_second: dict[int, Counter[str]] = field(default_factory=dict)  # by whole second of the scheduled time
 
     @property
-    def share(self) -> float:
+    def served_value_share(self) -> float:
         """The value served within quotas as a share of the value offered within them."""
         return self.served_value / self.offered_value if self.offered_value else 0.0
 
@@ -82,7 +82,7 @@
     """Sends the customers' requests to gateway ports on loopback, each request once, and records their outcomes.
 
     Arrivals are drawn from the seed and do not wait for responses (an open loop). Requests that cannot connect, as when
-    a gatekeeper is down, fail. An outcome is served, late (served after `aim` seconds, the latency objective), refused
+    a gatekeeper is down, fail. An outcome is served, late (served after `latency_objective` seconds), refused
     or failed.
     """
 
@@ -93,52 +93,52 @@
         plans: dict[str, PlanShape],
         seed: int,
         timeout: float = 2.0,
-        aim: float = 1.0,
+        latency_objective: float = 1.0,
     ) -> None:
         self.ports, self.customers, self.plans = ports, customers, plans
-        self.timeout, self.aim = timeout, aim
+        self.timeout, self.latency_objective = timeout, latency_objective
         self.random = Random(seed)
-        self.report = Report()
+        self.report = TrafficReport()
         self.recent_outcomes: Counter[str] = Counter()  # outcomes since a caller last replaced this counter
         self._idle: list[deque[_Connection]] = [deque() for _ in ports]
-        self._offered_buckets: dict[tuple[str, str], Store] = {}
-        self._served_buckets: dict[tuple[str, str], Store] = {}
+        self._offered_buckets: dict[tuple[str, str], TokenBucket] = {}
+        self._served_buckets: dict[tuple[str, str], TokenBucket] = {}
         self._request_numbers = itertools.count(1)
         self._connections: set[_Connection] = set()
         self._in_flight = 0
-        self._began = 0.0
+        self._started_at = 0.0
         # Other instances may run at the same time and reuse the port of a killed process, so ids must be unique.
         self._id_prefix = f"{seed:x}.{os.getpid():x}.{next(INSTANCE_NUMBERS):x}"
-        self.filings: set[str] = set()  # ids of the requests that must not run twice
+        self.unrepeatable_ids: set[str] = set()  # ids of the requests that must not run twice
 
-    async def run(self, seconds: float, settle: bool = True) -> Report:
-        """Send for so many seconds; then, if `settle`, wait for requests in flight and close the connections."""
+    async def run(self, seconds: float, wait_for_in_flight: bool = True) -> TrafficReport:
+        """Send for so many seconds; then, if asked, wait for requests in flight and close the connections."""
         loop = asyncio.get_running_loop()
-        if not self._began:
-            self._began = loop.time()
-        self._loop, start = loop, loop.time() - self._began
+        if not self._started_at:
+            self._started_at = loop.time()
+        self._loop, start = loop, loop.time() - self._started_at
         arrivals: list[tuple[float, int]] = []
         for number, customer in enumerate(self.customers):
             at = start
-            while customer.top > 0:
-                at += self.random.expovariate(customer.top)
+            while customer.peak_rate > 0:
+                at += self.random.expovariate(customer.peak_rate)
                 if at >= start + seconds:
                     break
-                if self.random.random() * customer.top < customer.rate(at):
+                if self.random.random() * customer.peak_rate < customer.rate(at):
                     arrivals.append((at, number))
         arrivals.sort()
         for at, number in arrivals:
-            wait = self._began + at - loop.time()
+            wait = self._started_at + at - loop.time()
             if wait > 0.001:
                 await asyncio.sleep(wait)
             self._send_request(at, self.customers[number])
-        if settle:
-            await self.settle()
-        elif (wait := self._began + start + seconds - loop.time()) > 0:
+        if wait_for_in_flight:
+            await self.wait_for_in_flight()
+        elif (wait := self._started_at + start + seconds - loop.time()) > 0:
             await asyncio.sleep(wait)
         return self.report
 
-    async def settle(self) -> None:
+    async def wait_for_in_flight(self) -> None:
         """Wait for the requests in flight, and close the connections."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.timeout + 0.5
@@ -154,7 +154,7 @@
             self.report.offered_value += plan.price * customer.units
         number = next(self._request_numbers)
         if customer.klass != "read":
-            self.filings.add(f"{self._id_prefix}-{number}")
+            self.unrepeatable_ids.add(f"{self._id_prefix}-{number}")
         body = b"" if customer.klass == "read" else b"a note"
         message = (
             f"{'GET' if customer.klass == 'read' else 'POST'} /{customer.klass}?customer={customer.name} "
@@ -185,29 +185,31 @@
                 raise ConnectionError
         except OSError:
             self._connections.discard(connection)
-            self.ended(pending, "failed")
+            self.record_outcome(pending, "failed")
 
     @staticmethod
-    def _bucket(buckets: dict[tuple[str, str], Store], key: tuple[str, str], plan: PlanShape, now: float) -> Store:
+    def _bucket(
+        buckets: dict[tuple[str, str], TokenBucket], key: tuple[str, str], plan: PlanShape, now: float
+    ) -> TokenBucket:
         bucket = buckets.get(key)
         if bucket is None:
-            bucket = buckets[key] = Store(plan, now)
+            bucket = buckets[key] = TokenBucket(plan, now)
         return bucket
 
-    def ended(self, pending: _PendingRequest, outcome: str) -> None:
+    def record_outcome(self, pending: _PendingRequest, outcome: str) -> None:
         """Record the outcome of a request."""
         self._in_flight -= 1
-        latency = self._loop.time() - self._began - pending.scheduled_at
-        if outcome == "served" and latency > self.aim:
+        latency = self._loop.time() - self._started_at - pending.scheduled_at
+        if outcome == "served" and latency > self.latency_objective:
             outcome = "late"
-        self.report.ends[outcome] += 1
+        self.report.outcomes[outcome] += 1
         self.recent_outcomes[outcome] += 1
-        second_outcomes = self.report.series.setdefault(int(pending.scheduled_at), Counter())
+        second_outcomes = self.report.outcomes_by_second.setdefault(int(pending.scheduled_at), Counter())
         second_outcomes[outcome] += 1
         if outcome == "served":
-            self.report.waits.append(latency)
+            self.report.latencies.append(latency)
             if self._bucket(self._served_buckets, pending.customer_key, pending.plan, pending.scheduled_at).take(
-                max(pending.scheduled_at, self._served_buckets[pending.customer_key].at), pending.units
+                max(pending.scheduled_at, self._served_buckets[pending.customer_key].updated_at), pending.units
             ):
                 self.report.served_value += pending.plan.price * pending.units
 
@@ -286,7 +288,7 @@
             self._timer.cancel()
             self._timer = None
         if pending is not None:
-            self._traffic.ended(pending, outcome)
+            self._traffic.record_outcome(pending, outcome)
 
     def close(self) -> None:
         if self._transport is not None:
--- a/rig/upgrades.py
+++ b/rig/upgrades.py
@@ -3,8 +3,8 @@
 The schedule tracks the true state beside the gateways: which workers are in maintenance, and the units admitted and the
 attempts in flight of each customer. It counts attempts sent to workers in maintenance, units and concurrency slots
 granted beyond what one process would have granted, and requests that never end.
-`news=False` does not forward the attempts that the predecessor starts and ends after it handed its state over: a fault
-that the counts must show.
+`forward_updates=False` does not forward the attempts that the predecessor starts and ends after it handed its state
+over: a fault that the counts must show.
 """
 
 from __future__ import annotations
@@ -59,8 +59,8 @@
 class Schedule:
     """A random schedule; `play` runs it."""
 
-    def __init__(self, seed: int, news: bool = True) -> None:
-        self.random, self.news, self.now = Random(seed), news, 0.0
+    def __init__(self, seed: int, forward_updates: bool = True) -> None:
+        self.random, self.forward_updates, self.now = Random(seed), forward_updates, 0.0
         self.seed, self.count = seed, 0
         self.result = ScheduleResult(schedules=1)
         self.in_maintenance: set[str] = set()
@@ -96,9 +96,9 @@
                         self.result.granted_twice += key[1] == 0 and slots_held > CONCURRENCY_PLAN.concurrency_limit
                     elif key[1] == 0:
                         self._grant(int(customer_number, 16))
-                    if process.successor is not None and self.news:
-                        row = state.out_row(*key, process.gateway.in_flight[key])
-                        state.adopt(process.successor.gateway, self.now, row, spends=True)
+                    if process.successor is not None and self.forward_updates:
+                        row = state.attempt_row(*key, process.gateway.in_flight[key])
+                        state.adopt_attempt(process.successor.gateway, self.now, row, spend_units=True)
                 case interface.Refuse(name) | interface.Fail(name):
                     process.unanswered.discard(name)
                 case interface.SetTimer(delay, ref):
@@ -162,7 +162,7 @@
             process.unanswered.discard(key[0])
         outcome = interface.Outcome(*key, worker, status, terminal=status == interface.SUCCESS, took=0.1)
         # The successor learns of an outcome no sooner than the predecessor has acted on it: both happen in one step.
-        if process.successor is not None and self.news:
+        if process.successor is not None and self.forward_updates:
             process.successor.gateway.handle(self.now, outcome)
         self._carry_out(process, process.gateway.handle(self.now, outcome), customer)
 
@@ -201,21 +201,21 @@
         if self.predecessor is not None:
             return
         successor, predecessor = self._process(), self.serving
-        copy = state.Copy(predecessor.gateway, self.now)
-        while rows := copy.more(self.now, 2):
-            state.put_accounts(successor.gateway, self.now, rows)
+        copy = state.AccountCopy(predecessor.gateway, self.now)
+        while rows := copy.next_accounts(self.now, 2):
+            state.restore_accounts(successor.gateway, self.now, rows)
             self.now += self.random.random() * 0.01
             for _ in range(self.random.randrange(3)):
                 self.random.choice(
                     (self.send_request, self.finish_attempt, self.set_maintenance, self.update_worker_list)
                 )()
         if self.random.random() < 0.2:
-            predecessor.gateway.quotas.deficits.rest()
+            predecessor.gateway.quotas.deficits.take_changes()
             return
-        state.put_accounts(successor.gateway, self.now, copy.rest())
+        state.restore_accounts(successor.gateway, self.now, copy.remaining_accounts())
         successor.gateway.handle(self.now, interface.WorkerList(tuple(self.worker_entries.values()), whole=True))
-        in_flight_rows = list(state.outs(predecessor.gateway)) if self.news else []
-        state.put_core(successor.gateway, self.now, state.core(predecessor.gateway), in_flight_rows)
+        in_flight_rows = list(state.in_flight_rows(predecessor.gateway)) if self.forward_updates else []
+        state.restore_core(successor.gateway, self.now, state.core_state(predecessor.gateway), in_flight_rows)
         self.result.upgrades += 1
         predecessor.successor, self.serving, self.predecessor = successor, successor, predecessor
 
@@ -226,7 +226,7 @@
         unfinished = set(self.predecessor.in_flight)
         for key in unfinished:
             self.slot_holders.pop(key, None)  # the predecessor's connections are closed
-        for outcome in state.left_out(self.serving.gateway, unfinished):
+        for outcome in state.cancelled_outcomes(self.serving.gateway, unfinished):
             self.serving.gateway.handle(self.now, outcome)
         self.predecessor = None
 
@@ -268,13 +268,13 @@
         self.tick()
         for process in filter(None, (self.predecessor, self.serving)):
             self.result.lost += len(process.unanswered) + len(process.gateway._pending)
-        self.result.lost += len(self.serving.gateway.in_flight) if self.news else 0
+        self.result.lost += len(self.serving.gateway.in_flight) if self.forward_updates else 0
         return self.result
 
 
-def play(seeds: range, news: bool = True) -> ScheduleResult:
+def play(seeds: range, forward_updates: bool = True) -> ScheduleResult:
     """Run the schedules of these seeds and return their sum."""
     result = ScheduleResult()
     for seed in seeds:
-        result.add(Schedule(seed, news).play())
+        result.add(Schedule(seed, forward_updates).play())
     return result
--- a/rig/worker_selection.py
+++ b/rig/worker_selection.py
@@ -15,7 +15,7 @@
 
 from micagate import Gateway, interface
 from rig.capacity import Capacity
-from rig.fleet import Entrance, Fleet
+from rig.fleet import EntryPoint, Fleet
 from rig.simulation import Clock
 
 CLASSES = (interface.RequestClass("fetch", aim=0.8, deadline=2.0),)
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Field:
+class Scenario:
     """A fleet and the traffic on it."""
 
     workers: int = 1000
@@ -44,7 +44,7 @@
 
     def __init__(self, fleet: Fleet, random: Random, select: SelectWorker) -> None:
         self.fleet, self.random, self.select = fleet, random, select
-        self.names = sorted(fleet.places)
+        self.names = sorted(fleet.workers)
         self.in_flight = dict.fromkeys(self.names, 0)
         self.next_index = 0
         self.credits = dict.fromkeys(self.names, 0.0)
@@ -64,8 +64,8 @@
     """Select the worker that would finish first, by its true queue and speed."""
 
     def done(name: str) -> float:
-        load = gateway.fleet.places[name].load
-        return load.free(now) + MEAN_SERVICE_SECONDS / (load.capacity.speed * load.warmth(now))
+        load = gateway.fleet.workers[name].load
+        return load.next_core_free_at(now) + MEAN_SERVICE_SECONDS / (load.capacity.speed * load.warm_up_factor(now))
 
     return min(gateway.names, key=done)
 
@@ -85,7 +85,7 @@
     while True:
         name = gateway.names[gateway.next_index % len(gateway.names)]
         gateway.next_index += 1
-        gateway.credits[name] += gateway.fleet.places[name].load.capacity.speed / 1.3
+        gateway.credits[name] += gateway.fleet.workers[name].load.capacity.speed / 1.3
         if gateway.credits[name] >= 1.0:
             gateway.credits[name] -= 1.0
             return name
@@ -99,12 +99,14 @@
 }
 
 
-def served(selection: str, scenario: Field, seed: int) -> float:
+def served_ratio(selection: str, scenario: Scenario, seed: int) -> float:
     """Return the share of requests served in time; `selection` is `module` or a key of `BASELINES`."""
     random, clock = Random(seed), Clock()
     slow = round(scenario.workers * scenario.slow)
     capacities = {
-        f"w{n:04}": Capacity(cores=1, queue=8, speed=random.uniform(0.3, 0.5) if n < slow else random.uniform(0.8, 1.3))
+        f"w{n:04}": Capacity(
+            cores=1, queue_limit=8, speed=random.uniform(0.3, 0.5) if n < slow else random.uniform(0.8, 1.3)
+        )
         for n in range(scenario.workers)
     }
     fleet = Fleet(clock, random, capacities, zones="a")
@@ -122,21 +124,21 @@
             handle = Gateway(settings, seed * 1000 + number, 0.0).handle
         else:
             handle = BaselineGateway(fleet, random, BASELINES[selection]).handle
-        Entrance(fleet, handle, settings, f"g{number}")
-    fleet.tell(whole=True)
+        EntryPoint(fleet, handle, settings, f"g{number}")
+    fleet.send_update(whole=True)
     rate = scenario.load * sum(c.speed for c in capacities.values()) / MEAN_SERVICE_SECONDS
     customers = 40 * scenario.gateways
 
     def ask() -> None:
-        random.choice(fleet.entrances).ask("fetch", "free", f"c{random.randrange(customers)}", REQUEST_UNITS)
+        random.choice(fleet.entry_points).submit("fetch", "free", f"c{random.randrange(customers)}", REQUEST_UNITS)
         clock.after(random.expovariate(rate), ask)
 
     ask()
     clock.run(scenario.warm_up)
-    before = [(e.counts.received, e.counts.ends["served"]) for e in fleet.entrances]
+    before = [(e.counts.received, e.counts.results["served"]) for e in fleet.entry_points]
     clock.run(scenario.warm_up + scenario.seconds)
-    asked = sum(e.counts.received - a for e, (a, _) in zip(fleet.entrances, before, strict=True))
-    good = sum(e.counts.ends["served"] - s for e, (_, s) in zip(fleet.entrances, before, strict=True))
+    asked = sum(e.counts.received - a for e, (a, _) in zip(fleet.entry_points, before, strict=True))
+    good = sum(e.counts.results["served"] - s for e, (_, s) in zip(fleet.entry_points, before, strict=True))
     return good / max(1, asked)
 
 
@@ -151,12 +153,12 @@
     parser.add_argument("--seconds", type=float, default=6.0, help="seconds counted (default %(default)s)")
     parser.add_argument("--seeds", type=int, default=1, help="seeds simulated (default %(default)s)")
     options = parser.parse_args()
-    scenario = Field(options.workers, options.gateways, options.load, options.seconds)
-    ideal = [served("sees_all", scenario, seed) for seed in range(options.seeds)]
+    scenario = Scenario(options.workers, options.gateways, options.load, options.seconds)
+    ideal = [served_ratio("sees_all", scenario, seed) for seed in range(options.seeds)]
     print(f"sees_all   {statistics.median(ideal):.3f}")
     for selection in ("module", *BASELINES):
         if selection != "sees_all":
-            ratios = [served(selection, scenario, seed) / best for seed, best in enumerate(ideal)]
+            ratios = [served_ratio(selection, scenario, seed) / best for seed, best in enumerate(ideal)]
             print(f"{selection:10} {statistics.median(ratios):.3f} of that", flush=True)
 
 
--- a/tests/backend/test_outcomes.py
+++ b/tests/backend/test_outcomes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rig.fake_servers import Message, Script, Worker, answer, hang, reset, run, scene, until
+from rig.fake_servers import FakeWorker, Message, Script, answer, hang, reset, run, running_gatekeeper, until
 
 NOT_PROCESSED = "X-Not-Processed: 1\r\n"
 MAY_HAVE_RUN = {
@@ -26,15 +26,15 @@
 def test_a_request_and_its_response_are_forwarded_unchanged():
     async def scenario():
         body, reply = bytes(range(256)) * 256, b"\x00\r\n\r\n\xff" * 9000
-        worker = Worker("w", answer(200, reply, "Content-Type: text/x\r\nX-Allowance-Used: 50\r\n"))
-        async with scene(worker) as (_, _, client):
+        worker = FakeWorker("w", answer(200, reply, "Content-Type: text/x\r\nX-Allowance-Used: 50\r\n"))
+        async with running_gatekeeper(worker) as (_, _, client):
             path = "/write/a%20b?x=1&customer=00000000000000Aa"
-            got = await client.ask(
+            got = await client.fetch(
                 "write", id="abc", body=body, path=path, extra="X-Note: kept\r\nConnection: keep-alive\r\n"
             )
             assert got.status == 200 and got.body == reply and got.headers["content-type"] == "text/x"
             assert "x-allowance-used" not in got.headers
-            (seen,) = worker.seen
+            (seen,) = worker.received
             assert seen.first == f"POST {path} HTTP/1.1"
             assert seen.id == "abc" and seen.body == body and seen.headers["x-note"] == "kept"
             assert 0 < float(seen.headers["x-timeout"]) <= 2.0 and "connection" not in seen.headers
@@ -72,12 +72,12 @@
 @pytest.mark.parametrize("what", MALFORMED)
 def test_a_malformed_response_fails_at_once_and_closes_its_connection_and_its_worker_stays_in_use(what):
     async def scenario():
-        worker = Worker("w", write_raw(MALFORMED[what]))
-        async with scene(worker) as (_, _, client):
-            assert (await client.ask("write", timeout="3.9")).status == 502
-            await until(lambda: worker.closed == 1)
+        worker = FakeWorker("w", write_raw(MALFORMED[what]))
+        async with running_gatekeeper(worker) as (_, _, client):
+            assert (await client.fetch("write", timeout="3.9")).status == 502
+            await until(lambda: worker.connections_closed == 1)
             worker.script = write_raw(COMPLETE)
-            assert (await client.ask("write")).body == b"good" and worker.over == [1, 2]
+            assert (await client.fetch("write")).body == b"good" and worker.connection_numbers == [1, 2]
 
     run(scenario())
 
@@ -85,19 +85,19 @@
 @pytest.mark.parametrize("more", [COMPLETE, b"\xfe\xee noise", OK, b"HTTP/1.1 100 Continue\r\n\r\n"])
 def test_a_response_with_data_after_it_is_forwarded_and_its_connection_is_not_reused(more):
     async def scenario():
-        worker = Worker("w", write_raw(COMPLETE + more))
-        async with scene(worker) as (_, _, client):
+        worker = FakeWorker("w", write_raw(COMPLETE + more))
+        async with running_gatekeeper(worker) as (_, _, client):
             for n in (1, 2):
-                assert (await client.ask("write")).body == b"good"
-                await until(lambda: worker.closed == n)  # noqa: B023
+                assert (await client.fetch("write")).body == b"good"
+                await until(lambda: worker.connections_closed == n)  # noqa: B023
             worker.script = write_raw(
                 b"HTTP/1.1 100 Continue\r\n\r\n" * 3
                 + OK
                 + b"X-Allowance-Used: 1_0\r\n"
                 + b"X-Server-Load: {odd\r\nContent-Length: 4\r\n\r\nfine"
             )
-            assert (await client.ask("write")).body == b"fine" and (await client.ask("write")).body == b"fine"
-            assert worker.over == [1, 2, 3, 3]
+            assert (await client.fetch("write")).body == b"fine" and (await client.fetch("write")).body == b"fine"
+            assert worker.connection_numbers == [1, 2, 3, 3]
 
     run(scenario())
 
@@ -115,14 +115,14 @@
 @pytest.mark.parametrize("what", MAY_HAVE_RUN)
 def test_an_attempt_that_may_have_run_fails_an_unsafe_request_and_is_retried_for_a_safe_one(what):
     async def scenario():
-        workers = [Worker("v"), Worker("w")]
-        async with scene(*workers) as (_, _, client):
+        workers = [FakeWorker("v"), FakeWorker("w")]
+        async with running_gatekeeper(*workers) as (_, _, client):
             for klass, status, attempts in (("write", 502, 1), ("read", 200, 2)):
                 script = first_request(MAY_HAVE_RUN[what])
                 for worker in workers:
-                    worker.script, worker.seen = script, []
-                assert (await client.ask(klass)).status == status
-                seen = [message.id for worker in workers for message in worker.seen]
+                    worker.script, worker.received = script, []
+                assert (await client.fetch(klass)).status == status
+                seen = [message.id for worker in workers for message in worker.received]
                 assert len(seen) == attempts and len(set(seen)) == 1
 
     run(scenario())
@@ -131,16 +131,16 @@
 @pytest.mark.parametrize("status", [503, 504])
 def test_an_attempt_that_was_not_processed_is_retried_at_another_worker_and_refused_if_none_accepts_it(status):
     async def scenario():
-        workers = [Worker("v"), Worker("w")]
-        async with scene(*workers) as (_, _, client):
+        workers = [FakeWorker("v"), FakeWorker("w")]
+        async with running_gatekeeper(*workers) as (_, _, client):
             script = first_request(answer(status, headers=NOT_PROCESSED))
             for worker in workers:
                 worker.script = script
-            assert (await client.ask("write")).status == 200
-            assert [len(worker.seen) for worker in workers] == [1, 1]
+            assert (await client.fetch("write")).status == 200
+            assert [len(worker.received) for worker in workers] == [1, 1]
             for worker in workers:
                 worker.script = answer(status, headers=NOT_PROCESSED)
-            got = await client.ask("write")
+            got = await client.fetch("write")
             assert got.status == 503 and float(got.headers["retry-after"]) > 0
 
     run(scenario())
@@ -148,12 +148,13 @@
 
 def test_a_request_whose_connection_was_refused_has_not_run():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (_, _, client):
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (_, _, client):
             worker.stop()
-            assert (await client.ask("write")).status == 503  # refused rather than failed: the request cannot have run
+            # Refused rather than failed: the request cannot have run.
+            assert (await client.fetch("write")).status == 503
             await worker.start()  # at the same port
-            while (await client.ask("write")).status != 200:
+            while (await client.fetch("write")).status != 200:
                 pass
 
     run(scenario())
@@ -167,10 +168,10 @@
             fill.append(socket.socket())
             fill[-1].setblocking(False)
             fill[-1].connect_ex(listener.getsockname())
-        async with scene() as (_, discovery, client):
+        async with running_gatekeeper() as (_, discovery, client):
             discovery.change({"name": "v", "address": f"127.0.0.1:{listener.getsockname()[1]}", "status": "up"})
-            await discovery.watched()
-            assert (await client.ask("write", timeout="4.0")).status == 503
+            await discovery.wait_until_watched()
+            assert (await client.fetch("write", timeout="4.0")).status == 503
         for sock in (*fill, listener):
             sock.close()
 
@@ -179,36 +180,36 @@
 
 def test_an_attempt_without_a_response_ends_at_the_clients_deadline_and_closes_the_workers_connection():
     async def scenario():
-        worker = Worker("w", hang)
-        async with scene(worker) as (_, _, client):
-            assert (await client.ask("write", timeout="0.3")).status in (502, 504)
-            await until(lambda: worker.closed)
+        worker = FakeWorker("w", hang)
+        async with running_gatekeeper(worker) as (_, _, client):
+            assert (await client.fetch("write", timeout="0.3")).status in (502, 504)
+            await until(lambda: worker.connections_closed)
             worker.script = answer()
-            assert (await client.ask("write")).body == b"done"  # exactly one reply to each request
-            assert len(worker.seen) == 2
+            assert (await client.fetch("write")).body == b"done"  # exactly one reply to each request
+            assert len(worker.received) == 2
 
     run(scenario())
 
 
 def test_a_response_framed_by_the_close_of_the_connection_is_complete_only_if_it_announces_the_close():
     async def scenario():
-        worker = Worker("w", answer(raw=b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it"))
-        async with scene(worker) as (_, _, client):
-            got = await client.ask("write")
+        worker = FakeWorker("w", answer(raw=b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it"))
+        async with running_gatekeeper(worker) as (_, _, client):
+            got = await client.fetch("write")
             assert got.status == 200 and got.body == b"all of it"
             worker.script = answer(raw=b"HTTP/1.1 200 OK\r\n\r\nall of")
-            assert (await client.ask("write")).status == 502
+            assert (await client.fetch("write")).status == 502
 
     run(scenario())
 
 
 def test_an_interim_response_is_skipped():
     async def scenario():
-        worker = Worker(
+        worker = FakeWorker(
             "w", answer(raw=b"HTTP/1.1 100 Continue\r\n\r\n" b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         )
-        async with scene(worker) as (_, _, client):
-            got = await client.ask("write")
+        async with running_gatekeeper(worker) as (_, _, client):
+            got = await client.fetch("write")
             assert got.status == 200 and got.body == b"ok"
 
     run(scenario())
--- a/tests/counting/test_client.py
+++ b/tests/counting/test_client.py
@@ -5,13 +5,13 @@
 import pytest
 
 from micagate import interface
-from oliveloft.counter.client import Counter as Client
-from rig.counting import Counter, Service
+from oliveloft.counter.client import CounterClient as Client
+from rig.counting import CounterServer, CounterService
 
 TIMEOUT_SECONDS = 0.5
 
 
-async def connected_client(counter: Counter, timeout_seconds: float = TIMEOUT_SECONDS) -> Client:
+async def connected_client(counter: CounterServer, timeout_seconds: float = TIMEOUT_SECONDS) -> Client:
     client = Client(asyncio.get_running_loop(), ("127.0.0.1", counter.port), timeout_seconds, 1)
     while (await call(client)).status == interface.UNREACHABLE:
         await asyncio.sleep(0.01)
@@ -20,13 +20,13 @@
 
 async def call(client: Client, name: int = 7, amount: float = 0.0) -> interface.CounterResult:
     results: asyncio.Queue[interface.CounterResult] = asyncio.Queue()
-    client.call(interface.CounterAdd(name, amount, 30.0), results.put_nowait)
+    client.add(interface.CounterAdd(name, amount, 30.0), results.put_nowait)
     return await asyncio.wait_for(results.get(), 10.0)
 
 
 def run_scenario(scenario) -> None:
     async def with_counter() -> None:
-        counter = await Counter(Service()).start()
+        counter = await CounterServer(CounterService()).start()
         try:
             client = await connected_client(counter)
             await scenario(counter, client)
@@ -52,7 +52,7 @@
         counter.service.busy = True
         assert (await call(client)).status == interface.OVERLOADED
         counter.service.busy = False
-        counter.service.dead = {0}
+        counter.service.unresponsive_shards = {0}
         result = await call(client)
         assert result.status == interface.TIMED_OUT and result.took >= TIMEOUT_SECONDS
 
@@ -61,7 +61,8 @@
 
 def test_a_late_reply_is_not_matched_to_the_next_call():
     async def scenario(counter, client):
-        counter.service.rate, counter.service.queue, client._timeout_seconds = 2.0, 5.0, 0.05  # 0.5 s per call
+        # 0.5 s per call.
+        counter.service.rate, counter.service.max_wait_seconds, client._timeout_seconds = (2.0, 5.0, 0.05)
         assert (await call(client, 3, 1.0)).status == interface.TIMED_OUT
         client._timeout_seconds = 5.0
         assert (await call(client, 4, 5.0)).total == 5.0
@@ -74,7 +75,7 @@
 )
 def test_a_malformed_reply_closes_the_connection_and_the_next_call_opens_another(malformed):
     async def scenario(counter, client):
-        counter.spoil = malformed
+        counter.malformed_reply = malformed
         assert (await call(client, 3, 1.0)).status == interface.TIMED_OUT  # it may have been added
         while (result := await call(client, 3, 1.0)).status == interface.UNREACHABLE:
             await asyncio.sleep(0.01)
@@ -89,7 +90,7 @@
         counter.stop()
         while (await call(client, 3, 1.0)).status != interface.UNREACHABLE:
             await asyncio.sleep(0.01)
-        other = await Counter().start()
+        other = await CounterServer().start()
         client.change_address(("127.0.0.1", other.port))
         while (result := await call(client, 3, 1.0)).status != interface.SUCCESS:
             await asyncio.sleep(0.01)
@@ -126,7 +127,7 @@
     """If it is used, each call is written to a closed connection and fails for as long as the process runs."""
 
     async def scenario():
-        counter = await Counter(Service()).start()
+        counter = await CounterServer(CounterService()).start()
         loop = RacingLoop(asyncio.get_running_loop())
         client = Client(loop, ("127.0.0.1", counter.port), TIMEOUT_SECONDS, 1)
         statuses = []
--- a/tests/counting/test_stores.py
+++ b/tests/counting/test_stores.py
@@ -6,31 +6,31 @@
 
 from micagate import interface
 from micagate.accounts import Account
-from micagate.counting.counting import Counting
+from micagate.counting.counting import QuotaCounter
 from micagate.counting.stores import COUNTER_TTL_SECONDS, EPOCH_SECONDS, epoch_at, evaluate_total
 from rig import schedules
-from rig.counting import Service
-from rig.schedules import ceiling
+from rig.counting import CounterService
+from rig.schedules import simulate_ceiling_overspend
 
 PLAN = interface.Plan("team", rate=1.0, burst=4.0, excess_cost=1.0)
 SETTINGS = interface.Settings((interface.RequestClass("read", aim=0.4, deadline=1.0),), (PLAN,), counter_timeout=0.03)
 
 
-def make_counting(settings: interface.Settings) -> Counting:
-    return Counting(settings, 0.0, 0.0, Random(1))
+def make_counting(settings: interface.Settings) -> QuotaCounter:
+    return QuotaCounter(settings, 0.0, 0.0, Random(1))
 
 
 class Shared:
     """Some gateways and the counter that they share; calls stay unanswered until `answer_all`."""
 
     def __init__(self, gateways: int = 2, plan: interface.Plan = PLAN) -> None:
-        self.service = Service()
+        self.service = CounterService()
         self.clients = [make_counting(SETTINGS) for _ in range(gateways)]
         self.accounts = [Account(plan, "c/team/x", 30, 0.0, 0.0) for _ in range(gateways)]
         self.unanswered: list[tuple[int, interface.CounterAdd]] = []
 
     def ask(self, number: int, now: float, units: float = 1.0) -> None:
-        self.clients[number].ask(now, self.accounts[number], units, "r")
+        self.clients[number].count(now, self.accounts[number], units, "r")
         self.unanswered += [(number, call) for call in self.clients[number].actions]
         self.clients[number].actions.clear()
 
@@ -40,11 +40,13 @@
         while self.unanswered:
             number, call = self.unanswered.pop(0)
             total = self.service.add(now, str(call.name), call.amount, call.ttl)
-            verdict = self.clients[number].answered(now, interface.CounterResult(call.name, interface.SUCCESS, total))
+            verdict = self.clients[number].record_result(
+                now, interface.CounterResult(call.name, interface.SUCCESS, total)
+            )
             self.unanswered += [(number, more) for more in self.clients[number].actions]
             self.clients[number].actions.clear()
             if verdict is not None:
-                verdicts.append(verdict.inside)
+                verdicts.append(verdict.within_quota)
         return verdicts
 
     def send(self, number: int, now: float, units: float = 1.0) -> bool:
@@ -87,15 +89,18 @@
     shared.ask(0, 1.0)
     (_, first), (_, second) = shared.unanswered
     assert first.name == second.name
-    assert shared.clients[0].answered(1.0, interface.CounterResult(first.name, interface.TIMED_OUT)).inside is None
+    assert (
+        shared.clients[0].record_result(1.0, interface.CounterResult(first.name, interface.TIMED_OUT)).within_quota
+        is None
+    )
     assert (
         shared.clients[0]
-        .answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, second.amount * 2))
-        .inside
+        .record_result(1.0, interface.CounterResult(second.name, interface.SUCCESS, second.amount * 2))
+        .within_quota
         is True
     )
     assert (
-        shared.clients[0].answered(1.0, interface.CounterResult(second.name, interface.SUCCESS, 1.0)) is None
+        shared.clients[0].record_result(1.0, interface.CounterResult(second.name, interface.SUCCESS, 1.0)) is None
     )  # belongs to no call
 
 
@@ -119,10 +124,10 @@
 def test_counts_only_thin_shares_and_nothing_without_a_counter():
     thin, large = (Account(PLAN, "c/team/x", spread, 0.0, 0.0) for spread in (30, 2))
     counter = make_counting(SETTINGS)
-    counter.budget.most = 1.0
-    assert counter.counts(0.0, thin) and not counter.counts(0.0, large)
+    counter.budget.max_level = 1.0
+    assert counter.should_count(0.0, thin) and not counter.should_count(0.0, large)
     without = interface.Settings(SETTINGS.classes, SETTINGS.plans)
-    assert not make_counting(without).counts(0.0, thin)
+    assert not make_counting(without).should_count(0.0, thin)
 
 
 PLAN_WITH_CONCURRENCY_LIMIT = interface.Plan("team", rate=1.0, burst=50.0, concurrency_limit=2.0, excess_cost=1.0)
@@ -134,7 +139,7 @@
     call = shared.clients[0]._in_flight[shared.unanswered[0][1].name][0]
     assert shared.answer_all(1.0) == [True]
     assert [shared.send(n, 1.0) for n in (1, 2, 0)] == [True, False, False]
-    shared.clients[0].leave(call)
+    shared.clients[0].release_slot(call)
     shared.unanswered += [(0, more) for more in shared.clients[0].actions]
     shared.clients[0].actions.clear()
     shared.answer_all(1.1)
@@ -160,9 +165,9 @@
         shared.ask(n, 1.0)
         calls.append(shared.clients[n]._in_flight[shared.unanswered[0][1].name][0])
         assert shared.answer_all(1.0) == [True]
-    shared.service.forget()
+    shared.service.drop_keys()
     for n, call in enumerate(calls):
-        shared.clients[n].leave(call)
+        shared.clients[n].release_slot(call)
         shared.unanswered += [(n, more) for more in shared.clients[n].actions]
         shared.clients[n].actions.clear()
     shared.answer_all(1.1)
@@ -174,10 +179,10 @@
         shared = Shared(1)
         shared.ask(0, 1.0)
         (_, call), one = shared.unanswered.pop(), shared.clients[0]
-        verdict = one.answered(1.03, interface.CounterResult(call.name, interface.TIMED_OUT, 0.0, 0.03))
-        assert verdict.inside is None
+        verdict = one.record_result(1.03, interface.CounterResult(call.name, interface.TIMED_OUT, 0.0, 0.03))
+        assert verdict.within_quota is None
         verdict.call.sent = sent
-        assert one.answered(1.2, interface.CounterResult(call.name, interface.LATE_RESPONSE, 1.0, 0.2)) is None
+        assert one.record_result(1.2, interface.CounterResult(call.name, interface.LATE_RESPONSE, 1.0, 0.2)) is None
         assert [more.amount for more in one.actions] == [-call.amount] * back
 
 
@@ -198,8 +203,11 @@
 
 @pytest.mark.parametrize("gateways", [4, 7, 30])
 def test_keeps_ceilings_despite_counter_resets_and_timeouts(gateways):
-    assert max(ceiling(seed, gateways) for seed in range(60)) <= schedules.HELD.ceiling_slack
+    assert max(simulate_ceiling_overspend(seed, gateways) for seed in range(60)) <= schedules.CEILING_PLAN.ceiling_slack
 
 
 def test_exceeds_the_ceiling_if_requests_are_sent_before_they_are_counted():
-    assert min(ceiling(seed, 7, before=False) for seed in range(5)) > schedules.HELD.ceiling_slack
+    assert (
+        min(simulate_ceiling_overspend(seed, 7, count_before_sending=False) for seed in range(5))
+        > schedules.CEILING_PLAN.ceiling_slack
+    )
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -96,10 +96,10 @@
 
 def test_concurrency_limits_hold_while_the_account_table_is_full():
     driver = Driver(max_accounts=10)
-    assert sends(driver.ask(plan="few", customer="c")[1])  # 4 over 3 gateways: one in flight here
+    assert sends(driver.send_request(plan="few", customer="c")[1])  # 4 over 3 gateways: one in flight here
     for n in range(100):
-        driver.ask(plan="metered", customer=f"once-{n}")
-    assert not sends(driver.ask(plan="few", customer="c")[1])
+        driver.send_request(plan="metered", customer=f"once-{n}")
+    assert not sends(driver.send_request(plan="few", customer="c")[1])
 
 
 def test_a_call_refills_only_a_few_accounts(monkeypatch):
--- a/tests/decisions/test_hard_cases.py
+++ b/tests/decisions/test_hard_cases.py
@@ -6,7 +6,7 @@
 from micagate import Gateway, interface
 from rig.capacity import Capacity
 from rig.driver import Driver, sends
-from rig.fleet import Entrance, Fleet
+from rig.fleet import EntryPoint, Fleet
 from rig.simulation import Clock
 
 WORKERS = [f"w{n}" for n in range(8)]
@@ -21,7 +21,7 @@
     def __init__(self, load=0.5, seed=1):
         self.random, self.clock = Random(seed), Clock()
         self.fleet = Fleet(
-            self.clock, Random(seed + 1), dict.fromkeys(WORKERS, Capacity(cores=2, queue=24)), zones="ab"
+            self.clock, Random(seed + 1), dict.fromkeys(WORKERS, Capacity(cores=2, queue_limit=24)), zones="ab"
         )
         settings = interface.Settings(
             (interface.RequestClass("read", aim=0.4, deadline=1.0),),
@@ -32,26 +32,26 @@
             can_cancel=True,
         )
         for n in range(2):
-            Entrance(self.fleet, Gateway(settings, seed * 10 + n, 0.0).handle, settings, f"g{n}")
+            EntryPoint(self.fleet, Gateway(settings, seed * 10 + n, 0.0).handle, settings, f"g{n}")
         self.rate = load * len(WORKERS) * 2 / 0.02
         self.sent_counts = Counter()
-        self.fleet.arrived = lambda now, name, work, done: self.sent_counts.update((name,))
-        self.fleet.tell(whole=True)
+        self.fleet.on_arrival = lambda now, name, work, done: self.sent_counts.update((name,))
+        self.fleet.send_update(whole=True)
         self.clock.after(0.0, self._send_request)
 
     def _send_request(self):
-        self.random.choice(self.fleet.entrances).ask("read", "free", "c", spread=2)
+        self.random.choice(self.fleet.entry_points).submit("read", "free", "c", spread=2)
         self.clock.after(self.random.expovariate(self.rate), self._send_request)
 
     def set_speed(self, speed):
-        for place in self.fleet.places.values():
-            place.load.capacity = Capacity(cores=2, queue=24, speed=speed)
+        for place in self.fleet.workers.values():
+            place.load.capacity = Capacity(cores=2, queue_limit=24, speed=speed)
 
     def run_for(self, seconds):
         """Run for so long; return the share of ended requests served in time, and the attempts sent to each worker."""
-        before, sent = self.fleet.ends, Counter(self.sent_counts)
+        before, sent = self.fleet.results, Counter(self.sent_counts)
         self.clock.run(self.clock.now + seconds)
-        ended = self.fleet.ends
+        ended = self.fleet.results
         ended.subtract(before)
         return ended["served"] / ended.total(), {name: self.sent_counts[name] - sent[name] for name in WORKERS}
 
@@ -82,15 +82,15 @@
 def test_an_unreachable_zone_is_avoided_quickly_and_used_again_after_recovery():
     simulation = SimulatedFleet(load=0.35)
     simulation.run_for(4.0)
-    unreachable = [name for name, place in simulation.fleet.places.items() if place.zone == "b"]
+    unreachable = [name for name, place in simulation.fleet.workers.items() if place.zone == "b"]
     for name in unreachable:
-        simulation.fleet.places[name].hung = True  # no response and no error
+        simulation.fleet.workers[name].unresponsive = True  # no response and no error
     simulation.run_for(2.0)
     served_share, sent_counts = simulation.run_for(6.0)
     assert served_share > 0.9, served_share
     assert sum(sent_counts[name] for name in unreachable) < 0.1 * sum(sent_counts.values()), sent_counts
     for name in unreachable:
-        simulation.fleet.places[name].hung = False
+        simulation.fleet.workers[name].unresponsive = False
     simulation.run_for(8.0)
     served_share, sent_counts = simulation.run_for(4.0)
     assert served_share > 0.99 and all(sent_counts[name] > 0 for name in unreachable), sent_counts
@@ -127,7 +127,7 @@
             whole=True,
         )
     )
-    name, actions = driver.ask("keyed")
+    name, actions = driver.send_request("keyed")
     (worker,) = sends(actions)
     other_worker = {"p0": "p1", "p1": "p0", "q0": "q1", "q1": "q0"}[worker]
     driver.give(
@@ -149,7 +149,7 @@
 def test_a_hung_worker_that_looks_idle_gets_hardly_any_requests():
     simulation = SimulatedFleet(load=0.5)
     simulation.run_for(3.0)
-    simulation.fleet.places["w3"].hung = True  # it never responds and refuses nothing
+    simulation.fleet.workers["w3"].unresponsive = True  # it never responds and refuses nothing
     simulation.run_for(1.0)
     served_share, sent_counts = simulation.run_for(6.0)
     assert sent_counts["w3"] < 0.05 * sum(sent_counts.values()) and served_share > 0.97, (served_share, sent_counts)
--- a/tests/decisions/test_large_fleets.py
+++ b/tests/decisions/test_large_fleets.py
@@ -7,7 +7,7 @@
 from micagate import Gateway, interface
 from micagate.fleet import MAX_SAMPLES, SAMPLE_SIZE, Fleet
 from micagate.shares import Shares
-from rig.worker_selection import Field, served
+from rig.worker_selection import Scenario, served_ratio
 
 READ = interface.RequestClass("read", aim=0.4, deadline=1.0)
 ONCE = interface.RequestClass("once", aim=0.4, deadline=1.0, effect=interface.SIDE_EFFECT)
@@ -118,9 +118,14 @@
         overloaded_count += fleet.is_overloaded(now, 1.0)
         fleet.record_sent(now, worker, (f"r{n}", 0), READ)
         if n % 5 == 0:
-            key = next(iter(fleet._waiting))
+            key = next(iter(fleet._awaiting_response))
             fleet.record_outcome(
-                now, fleet._waiting[key][2].entry.worker, key, READ, interface.SUCCESS, now - fleet._waiting[key][0]
+                now,
+                fleet._awaiting_response[key][2].entry.worker,
+                key,
+                READ,
+                interface.SUCCESS,
+                now - fleet._awaiting_response[key][0],
             )
     assert overloaded_count > 4000
 
@@ -165,7 +170,7 @@
 
 
 def test_sampled_choice_serves_nearly_as_much_as_one_that_knows_all_queues():
-    field = Field(workers=200, load=0.7, seconds=4.0, warm_up=8.0)
-    ideal, sampled, by_chance = (served(how, field, 3) for how in ("sees_all", "module", "by_chance"))
+    field = Scenario(workers=200, load=0.7, seconds=4.0, warm_up=8.0)
+    ideal, sampled, by_chance = (served_ratio(how, field, 3) for how in ("sees_all", "module", "by_chance"))
     assert ideal > 0.98
     assert sampled > 0.97 * ideal > 1.1 * by_chance
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -68,7 +68,7 @@
 
 def test_timers_are_removed_with_their_request_or_attempt():
     driver = Driver(hedging=False)
-    name, actions = driver.ask("read")
+    name, actions = driver.send_request("read")
     assert len(driver.gateway._timers) == 3  # aim, hedge, deadline
     (worker,) = sends(actions)
     assert (
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -91,7 +91,7 @@
         if what == "ask":
             klass = list(CLASSES)[n % 3]
             plan = ["free", "metered", "capped", "few"][n // 3 % 4]
-            name, left, units = f"r{self.made + 1}", 1.0 + n % 4, 1.0 + n // 12 % 3
+            name, left, units = f"r{self.request_count + 1}", 1.0 + n % 4, 1.0 + n // 12 % 3
             self.open[name] = {
                 "effect": CLASSES[klass],
                 "attempts": [],
@@ -99,7 +99,7 @@
                 "plan": plan,
                 "units": units,
             }
-            self.ask(klass, plan, f"{plan}-one", units, time_left=left)
+            self.send_request(klass, plan, f"{plan}-one", units, time_left=left)
         elif what == "answer" and self.out:
             key = list(self.out)[n % len(self.out)]
             attempt = self.out.pop(key)
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from micagate import interface
-from micagate.estimates.metering import STALE, Meter
+from micagate.estimates.metering import MAX_READING_AGE_SECONDS, Meter
 from micagate.quotas import IDLE_TIMEOUT_SECONDS, TARGET_USE_WHEN_EMPTY, Quotas
 from micagate.share_transfers import apply_share_update
-from rig.customers import Day, play, total
+from rig.customers import Scenario, play, total
 from rig.driver import Driver, sends
 
 PLAN = interface.Plan("metered", rate=3.0, burst=12.0)
@@ -74,24 +74,24 @@
 def test_requests_beyond_the_quota_are_served_only_if_that_pays():
     driver = Driver()
     driver.now = 60.0
-    inside = sum(bool(sends(driver.ask(plan="metered")[1])) for _ in range(20))
+    inside = sum(bool(sends(driver.send_request(plan="metered")[1])) for _ in range(20))
     assert inside == 4  # a third of the burst
-    capped = sum(bool(sends(driver.ask(plan="capped", customer="k")[1])) for _ in range(20))
+    capped = sum(bool(sends(driver.send_request(plan="capped", customer="k")[1])) for _ in range(20))
     assert capped == 4  # 2 within the quota, then down to half of its share of the ceiling
 
 
 def test_the_concurrency_limit_is_divided_and_outcomes_release_slots():
     driver = Driver()
-    name, actions = driver.ask(plan="few")
+    name, actions = driver.send_request(plan="few")
     (worker,) = sends(actions)
-    assert sends(driver.ask(plan="few")[1]) == []
+    assert sends(driver.send_request(plan="few")[1]) == []
     driver.answer(name, worker)
-    assert len(sends(driver.ask(plan="few")[1])) == 1
+    assert len(sends(driver.send_request(plan="few")[1])) == 1
 
 
 def test_final_units_correct_the_balance():
     driver = Driver()
-    name, actions = driver.ask(plan="metered", units=1.0)
+    name, actions = driver.send_request(plan="metered", units=1.0)
     account = driver.gateway.in_flight[name, 0].account
     driver.answer(name, sends(actions)[0], final_units=3.5)
     assert abs(account.balance - (4.0 - 3.5)) < 1e-9
@@ -99,15 +99,15 @@
 
 def test_a_request_larger_than_the_local_capacity_is_admitted():
     driver = Driver()
-    assert len(sends(driver.ask(plan="metered", units=6.0)[1])) == 1
+    assert len(sends(driver.send_request(plan="metered", units=6.0)[1])) == 1
 
 
 def test_a_client_retry_after_the_latency_objective_is_refused():
     driver = Driver()
-    assert sends(driver.ask(time_left=3.0)[1])  # these clients wait 3 s for each of their requests, 4 s in all
+    assert sends(driver.send_request(time_left=3.0)[1])  # these clients wait 3 s for each of their requests, 4 s in all
     for left, client_retry, admitted in ((3.0, True, True), (2.5, True, False), (2.5, False, True)):
-        driver.made += 1
-        event = interface.Request(f"r{driver.made}", "read", "free", "c", left, client_retry=client_retry)
+        driver.request_count += 1
+        event = interface.Request(f"r{driver.request_count}", "read", "free", "c", left, client_retry=client_retry)
         assert bool(sends(driver.give(event))) is admitted
 
 
@@ -129,16 +129,22 @@
     # well must not be taken for one that the deadline has cut short.
     driver = Driver()
     for left in (2.0, 3.9, 0.5):
-        driver.made += 1
-        driver.give(interface.Request(f"r{driver.made}", "read", "free", "c", left, client_retry=left == 3.9))
+        driver.request_count += 1
+        driver.give(interface.Request(f"r{driver.request_count}", "read", "free", "c", left, client_retry=left == 3.9))
     for left, admitted in ((2.0, True), (0.5, True), (3.9, True), (2.8, False), (1.0, False)):
-        driver.made += 1
+        driver.request_count += 1
         assert (
-            bool(sends(driver.give(interface.Request(f"r{driver.made}", "read", "free", "c", left, client_retry=True))))
+            bool(
+                sends(
+                    driver.give(
+                        interface.Request(f"r{driver.request_count}", "read", "free", "c", left, client_retry=True)
+                    )
+                )
+            )
             is admitted
         )
     for _ in range(100):
-        driver.ask(time_left=3.0)
+        driver.send_request(time_left=3.0)
     assert len(driver.gateway.waits._waits["read"]) == 32  # waits that no longer occur are forgotten
     assert not sends(driver.give(interface.Request("last", "read", "free", "c", 0.5, client_retry=True)))
 
@@ -159,7 +165,7 @@
     for level in (0.0, (1.0 - TARGET_USE_WHEN_EMPTY) * PLAN.burst, PLAN.burst):
         for _ in range(1, 60):
             used = (account.local_rate + 1.0) / PLAN.rate  # the other gateways send one unit a second
-            account.quota_estimate.level, account.quota_estimate.at = level, account.updated_at + 1.0
+            account.quota_estimate.level, account.quota_estimate.updated_at = level, account.updated_at + 1.0
             account = account_with_demand(quotas, account.updated_at + 1.0, 3.0, used=used)
         target_use = TARGET_USE_WHEN_EMPTY + level / PLAN.burst  # below the quota when empty, above it when full
         assert abs(account.local_rate - max(account.equal_rate, min(PLAN.rate, target_use * PLAN.rate - 1.0))) < 0.1
@@ -179,7 +185,7 @@
 
     def __init__(self):
         super().__init__(1.0)
-        self.late, self._phase = 0.5, 0.5
+        self.lateness, self._phase = 0.5, 0.5
 
 
 def account_with_readings(spread: int = 3, plan: interface.Plan = PLAN, used: float = 0.1, seconds: int = 20):
@@ -232,7 +238,7 @@
 
 def test_stale_readings_are_ignored():
     quotas, account = account_with_readings(used=3.0)
-    account = quotas.account(19.0 + STALE + 2.0, "c", PLAN, 3)
+    account = quotas.account(19.0 + MAX_READING_AGE_SECONDS + 2.0, "c", PLAN, 3)
     assert spend_quota(quotas, account) == 4
 
 
@@ -273,11 +279,11 @@
     driver = Driver()
     driver.now = 60.0
     for _ in range(4):
-        driver.ask(plan="metered")
+        driver.send_request(plan="metered")
     account = driver.gateway.quotas.accounts.get("c/metered/c")
     assert account.demand == 4.0
     for _ in range(8):
-        driver.ask(plan="metered", repeat=True)
+        driver.send_request(plan="metered", repeat=True)
     assert account.demand == 4.0
 
 
@@ -293,14 +299,15 @@
     # Replays bursts through one of few gateways and clients that retry at once at the same gateway, as in a recorded
     # trace. Without the estimated level of the whole bucket 0.915 of the requests of "full" customers and 0.956 of all
     # were served, and 0.037 went beyond the quota.
-    days = [play(Day(), seed) for seed in range(4)]
+    days = [play(Scenario(), seed) for seed in range(4)]
     assert total(days, "calm")["served"] > 0.985
     assert total(days, "full")["served"] > 0.93
     assert total(days)["over"] < 0.06
 
 
 def test_lost_responses_do_not_shut_out_customers_within_their_quota():
-    days = [play(Day(lost=0.03), seed) for seed in range(4)]  # 0.951 and 0.876 with a fixed slot for each share
+    # 0.951 and 0.876 with a fixed slot for each share.
+    days = [play(Scenario(response_loss=0.03), seed) for seed in range(4)]
     assert total(days, "calm")["served"] > 0.96
     assert total(days, "full")["served"] > 0.89
 
--- a/tests/decisions/test_recorded.py
+++ b/tests/decisions/test_recorded.py
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.name)
 def test_replayed_events_lead_to_the_recorded_actions(path):
-    settings, seed, now, steps = trace.read(traces.lines(str(path)))
+    settings, seed, now, steps = trace.read(traces.read_lines(str(path)))
     gateway = Gateway(settings, seed, now)
     count = 0
     for step in steps:
@@ -40,7 +40,7 @@
 def test_traces_cover_every_event_and_action_of_plain_requests():
     seen = set()
     for path in TRACES:
-        for step in trace.read(traces.lines(str(path)))[3]:
+        for step in trace.read(traces.read_lines(str(path)))[3]:
             seen |= {type(step.event), *map(type, step.actions)}
     assert seen >= {
         interface.Request,
@@ -56,7 +56,7 @@
 
 
 def test_changed_decision_is_detected():
-    settings, seed, now, steps = trace.read(traces.lines(str(TRACES[0])))
+    settings, seed, now, steps = trace.read(traces.read_lines(str(TRACES[0])))
     gateway = Gateway(settings, seed + 1, now)
     assert any(gateway.handle(step.now, step.event) != step.actions for step in steps)
 
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -154,22 +154,22 @@
 def test_a_concurrency_limit_follows_the_share():
     driver = Driver()
     for _ in range(1):
-        assert sends(driver.ask(plan="few")[1])
-    assert not sends(driver.ask(plan="few")[1])  # 4 over 3 gateways: one
+        assert sends(driver.send_request(plan="few")[1])
+    assert not sends(driver.send_request(plan="few")[1])  # 4 over 3 gateways: one
     driver.give(interface.ShareUpdate(1, 100.0, 100.0, (interface.ResourceShare(customer_key("few", "c"), 0.0, 0.5),)))
-    assert sends(driver.ask(plan="few")[1]) and sends(driver.ask(plan="few")[1])
+    assert sends(driver.send_request(plan="few")[1]) and sends(driver.send_request(plan="few")[1])
 
 
 def test_lent_capacity_of_a_worker_in_slow_start_is_not_used_and_borrowed_capacity_is():
     def sent_count(share):
         driver = Driver(1, gateways=20, slow_start_duration=30.0)
         for _ in range(40):  # warm, so that the rate of responses becomes known
-            name, actions = driver.ask("read", after=0.02)
+            name, actions = driver.send_request("read", after=0.02)
             for worker in sends(actions):
                 driver.answer(name, worker, took=0.02)
         driver.give(interface.WorkerList((interface.WorkerEntry("w0", zone="a", started=driver.now),)))
         driver.give(interface.ShareUpdate(1, 1e9, 1e9, (share,) if share else ()))
-        return sum(len(sends(driver.ask("read", after=0.02)[1])) for _ in range(25))
+        return sum(len(sends(driver.send_request("read", after=0.02)[1])) for _ in range(25))
 
     assert sent_count(interface.ResourceShare(worker_key("w0"), lent=0.05)) == 0
     assert sent_count(interface.ResourceShare(worker_key("w0"), borrowed=0.3)) >= sent_count(None)
@@ -177,12 +177,12 @@
 
 def test_a_demand_report_covers_the_time_since_the_last_query_and_the_first_starts_counting():
     driver = Driver()
-    driver.ask(plan="metered", customer="a", units=2.0)
+    driver.send_request(plan="metered", customer="a", units=2.0)
     assert driver.give(interface.DemandQuery()) == [interface.DemandReport(())]
-    driver.ask(plan="metered", customer="a", units=2.0)
-    driver.ask(plan="metered", customer="a", units=1.0)
-    driver.ask(plan="free", customer="b")  # an unlimited plan has nothing to share
-    driver.ask(plan="few", customer="a")
+    driver.send_request(plan="metered", customer="a", units=2.0)
+    driver.send_request(plan="metered", customer="a", units=1.0)
+    driver.send_request(plan="free", customer="b")  # an unlimited plan has nothing to share
+    driver.send_request(plan="few", customer="a")
     (report,) = driver.give(interface.DemandQuery())
     demand_by_key = {resource.key: resource for resource in report.resources}
     assert set(demand_by_key) == {customer_key("metered", "a"), customer_key("few", "a")}
@@ -199,7 +199,7 @@
     for n in range(200):
         queried.give(interface.DemandQuery())
         for driver in (unqueried, queried):
-            name, actions = driver.ask("read", plan="capped", customer=f"c{n % 5}", after=0.02)
+            name, actions = driver.send_request("read", plan="capped", customer=f"c{n % 5}", after=0.02)
             for worker in sends(actions):
                 driver.answer(name, worker, took=0.02)
         assert len(unqueried.gateway.quotas.accounts) == len(queried.gateway.quotas.accounts)
