--- a/tests/decisions/test_sparse_traffic.py
+++ b/tests/decisions/test_sparse_traffic.py
@@ -7,7 +7,7 @@
 
 from micagate import interface
 from micagate.estimates.metering import Meter
-from micagate.estimates.recent import Recent
+from micagate.estimates.recent import RecentLatencies
 from micagate.fleet import Fleet
 from micagate.quotas import Quotas
 from micagate.shares import Shares
@@ -45,7 +45,9 @@
     )
     # Two workers in three are eligible.
     members = subset.members(MIN_SUBSET_SIZE, lambda worker: int(worker.entry.worker[1:]) % 3 > 0)
-    assert subset.fit == MIN_SUBSET_SIZE and len(members) in (11, 12) and subset.overlap() == len(members) / 60
+    assert (
+        subset.eligible_count == MIN_SUBSET_SIZE and len(members) in (11, 12) and subset.overlap() == len(members) / 60
+    )
     assert [worker.entry.worker for worker in members[:2]] == ["w4", "w5"]  # from this gateway's start on the ring
     assert (
         subset.members(MIN_SUBSET_SIZE, lambda worker: False) == subset.ring[4:] + subset.ring[:4]
@@ -66,23 +68,24 @@
 
 def test_workers_in_slow_start_are_used_within_subsets_and_never_overloaded():
     """Replaces six workers in ten at once, at less than half of the total capacity, with immediate list updates."""
-    warm = Capacity(cores=2, speed=1 / 7, queue=20, cold_from=0.25, ramp=10.0)  # 0.14 s of work for each request
+    # 0.14 s of work for each request.
+    warm = Capacity(cores=2, speed=1 / 7, queue_limit=20, min_warm_up_factor=0.25, warm_up_seconds=10.0)
     cluster = Cluster(5, [7.0] * 40, {f"w{n:02}": warm for n in range(60)}, replace(SETTINGS, number=0), False)
     cluster.clock.run(6.0)
-    cluster.sent.clear()
+    cluster.arrivals.clear()
     for n in range(36):
         cluster.restart(f"w{n:02}")
     cluster.clock.run(16.0)
     restarted = [f"w{n:02}" for n in range(36)]
     for name in restarted:
-        times = [(now, work / warm.speed) for now, where, work in cluster.sent if where == name]
+        times = [(now, work / warm.speed) for now, where, work in cluster.arrivals if where == name]
         for begin, _ in times:
             share = 0.25 + 0.75 * (begin - 6.0) / 10.0
             assert sum(w for t, w in times if begin <= t < begin + 3.0) <= 2 * share * 2 * 3.0
-    restarted_share = sum(where in restarted for _, where, _ in cluster.sent) / len(cluster.sent)
+    restarted_share = sum(where in restarted for _, where, _ in cluster.arrivals) / len(cluster.arrivals)
     assert restarted_share > 0.08  # the replaced workers get a part of the traffic
     # Workers in slow start outside the subset get no requests, since no slow-start limit counts these.
-    fleet = cluster.gates[0].fleet
+    fleet = cluster.gateways[0].fleet
     members = {
         w.entry.worker for w in fleet.subset.members(MIN_SUBSET_SIZE, lambda w: fleet.warm_up_factor(6.1, w) is None)
     }
@@ -144,15 +147,15 @@
 
 
 def test_few_attempts_in_flight_are_no_queue_at_low_traffic_and_slow_responses_are():
-    recent = Recent(0.0)
+    recent = RecentLatencies(0.0)
     for n in range(12):
-        recent.answered(n / 6, 0.25, 1.0)
+        recent.record_response(n / 6, 0.25, 1.0)
     attempts = [(1.95 - n / 10, 1.0) for n in range(3)]
-    assert recent.pressed(2.0, attempts, 1.0, False, False) > 0.3
-    assert recent.pressed(2.0, attempts, 1.0, False, True) <= 0
+    assert recent.refusal_share(2.0, attempts, 1.0, False, False) > 0.3
+    assert recent.refusal_share(2.0, attempts, 1.0, False, True) <= 0
     for n in range(12):
-        recent.answered(2.0 + n / 6, 0.95, 1.0)
-    assert recent.pressed(4.0, [(sent + 2.0, aim) for sent, aim in 3 * attempts], 1.0, False, True) >= 1
+        recent.record_response(2.0 + n / 6, 0.95, 1.0)
+    assert recent.refusal_share(4.0, [(sent + 2.0, aim) for sent, aim in 3 * attempts], 1.0, False, True) >= 1
 
 
 def thin_share_account(quotas, now, gateway_count=30):
@@ -161,7 +164,7 @@
 
 
 def test_rejected_customer_is_admitted_again_without_new_readings():
-    quotas = Quotas(0.0, period=0.5)
+    quotas = Quotas(0.0, meter_period=0.5)
     account = thin_share_account(quotas, 0.0)
     for second in range(3):
         if quotas.is_within_quota(account := thin_share_account(quotas, second / 10), 1.0, False):
@@ -174,7 +177,7 @@
 
 
 def test_only_many_gateways_have_thin_shares():
-    quotas = Quotas(0.0, period=0.5)
+    quotas = Quotas(0.0, meter_period=0.5)
     assert (
         thin_share_account(quotas, 0.0, 30).quota_estimate.has_thin_share()
         and not thin_share_account(Quotas(0.0), 0.0, 3).quota_estimate.has_thin_share()
@@ -184,18 +187,19 @@
 def test_reading_at_unknown_meter_times_counts_only_for_a_thin_share():
     meter = Meter(0.5)
     for gateway_count, counts in ((30, True), (3, False)):
-        account = thin_share_account(Quotas(0.0, period=0.5), 0.0, gateway_count)
+        account = thin_share_account(Quotas(0.0, meter_period=0.5), 0.0, gateway_count)
         account.record_reading(5.0, 2.0, meter)
-        assert (account.quota_estimate.told is not None) is counts
+        assert (account.quota_estimate.metered_until is not None) is counts
 
 
 def test_ceiling_shares_follow_the_traffic_and_add_up_to_the_whole():
     plan = interface.Plan("p", rate=4.0, burst=7.0, ceiling_rate=8.0, ceiling_capacity=14.0, ceiling_slack=1.0)
     shares, total_refill = [0.5, 0.2, 0.1, 0.1, 0.05, 0.03, 0.02], 0.0
     for share in shares:
-        quotas = Quotas(0.0, period=0.5)
+        quotas = Quotas(0.0, meter_period=0.5)
         account = quotas.account(0.0, "c", plan, 7)
-        account.quota_estimate._mine, account.quota_estimate._all = 1000 * share, 1000.0  # as the meter measured
+        # As the meter measured.
+        account.quota_estimate._own_metered_units, account.quota_estimate._metered_units = (1000 * share, 1000.0)
         account.ceiling_balance = 0.0
         quotas.account(0.5, "c", plan, 7)
         assert account.ceiling_balance > 0.25 * 8.0 / 7 - 1e-9  # none gets less than half of the equal share
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -7,7 +7,7 @@
 
 from micagate import interface
 from micagate.fleet import Fleet
-from rig.subsets import CLASSES, churn, fleet, imbalance, measure
+from rig.subsets import CLASSES, churn, gateway_fleet, imbalance, measure
 
 READ = CLASSES[0]
 
@@ -17,14 +17,13 @@
     for number in range(gateways):
         names = [f"w{n}" for n in range(workers)]
         Random(number).shuffle(names)  # the order of the list must not matter
-        made.append(fleet(names, number, gateways, numbered))
+        made.append(gateway_fleet(names, number, gateways, numbered))
     return made
 
 
 def subsets(all_fleets: list[Fleet]) -> list[list[str]]:
     return [
-        [worker.entry.worker for worker in gateway_fleet.subset.members(gateway_fleet.subset.size)]
-        for gateway_fleet in all_fleets
+        [worker.entry.worker for worker in one_fleet.subset.members(one_fleet.subset.size)] for one_fleet in all_fleets
     ]
 
 
@@ -43,10 +42,10 @@
 def test_gateways_that_start_at_once_do_not_choose_the_same_workers():
     all_fleets = fleets(1000, 50)
     sent: Counter[str] = Counter()
-    for number, gateway_fleet in enumerate(all_fleets):
+    for number, one_fleet in enumerate(all_fleets):
         for n in range(20):
-            worker = gateway_fleet.pick(0.0, READ, set())
-            gateway_fleet.record_sent(0.0, worker, (f"r{number}-{n}", 0), READ)
+            worker = one_fleet.pick(0.0, READ, set())
+            one_fleet.record_sent(0.0, worker, (f"r{number}-{n}", 0), READ)
             sent[worker] += 1
     assert max(sent.values()) <= 3  # a thousand requests over a thousand workers, each in three subsets
     assert len(sent) > 500
@@ -56,8 +55,8 @@
     all_fleets = fleets(1000, 50)[::7]
     before, moved = subsets(all_fleets), 0.0
     for n in range(1000):
-        for gateway_fleet in all_fleets:
-            gateway_fleet.update(
+        for one_fleet in all_fleets:
+            one_fleet.update(
                 0.06 * n,
                 interface.WorkerList(
                     (interface.WorkerEntry(f"w{n}", state=interface.DRAINING), interface.WorkerEntry(f"x{n}"))
@@ -67,7 +66,7 @@
             after = subsets(all_fleets)
             step = churn(before, after)
             assert all(len(subset) == 60 for subset in after) and step < 0.1
-            rings = [[worker.entry.worker for worker in gateway_fleet.subset.ring] for gateway_fleet in all_fleets]
+            rings = [[worker.entry.worker for worker in one_fleet.subset.ring] for one_fleet in all_fleets]
             # With equal rings the subsets stay even.
             assert len(rings[0]) == 1000 and all(ring == rings[0] for ring in rings)
             before, moved = after, moved + step
@@ -77,27 +76,27 @@
 def test_restarted_worker_keeps_its_position_on_the_ring():
     all_fleets = fleets(100, 20)
     before = subsets(all_fleets)
-    for gateway_fleet in all_fleets:
-        gateway_fleet.update(1.0, interface.WorkerList((interface.WorkerEntry("w7", started=1.0),)))
+    for one_fleet in all_fleets:
+        one_fleet.update(1.0, interface.WorkerList((interface.WorkerEntry("w7", started=1.0),)))
     assert subsets(all_fleets) == before
 
 
 def test_ring_follows_a_hundred_list_changes_a_second():
-    random, gateway_fleet = Random(3), fleets(1000, 50)[7]
+    random, one_fleet = Random(3), fleets(1000, 50)[7]
     listed = {f"w{n}" for n in range(1000)}
     for step in range(600):
         name = f"w{random.randrange(1100)}"
         is_healthy = random.random() < 0.6
-        gateway_fleet.update(
+        one_fleet.update(
             step / 100,
             interface.WorkerList(
                 (interface.WorkerEntry(name, state=interface.HEALTHY if is_healthy else interface.DRAINING),)
             ),
         )
         (listed.add if is_healthy else listed.discard)(name)
-        assert gateway_fleet.pick(step / 100, READ, set()) in listed
-    ranks = [worker.rank for worker in gateway_fleet.subset.ring]
-    assert ranks == sorted(ranks) and {usable.entry.worker for usable in gateway_fleet.subset.ring} == listed
+        assert one_fleet.pick(step / 100, READ, set()) in listed
+    ranks = [worker.rank for worker in one_fleet.subset.ring]
+    assert ranks == sorted(ranks) and {usable.entry.worker for usable in one_fleet.subset.ring} == listed
 
 
 def test_deterministic_subsets_are_more_even_than_random_ones():
--- a/tests/decisions/test_throttle.py
+++ b/tests/decisions/test_throttle.py
@@ -53,10 +53,10 @@
 def test_leak_rate_rises_by_a_fixed_step_on_rejections_without_signals():
     limiter, _ = offer_load(signals=0, seconds=4)
     offer_load(signals=4, seconds=4, throttle=limiter, start=4.0)
-    low, due = limiter.rate, limiter._due
+    low, due = limiter.rate, limiter._period_end
     offer_load(rate=40, signals=0, seconds=8, throttle=limiter, start=8.0)
-    low, due, start = limiter.rate, limiter._due, 16.0
-    while limiter._due == due:
+    low, due, start = limiter.rate, limiter._period_end, 16.0
+    while limiter._period_end == due:
         offer_load(rate=40, signals=0, seconds=1, throttle=limiter, start=start)
         start += 1
     assert abs(limiter.rate - low - throttle.RATE_INCREMENT_SHARE * limiter.base_rate) < 1e-9
@@ -129,12 +129,12 @@
 def test_request_that_would_be_late_is_rejected_before_any_timeout():
     driver = Driver(3)
     for _ in range(40):  # about ten responses a second
-        name, actions = driver.ask("write", after=0.1)
+        name, actions = driver.send_request("write", after=0.1)
         driver.answer(name, sends(actions)[0], took=0.1)
-    burst = sum(bool(sends(driver.ask("write")[1])) for _ in range(30))
+    burst = sum(bool(sends(driver.send_request("write")[1])) for _ in range(30))
     assert burst == 30  # a burst on idle workers is admitted
     driver.now += 0.3  # the attempts are old, and thirty at ten a second take three seconds
-    assert not sends(driver.ask("write")[1])
+    assert not sends(driver.send_request("write")[1])
     assert len(driver.gateway.throttle._signals) == 1  # the rejection is an overload signal
 
 
@@ -145,17 +145,17 @@
     )
     driver = Driver(3, classes=classes)
     for _ in range(40):  # about ten responses a second: five in flight take half the objective
-        name, actions = driver.ask("high", after=0.1)
+        name, actions = driver.send_request("high", after=0.1)
         driver.answer(name, sends(actions)[0], took=0.1)
-    assert all(sends(driver.ask("high")[1]) for _ in range(4))
+    assert all(sends(driver.send_request("high")[1]) for _ in range(4))
     driver.now += 0.2
     fleet = driver.gateway.fleet
     assert fleet.is_overloaded(driver.now, 0.0, 0.5) and not fleet.is_overloaded(driver.now, 0.0)
-    assert sends(driver.ask("low")[1])  # not throttled: all classes alike
+    assert sends(driver.send_request("low")[1])  # not throttled: all classes alike
     driver.gateway.throttle.active, driver.gateway.throttle.base_rate, driver.gateway.throttle.rate = True, 10.0, 10.0
     driver.gateway.throttle.bucket_level = 0.0
     driver.answer("r45", next(name for name, worker in fleet.workers.items() if ("r45", 0) in worker.in_flight))
-    assert not sends(driver.ask("low")[1]) and sends(driver.ask("high")[1])
+    assert not sends(driver.send_request("low")[1]) and sends(driver.send_request("high")[1])
     assert len(driver.gateway.throttle._signals) == 1
 
 
@@ -183,28 +183,28 @@
 def test_one_update_does_not_overshoot_on_the_signals_of_a_backlog():
     limiter, _ = offer_load(signals=0, seconds=4)
     offer_load(signals=10, seconds=1, throttle=limiter, start=4.0)
-    before, due = limiter.rate, limiter._due
+    before, due = limiter.rate, limiter._period_end
     offer_load(signals=10, seconds=3, throttle=limiter, start=5.0)
-    assert limiter._due > due and limiter.rate >= 0.65 * before
+    assert limiter._period_end > due and limiter.rate >= 0.65 * before
 
 
 def test_first_burst_after_start_is_admitted_before_any_rate_is_known():
     driver = Driver()
-    sent = [bool(sends(driver.ask("write", after=0.005)[1])) for _ in range(30)]
+    sent = [bool(sends(driver.send_request("write", after=0.005)[1])) for _ in range(30)]
     assert all(sent) and not driver.gateway.throttle.active
     driver.now += 1.5  # and then no attempt is answered within its objective
-    assert not all(sends(driver.ask("write")[1]) for _ in range(10))
+    assert not all(sends(driver.send_request("write")[1]) for _ in range(10))
 
 
 def test_overload_is_detected_if_all_workers_hang_at_once():
     driver = Driver(3)
     for _ in range(40):
-        name, actions = driver.ask("write", after=0.1)
+        name, actions = driver.send_request("write", after=0.1)
         driver.answer(name, sends(actions)[0], took=0.1)
     for _ in range(30):
-        driver.ask("write")
+        driver.send_request("write")
     driver.now += 1.0  # no worker has responded for far longer than usual
-    assert not sends(driver.ask("write")[1])
+    assert not sends(driver.send_request("write")[1])
 
 
 def test_signals_of_attempts_before_the_last_update_do_not_count():
@@ -222,31 +222,31 @@
     slow = RequestClass("slow", aim=30.0, deadline=60.0, effect="side_effect")
     driver = Driver(3, classes=(*SETTINGS["classes"], slow))
     for _ in range(40):
-        name, actions = driver.ask("write", after=0.1)
+        name, actions = driver.send_request("write", after=0.1)
         driver.answer(name, sends(actions)[0], took=0.1)
     for _ in range(30):
-        driver.ask("write")
+        driver.send_request("write")
     driver.now += 0.3
-    assert not sends(driver.ask("slow")[1])
+    assert not sends(driver.send_request("slow")[1])
 
 
 def test_with_many_gateways_one_attempt_at_each_worker_can_be_a_backlog():
     for gateways, is_sent in ((3, True), (11, False)):
         driver = Driver(6, gateways=gateways)
         for _ in range(40):
-            name, actions = driver.ask("write", after=0.15)  # often enough for Little's law
+            name, actions = driver.send_request("write", after=0.15)  # often enough for Little's law
             driver.answer(name, sends(actions)[0], took=0.1)
         for _ in range(5):
-            driver.ask("write")
+            driver.send_request("write")
         driver.now += 0.3
-        assert bool(sends(driver.ask("write")[1])) is is_sent
+        assert bool(sends(driver.send_request("write")[1])) is is_sent
 
 
 def low_traffic_driver(gateways: int = 300, took: float = 0.1, count: int = 8) -> Driver:
     """Return the driver of a gateway that gets a request every 0.7 s."""
     driver = Driver(6, gateways=gateways)
     for _ in range(count):
-        name, actions = driver.ask("write", after=0.7)
+        name, actions = driver.send_request("write", after=0.7)
         for worker in sends(actions):
             driver.answer(name, worker, took=took)
     return driver
@@ -254,15 +254,15 @@
 
 def test_gateway_with_few_requests_rejects_none_at_usual_latencies():
     driver = low_traffic_driver(count=40)
-    assert driver.made == len(driver.shots)
-    assert all(sends(driver.ask("write")[1]) for _ in range(5))  # a burst on idle workers is admitted too
+    assert driver.request_count == len(driver.attempt_numbers)
+    assert all(sends(driver.send_request("write")[1]) for _ in range(5))  # a burst on idle workers is admitted too
 
 
 def test_gateway_with_few_requests_rejects_many_if_all_responses_are_late_and_recovers():
     driver = low_traffic_driver()
     pending, refused = [], 0
     for _ in range(40):
-        name, actions = driver.ask("write", after=0.3)
+        name, actions = driver.send_request("write", after=0.3)
         refused += not sends(actions)
         pending += [(driver.now, name, worker) for worker in sends(actions)]
         while pending and pending[0][0] < driver.now - 0.9:  # each response takes nearly the whole objective
@@ -272,16 +272,16 @@
     for _, late, worker in pending:
         driver.answer(late, worker, took=0.9)
     driver.pass_time(10.0)  # no further signs of overload
-    assert sends(driver.ask("write")[1])
+    assert sends(driver.send_request("write")[1])
 
 
 def test_one_lost_response_does_not_stop_a_gateway_with_few_requests():
     driver = low_traffic_driver()
-    driver.ask("write")  # never answered
+    driver.send_request("write")  # never answered
     sent_count = 0
     for _ in range(20):
         driver.pass_time(0.5)
-        name, actions = driver.ask("write")
+        name, actions = driver.send_request("write")
         sent_count += bool(sends(actions))
         for worker in sends(actions):
             driver.answer(name, worker, took=0.1)
@@ -293,7 +293,7 @@
     driver = Driver(6, gateways=300)
     for n in range(60):
         driver.pass_time(0.5)
-        name, actions = driver.ask("write", plan=("free", "metered", "few", "capped")[n % 4], customer=f"c{n}")
+        name, actions = driver.send_request("write", plan=("free", "metered", "few", "capped")[n % 4], customer=f"c{n}")
         for worker in sends(actions):
             if n % every:
                 driver.answer(name, worker, took=0.1)
@@ -302,14 +302,14 @@
 
 def test_lost_responses_are_no_signals_while_the_others_are_fast():
     driver = driver_with_lost_responses(5)
-    assert driver.gateway.fleet.recent.lossy()
+    assert driver.gateway.fleet.recent.indicates_losses()
     # One rejection of the overload check may occur by chance.
     assert len(driver.gateway.throttle._signals) <= 1 and not driver.gateway.throttle.active
 
 
 def test_throttle_activates_if_no_worker_responds():
     driver = driver_with_lost_responses(1)
-    assert not driver.gateway.fleet.recent.lossy()
+    assert not driver.gateway.fleet.recent.indicates_losses()
     assert driver.gateway.throttle.active
 
 
@@ -318,11 +318,11 @@
     throttle = driver.gateway.throttle
     driver.gateway.fleet._rejection_probability = lambda now: 1.0  # rejects every request
     seen = len(throttle._signals)
-    driver.ask("write")
+    driver.send_request("write")
     assert len(throttle._signals) == seen + 1  # it signals like an overload rejection of a worker
     throttle.active, throttle.rate, throttle.base_rate, throttle.bucket_level = True, 1e-9, 1.0, 5.0
-    throttle._due = throttle._leaked = driver.now + 60
-    driver.ask("write")
+    throttle._period_end = throttle._leaked_at = driver.now + 60
+    driver.send_request("write")
     assert len(throttle._signals) == seen + 1  # rejected by the bucket: no signal
 
 
@@ -365,7 +365,7 @@
         classes_asked = ("low", "high")
         driver, served = Driver(classes=classes, plans=(Plan("a"), Plan("b"))), {"low": 0, "high": 0}
         for n in range(2000):
-            name, actions = driver.ask(classes_asked[n % 2], "ab"[n // 2 % 2], after=0.02)
+            name, actions = driver.send_request(classes_asked[n % 2], "ab"[n // 2 % 2], after=0.02)
             for worker in sends(actions):
                 served[classes_asked[n % 2]] += 1
                 # One response in five is late, which keeps the throttle active.
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -9,7 +9,7 @@
 from oliveloft.discovery.watch import DiscoveryWatch
 from oliveloft.shared_types import DiscoveryUpdate
 from rig.agent import FakeAgent
-from rig.fake_servers import BusyDiscovery, Discovery, Worker, config, launch, run, scene, until
+from rig.fake_servers import BusyDiscovery, FakeDiscovery, FakeWorker, config, launch, run, running_gatekeeper, until
 
 
 def watch_of(agent, updates, offset=0.0, **options):
@@ -20,20 +20,20 @@
 
 def test_a_gatekeeper_starts_from_its_known_list_while_discovery_is_down():
     async def scenario():
-        worker = await Worker("w").start()
-        discovery = Discovery([worker.entry()])
+        worker = await FakeWorker("w").start()
+        discovery = FakeDiscovery([worker.entry()])
         await discovery.start()
         discovery.stop()
         gatekeeper = await launch(config(discovery.port, known=[worker.entry()]))
         try:
             assert await gatekeeper.health() == 200
-            assert (await (await gatekeeper.client()).ask("write")).status == 200
-            await gatekeeper.logged("keeping the list")
-            other = await Worker("v").start()
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200
+            await gatekeeper.wait_for_log("keeping the list")
+            other = await FakeWorker("v").start()
             discovery.entries, discovery.index = [other.entry()], 2  # a snapshot without w
             await discovery.start()
-            await until(lambda: worker.closed == 1)
-            assert (await (await gatekeeper.client()).ask("write")).status == 200 and len(other.seen) == 1
+            await until(lambda: worker.connections_closed == 1)
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200 and len(other.received) == 1
         finally:
             gatekeeper.process.kill()
             await gatekeeper.process.wait()
@@ -43,25 +43,25 @@
 
 def test_calls_follow_one_another_and_name_the_last_version():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (_, discovery, client):
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (_, discovery, client):
             for n in range(3):
                 discovery.change(worker.entry(weight=1.0 + n))
-                await discovery.watched()
-            assert discovery.asked[0] == "/v1/servers"
-            assert [path.partition("&")[0] for path in discovery.asked[1:]] == [
+                await discovery.wait_until_watched()
+            assert discovery.requested_paths[0] == "/v1/servers"
+            assert [path.partition("&")[0] for path in discovery.requested_paths[1:]] == [
                 f"/v1/servers?index={n}" for n in range(1, 5)
             ]
-            assert (await client.ask("write")).status == 200
+            assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
 
 def test_malformed_entries_are_skipped_and_logged_and_the_others_are_applied():
     async def scenario():
-        worker, other = Worker("w"), Worker("v")
+        worker, other = FakeWorker("w"), FakeWorker("v")
         await other.start()
-        async with scene(worker) as (gatekeeper, discovery, client):
+        async with running_gatekeeper(worker) as (gatekeeper, discovery, client):
             bad = [
                 3,
                 {},
@@ -75,10 +75,10 @@
                 other.entry(weight=float("nan")),
             ]
             discovery.change(*bad, {"name": "w", "status": "removed", "novel": 1}, other.entry(novel=[1]))
-            await discovery.watched()
-            assert (await client.ask("write")).status == 200
-            assert len(other.seen) == 1 and not worker.seen
-            await gatekeeper.logged("skipped a malformed entry")
+            await discovery.wait_until_watched()
+            assert (await client.fetch("write")).status == 200
+            assert len(other.received) == 1 and not worker.received
+            await gatekeeper.wait_for_log("skipped a malformed entry")
             assert sum("malformed" in line for line in gatekeeper.log) == 1
 
     run(scenario())
@@ -86,37 +86,39 @@
 
 def test_after_a_failed_answer_the_list_is_kept_and_discovery_is_called_again():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (gatekeeper, discovery, client):
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (gatekeeper, discovery, client):
             for raw in (
                 b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
                 b"no HTTP\r\n\r\n",
                 b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{",
                 b'HTTP/1.1 200 OK\r\nContent-Length: 17\r\n\r\n{"endpoints": []}',
             ):
-                asked, discovery.raw = len(discovery.asked), raw
+                asked, discovery.raw = len(discovery.requested_paths), raw
                 discovery.change()
-                await until(lambda: len(discovery.asked) > asked + 1)  # noqa: B023
+                await until(lambda: len(discovery.requested_paths) > asked + 1)  # noqa: B023
                 # After an error status it asks for the changes; after a malformed answer for a snapshot.
-                assert discovery.asked[-1].startswith("/v1/servers?index=" if b"500" in raw else "/v1/servers")
-                assert b"500" in raw or discovery.asked[-1] == "/v1/servers"
+                assert discovery.requested_paths[-1].startswith(
+                    "/v1/servers?index=" if b"500" in raw else "/v1/servers"
+                )
+                assert b"500" in raw or discovery.requested_paths[-1] == "/v1/servers"
                 discovery.raw = None
-                await discovery.watched()
-                assert (await client.ask("write")).status == 200
+                await discovery.wait_until_watched()
+                assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
 
 def test_an_answer_that_closes_its_connection_is_followed_by_the_next_call():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (gatekeeper, discovery, client):
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (gatekeeper, discovery, client):
             body = b'{"index": 9, "snapshot": false, "endpoints": []}'
             head = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n"
             discovery.raw = head % len(body) + body
             discovery.change()
-            await until(lambda: "index=9&" in discovery.asked[-1])
-            assert (await client.ask("write")).status == 200
+            await until(lambda: "index=9&" in discovery.requested_paths[-1])
+            assert (await client.fetch("write")).status == 200
             assert not any("discovery" in line for line in gatekeeper.log)
 
     run(scenario())
@@ -128,20 +130,20 @@
     updates: list[DiscoveryUpdate] = []
 
     async def scenario():
-        agent = await Discovery([{"name": "w", "address": "h:1", "status": "up", "since_ms": 5000}]).start()
+        agent = await FakeDiscovery([{"name": "w", "address": "h:1", "status": "up", "since_ms": 5000}]).start()
         watch = watch_of(agent, updates, offset=2.0)
         watch.start()
-        await until(lambda: len(agent.asked) > 4)  # long polls that ended with no change
-        assert agent.asked.count("/v1/servers") == 1 and updates[0].whole and not updates[1].whole
-        assert len(agent._ends) == 1  # all over one connection
+        await until(lambda: len(agent.requested_paths) > 4)  # long polls that ended with no change
+        assert agent.requested_paths.count("/v1/servers") == 1 and updates[0].is_snapshot and not updates[1].is_snapshot
+        assert len(agent._connections) == 1  # all over one connection
         assert updates[0].endpoints[0].entry.started == 3.0  # on the loop's clock
-        agent.silent = True
-        before = len(agent.asked)
-        await until(lambda: len(agent.asked) > before + 2)  # called twice more, with no list lost
-        assert agent.asked.count("/v1/servers") == 1  # it asks for the changes only
-        agent.silent, agent.index, update_count = False, 5, len(updates)
+        agent.unresponsive = True
+        before = len(agent.requested_paths)
+        await until(lambda: len(agent.requested_paths) > before + 2)  # called twice more, with no list lost
+        assert agent.requested_paths.count("/v1/servers") == 1  # it asks for the changes only
+        agent.unresponsive, agent.index, update_count = False, 5, len(updates)
         await until(lambda: len(updates) > update_count)
-        assert updates[update_count].whole  # a snapshot, since it had missed so many versions
+        assert updates[update_count].is_snapshot  # a snapshot, since it had missed so many versions
         watch.stop()
         agent.stop()
 
@@ -153,7 +155,7 @@
 ):
     """The service handles one call at a time, and refuses calls that would wait for too long."""
     gatekeeper_count = 40  # too many calls at the same time for the service
-    monkeypatch.setattr(policy, "EACH_SECONDS", 0.006)
+    monkeypatch.setattr(policy, "CALL_COST_SECONDS", 0.006)
     updates: dict[int, list[DiscoveryUpdate]] = {n: [] for n in range(gatekeeper_count)}
 
     async def scenario():
@@ -177,19 +179,19 @@
 def test_the_timeout_of_a_shared_service_that_answers_too_late_doubles(monkeypatch):
     monkeypatch.setattr(policy, "ANSWER_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(policy, "SHARED_BACKOFF_SECONDS", 0.01)
-    monkeypatch.setattr(policy, "EACH_SECONDS", 0.001)
+    monkeypatch.setattr(policy, "CALL_COST_SECONDS", 0.001)
     updates: list[DiscoveryUpdate] = []
 
     async def scenario():
-        agent = await Discovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
-        agent.silent = True
+        agent = await FakeDiscovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
+        agent.unresponsive = True
         watch = watch_of(agent, updates, gatekeepers=2)
         watch.start()
-        await until(lambda: len(agent.asked) == 4)
+        await until(lambda: len(agent.requested_paths) == 4)
         assert watch._answer_timeout_seconds >= 0.4 and not updates
-        agent.silent = False
+        agent.unresponsive = False
         await until(lambda: bool(updates))
-        assert updates[0].whole
+        assert updates[0].is_snapshot
         await until(lambda: watch._answer_timeout_seconds <= 0.2)  # halved with each answer
         watch.stop()
         agent.stop()
@@ -288,17 +290,17 @@
     updates: list[DiscoveryUpdate] = []
 
     async def scenario():
-        agent = await Discovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
+        agent = await FakeDiscovery([{"name": "w", "address": "h:1", "status": "up"}]).start()
         agent.index = 7
         watch = watch_of(agent, updates, index=7)
         watch.start()
-        await agent.watched()
+        await agent.wait_until_watched()
         agent.raw = b'HTTP/1.1 200 OK\r\nContent-Length: 48\r\n\r\n{"index": 2, "snapshot": false, "endpoints": []}'
         agent.change()
-        await until(lambda: "/v1/servers" in agent.asked)
+        await until(lambda: "/v1/servers" in agent.requested_paths)
         agent.raw = None
         await until(lambda: bool(updates))
-        assert updates[0].whole and updates[0].endpoints[0].entry.worker == "w"
+        assert updates[0].is_snapshot and updates[0].endpoints[0].entry.worker == "w"
         watch.stop()
         agent.stop()
 
--- a/tests/endings/test_client_disconnects.py
+++ b/tests/endings/test_client_disconnects.py
@@ -8,14 +8,25 @@
 
 from micagate import interface
 from rig.driver import Driver, sends
-from rig.fake_servers import Client, Plugged, Worker, answer, hang, once, run, scene, tcp_states, until
+from rig.fake_servers import (
+    Client,
+    FakeWorker,
+    FullBacklogWorker,
+    after_event,
+    answer,
+    count_tcp_connections,
+    hang,
+    run,
+    running_gatekeeper,
+    until,
+)
 
 SLOW = {"Caps": {"ConnectTimeoutUs": 10_000_000}}  # long enough that only the disconnect ends the attempt
 
 
 def count_close_wait(port: int) -> int:
     """The number of connections that the client has closed and the gatekeeper has not (CLOSE-WAIT)."""
-    return tcp_states(port, "08", local=True)
+    return count_tcp_connections(port, "08", local=True)
 
 
 def disconnect(client: Client, how: str) -> None:
@@ -29,24 +40,24 @@
 @pytest.mark.parametrize(("klass", "client_count"), [("read", 1), ("write", 1), ("write", 20)])
 def test_a_disconnect_while_the_connection_to_the_worker_is_established_sends_nothing(klass, client_count, how):
     async def scenario():
-        worker = Plugged("w")
-        async with scene(worker, changes=SLOW) as (gatekeeper, _, client):
-            initial = worker.coming
+        worker = FullBacklogWorker("w")
+        async with running_gatekeeper(worker, changes=SLOW) as (gatekeeper, _, client):
+            initial = worker.connecting
             clients = [await gatekeeper.client() for _ in range(client_count)]
             for one in clients:
                 one.send(one.request(klass, timeout="3.9"))
-            await until(lambda: worker.coming == initial + client_count)
+            await until(lambda: worker.connecting == initial + client_count)
             for one in clients:
                 disconnect(one, how)
                 await one.writer.wait_closed()
             await gatekeeper.health()  # answered after earlier events: the gatekeeper has seen the disconnects
             await until(lambda: count_close_wait(gatekeeper.port) == 0)
-            await worker.open()
+            await worker.accept_connections()
             # All connections are established: what is written reaches the worker.
-            await until(lambda: worker.coming == 0)
+            await until(lambda: worker.connecting == 0)
             for _ in range(client_count + 1):
-                assert (await client.ask("write", timeout="3.9", id="stays")).status == 200
-            assert {message.id for message in worker.seen} == {"stays"}
+                assert (await client.fetch("write", timeout="3.9", id="stays")).status == 200
+            assert {message.id for message in worker.received} == {"stays"}
 
     run(scenario())
 
@@ -54,33 +65,33 @@
 @pytest.mark.parametrize("how", ["FIN", "RST"])
 def test_a_disconnect_while_reading_is_paused_drops_the_queued_requests(how):
     async def scenario():
-        worker, go = Worker("w"), asyncio.Event()
-        worker.script = once(go)
-        async with scene(worker) as (gatekeeper, _, client):
+        worker, go = FakeWorker("w"), asyncio.Event()
+        worker.script = after_event(go)
+        async with running_gatekeeper(worker) as (gatekeeper, _, client):
             other = await gatekeeper.client()
             client.send(b"".join(client.request("write", timeout="3.9", id=f"queued{n}") for n in range(20)))
-            await until(lambda: worker.seen)
+            await until(lambda: worker.received)
             disconnect(client, how)
             await client.writer.wait_closed()
             go.set()  # the first reply is sent, and the first queued request would be next
-            assert (await other.ask("write", id="other")).status == 200
-            assert [m.id for m in worker.seen] == ["queued0", "other"]
+            assert (await other.fetch("write", id="other")).status == 200
+            assert [m.id for m in worker.received] == ["queued0", "other"]
 
     run(scenario())
 
 
 def test_a_disconnect_while_reading_is_paused_is_detected_long_before_the_reply():
     async def scenario():
-        worker = Worker("w", hang)
-        async with scene(worker) as (gatekeeper, _, client):
+        worker = FakeWorker("w", hang)
+        async with running_gatekeeper(worker) as (gatekeeper, _, client):
             client.send(b"".join(client.request("read", timeout="3.9") for _ in range(20)))
-            await until(lambda: worker.seen)
+            await until(lambda: worker.received)
             began = asyncio.get_running_loop().time()
             client.writer.close()
             await until(lambda: count_close_wait(gatekeeper.port) == 1)
             await until(lambda: count_close_wait(gatekeeper.port) == 0)
             assert asyncio.get_running_loop().time() - began < 2.0  # not only with the reply
-            assert len(worker.seen) == 1
+            assert len(worker.received) == 1
 
     run(scenario())
 
@@ -88,20 +99,20 @@
 @pytest.mark.parametrize("klass", ["read", "write"])
 def test_a_request_that_a_worker_has_completely_runs_to_its_end_and_its_connection_is_reused(klass):
     async def scenario():
-        worker, go = Worker("w"), asyncio.Event()
-        worker.script = once(go)
-        async with scene(worker) as (gatekeeper, _, client):
+        worker, go = FakeWorker("w"), asyncio.Event()
+        worker.script = after_event(go)
+        async with running_gatekeeper(worker) as (gatekeeper, _, client):
             client.send(client.request(klass, timeout="3.9"))
-            await until(lambda: worker.seen)
+            await until(lambda: worker.received)
             client.writer.close()
             await client.writer.wait_closed()
             await until(lambda: count_close_wait(gatekeeper.port) == 0)
             other = await gatekeeper.client()
             worker.script = answer()
             go.set()
-            await until(lambda: not worker.closed)
-            assert (await other.ask("write")).status == 200
-            assert worker.over in ([1, 1], [1, 2]) and worker.closed == 0
+            await until(lambda: not worker.connections_closed)
+            assert (await other.fetch("write")).status == 200
+            assert worker.connection_numbers in ([1, 1], [1, 2]) and worker.connections_closed == 0
 
     run(scenario())
 
@@ -120,7 +131,7 @@
     plan = interface.Plan("free", rate=1.0, burst=8.0, ceiling_rate=2.0, ceiling_capacity=16.0, ceiling_slack=1.0)
     d = Driver(plans=(plan,))
     d.pass_time(60.0)
-    name, actions = d.ask("write", plan="free", units=3.0, spread=1)
+    name, actions = d.send_request("write", plan="free", units=3.0, spread=1)
     (worker,) = sends(actions)
     account = d.gateway.in_flight[name, 0].account
     before = account.balance, account.ceiling_balance, account.quota_estimate.level
--- a/tests/endings/test_hedges.py
+++ b/tests/endings/test_hedges.py
@@ -8,7 +8,7 @@
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import RequestDispatcher
 from oliveloft.shared_types import DiscoveryUpdate
-from rig.fake_servers import Plugged, Worker, answer, run, until
+from rig.fake_servers import FakeWorker, FullBacklogWorker, answer, run, until
 
 SETTINGS = interface.Settings(
     (interface.RequestClass("read", 1.0, 4.0),), (interface.Plan("free"),), max_attempts=2, hedging=True
@@ -35,7 +35,7 @@
 
     async def scenario():
         loop, replies, gateway = asyncio.get_running_loop(), [], FakeGateway()
-        fast, slow = await Worker("fast", answer(raw=raw)).start(), await Plugged("slow").start()
+        fast, slow = await FakeWorker("fast", answer(raw=raw)).start(), await FullBacklogWorker("slow").start()
         workers = ConnectionPool(loop, 10, 10.0, 15.0)
         dispatcher = RequestDispatcher(loop, SETTINGS, gateway, workers)
         dispatcher.update_workers(
@@ -64,10 +64,10 @@
         await until(lambda: replies and replies[0] == 200)
         await until(lambda: len(gateway.outcomes) == 2)
         assert sorted(gateway.outcomes) == [("fast", interface.SUCCESS, True), ("slow", interface.NOT_SENT, True)]
-        await slow.open()
-        await until(lambda: slow.coming == 0 and slow.connections > 0)
+        await slow.accept_connections()
+        await until(lambda: slow.connecting == 0 and slow.connections > 0)
         await until(lambda: len(workers._endpoints["slow"].idle) == 1)  # kept for the next request
-        assert not slow.seen and not dispatcher.has_request("r")
+        assert not slow.received and not dispatcher.has_request("r")
         fast.stop()
         slow.stop()
 
--- a/tests/endings/test_shutdown.py
+++ b/tests/endings/test_shutdown.py
@@ -4,14 +4,24 @@
 import copy
 import signal
 
-from rig.fake_servers import FACTS, Client, Worker, answer, hang, once, run, scene, until
+from rig.fake_servers import (
+    DEFAULT_SETTINGS,
+    Client,
+    FakeWorker,
+    after_event,
+    answer,
+    hang,
+    run,
+    running_gatekeeper,
+    until,
+)
 
 KILL_SECONDS = 3.7  # the earliest SIGKILL after SIGTERM, if deadlines are 3 s or longer
 
 
 def deadlines(seconds):
     """The default settings with another deadline for all classes."""
-    facts = copy.deepcopy(FACTS)
+    facts = copy.deepcopy(DEFAULT_SETTINGS)
     for klass in facts["Classes"]:
         klass["DeadlineUs"] = int(seconds * 1_000_000)
     return facts
@@ -19,19 +29,19 @@
 
 def with_deadlines(seconds, monkeypatch):
     """Give all classes this deadline."""
-    monkeypatch.setattr("rig.fake_servers.FACTS", deadlines(seconds))
+    monkeypatch.setattr("rig.fake_servers.DEFAULT_SETTINGS", deadlines(seconds))
 
 
 def test_requests_in_flight_beyond_the_kill_are_answered_before_it(monkeypatch):
     with_deadlines(8.0, monkeypatch)
 
     async def scenario():
-        worker = Worker("w", hang)
-        async with scene(worker, ends=True) as (gatekeeper, _, client):
+        worker = FakeWorker("w", hang)
+        async with running_gatekeeper(worker, expect_exit=True) as (gatekeeper, _, client):
             pipelined = await gatekeeper.client()
             client.send(client.request("write", timeout="8.0"))
             pipelined.send(pipelined.request("read", timeout="8.0") + pipelined.request("write", timeout="8.0"))
-            await until(lambda: len(worker.seen) == 2)
+            await until(lambda: len(worker.received) == 2)
             began = asyncio.get_running_loop().time()
             gatekeeper.process.send_signal(signal.SIGTERM)
             replies = [await client.receive(), await pipelined.receive(), await pipelined.receive()]
@@ -39,8 +49,8 @@
             assert asyncio.get_running_loop().time() - began < KILL_SECONDS
             # A request that may have run fails; one that was never sent is refused, with no attempt made.
             assert [reply and reply.status for reply in replies] == [502, 502, 503]
-            assert len(worker.seen) == 2
-            assert await client.ended() and await pipelined.ended()
+            assert len(worker.received) == 2
+            assert await client.is_closed_cleanly() and await pipelined.is_closed_cleanly()
 
     run(scenario())
 
@@ -48,17 +58,17 @@
 def test_a_request_that_crossed_the_close_of_its_connection_is_served_when_it_is_sent_again():
     async def scenario():
         go = asyncio.Event()
-        workers = [Worker(name, once(go)) for name in "vw"]
-        async with scene(*workers, ends=True) as (gatekeeper, _, client):
+        workers = [FakeWorker(name, after_event(go)) for name in "vw"]
+        async with running_gatekeeper(*workers, expect_exit=True) as (gatekeeper, _, client):
             idle = await gatekeeper.client()
             client.send(Client.request("write", timeout="3.0"))
-            await until(lambda: any(worker.seen for worker in workers))
+            await until(lambda: any(worker.received for worker in workers))
             for worker in workers:
                 worker.script = answer()
             gatekeeper.process.send_signal(signal.SIGTERM)
-            assert await idle.ended()  # a request may have crossed the close: the client sends it again
+            assert await idle.is_closed_cleanly()  # a request may have crossed the close: the client sends it again
             again = await gatekeeper.client()
-            reply = await again.ask("write")
+            reply = await again.fetch("write")
             assert reply.status == 200 and reply.headers["connection"] == "close"
             go.set()
             assert (await client.receive()).status == 200
@@ -69,19 +79,19 @@
 
 def test_pipelined_requests_are_answered_too():
     async def scenario():
-        worker, go = Worker("w", hang), asyncio.Event()
-        async with scene(worker, ends=True) as (gatekeeper, _, client):
-            worker.script = once(go)
+        worker, go = FakeWorker("w", hang), asyncio.Event()
+        async with running_gatekeeper(worker, expect_exit=True) as (gatekeeper, _, client):
+            worker.script = after_event(go)
             idle = await gatekeeper.client()
             client.send(b"".join(client.request("write", timeout="3.0") for _ in range(3)))
-            await until(lambda: worker.seen)
+            await until(lambda: worker.received)
             gatekeeper.process.send_signal(signal.SIGTERM)
-            assert await idle.ended()  # from now on replies close their connections
+            assert await idle.is_closed_cleanly()  # from now on replies close their connections
             go.set()
             replies = [await client.receive() for _ in range(3)]
             assert [reply and reply.status for reply in replies] == [200] * 3
             assert [reply.headers.get("connection") for reply in replies] == [None, None, "close"]
-            assert await client.ended() and await gatekeeper.process.wait() == 0
+            assert await client.is_closed_cleanly() and await gatekeeper.process.wait() == 0
 
     run(scenario())
 
@@ -90,14 +100,14 @@
     with_deadlines(0.3, monkeypatch)
 
     async def scenario():
-        worker = Worker("w", hang)
-        async with scene(worker, ends=True) as (gatekeeper, _, client):
+        worker = FakeWorker("w", hang)
+        async with running_gatekeeper(worker, expect_exit=True) as (gatekeeper, _, client):
             idle = await gatekeeper.client()
             began = asyncio.get_running_loop().time()
             gatekeeper.process.send_signal(signal.SIGTERM)
             client.send(client.request("write", timeout="0.3"))
             assert (await client.receive()).status in (502, 504)
-            assert await idle.ended() and await gatekeeper.process.wait() == 0
+            assert await idle.is_closed_cleanly() and await gatekeeper.process.wait() == 0
             assert asyncio.get_running_loop().time() - began < 1.0
 
     run(scenario())
--- a/tests/endings/test_stalled_watch.py
+++ b/tests/endings/test_stalled_watch.py
@@ -8,7 +8,7 @@
 from micagate.estimates.start_times import StartTimes
 from oliveloft.discovery import policy
 from oliveloft.discovery.watch import DiscoveryWatch
-from rig.fake_servers import Discovery, run, until
+from rig.fake_servers import FakeDiscovery, run, until
 
 # A change counts as notified this many seconds after a long poll stops being answered, or after its wait is over,
 # whichever is later.
@@ -18,15 +18,15 @@
 LIST = [{"name": "w", "address": "h:1", "status": "up"}]
 
 
-class UnansweredLongPoll(Discovery):
+class UnansweredLongPoll(FakeDiscovery):
     """An agent that never answers the first long poll, and answers the calls after it."""
 
     @property
-    def silent(self):
-        return len(self.asked) == 2
+    def unresponsive(self):
+        return len(self.requested_paths) == 2
 
-    @silent.setter
-    def silent(self, value):
+    @unresponsive.setter
+    def unresponsive(self, value):
         assert value is False  # set by the base class
 
 
@@ -38,10 +38,11 @@
         loop, agent = asyncio.get_running_loop(), await UnansweredLongPoll(LIST).start()
         watch = DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(0.0), updates.append, None, gatekeepers)
         watch.start()
-        await until(lambda: len(agent.asked) == 2)
-        stalled_at, asked = loop.time(), len(agent.asked)  # the open long poll does not report changes from now on
+        await until(lambda: len(agent.requested_paths) == 2)
+        # The open long poll does not report changes from now on.
+        stalled_at, asked = (loop.time(), len(agent.requested_paths))
         agent.index, agent.entries = 2, [{**LIST[0], "status": "draining"}]
-        await until(lambda: len(agent.asked) > asked)
+        await until(lambda: len(agent.requested_paths) > asked)
         await until(lambda: updates[-1].endpoints and updates[-1].endpoints[0].entry.state == "draining")
         assert loop.time() - stalled_at < NOTIFIED_SECONDS - 0.4
         watch.stop()
@@ -67,19 +68,19 @@
     updates = []
 
     async def scenario():
-        loop, agent = asyncio.get_running_loop(), await Discovery(LIST).start()
+        loop, agent = asyncio.get_running_loop(), await FakeDiscovery(LIST).start()
         watch = DiscoveryWatch(loop, ("127.0.0.1", agent.port), StartTimes(0.0), updates.append)
         watch.start()
-        await agent.watched()
-        agent.silent = True  # a call made now is never answered
-        for _, writer in agent._ends:
+        await agent.wait_until_watched()
+        agent.unresponsive = True  # a call made now is never answered
+        for _, writer in agent._connections:
             writer.transport.abort()
-        asked = len(agent.asked)
-        await until(lambda: len(agent.asked) > asked)
+        asked = len(agent.requested_paths)
+        await until(lambda: len(agent.requested_paths) > asked)
         began = loop.time()
-        await until(lambda: len(agent.asked) > asked + 5)
+        await until(lambda: len(agent.requested_paths) > asked + 5)
         assert (loop.time() - began) / 5 < DRAIN_GRACE_SECONDS
-        agent.silent, agent.index, update_count = False, 2, len(updates)
+        agent.unresponsive, agent.index, update_count = False, 2, len(updates)
         returned = loop.time()
         await until(lambda: len(updates) > update_count)
         assert loop.time() - returned < 0.5
--- a/tests/estimates/test_metering.py
+++ b/tests/estimates/test_metering.py
@@ -6,7 +6,7 @@
 import pytest
 
 from micagate.estimates.metering import MAX_LATENESS_SECONDS, Meter, QuotaEstimate
-from rig.traffic import PlanShape, Store
+from rig.traffic import PlanShape, TokenBucket
 
 
 class Simulation:
@@ -22,17 +22,17 @@
         self.estimates[name] = [
             QuotaEstimate(self.rate, self.burst, self.gateways, self.now, self.burst / 2) for _ in range(self.gateways)
         ]
-        self.sends[name], self.true_buckets[name] = [], Store(PlanShape(self.rate, self.burst), self.now)
+        self.sends[name], self.true_buckets[name] = [], TokenBucket(PlanShape(self.rate, self.burst), self.now)
 
     def level(self, name):
-        return self.true_buckets[name].fill(self.now)
+        return self.true_buckets[name].refill(self.now)
 
     def send(self, name, gateway, units=1.0):
         self.true_buckets[name].take(self.now, units)
         self.sends[name].append((self.now, units))
         estimate = self.estimates[name][gateway]
         estimate.record_sent(self.now, units, self.period / 32)
-        estimate.reading(self.now + 0.05, self.read_meter(name, self.now + 0.05), self.meters[gateway])
+        estimate.record_reading(self.now + 0.05, self.read_meter(name, self.now + 0.05), self.meters[gateway])
 
     def read_meter(self, name, now):
         end = math.floor((now - self.lateness - self.phase) / self.period) * self.period + self.phase
@@ -62,11 +62,13 @@
         simulation.add_customer(name)
     simulation.run(30.0, dict.fromkeys(names, 2.5))
     for meter in simulation.meters:
-        assert meter.known()
+        assert meter.is_known()
         published_at = (
             math.floor((simulation.now - lateness - simulation.phase) / period) * period + simulation.phase + lateness
         )
-        assert meter.end(published_at + 0.5 * period) == pytest.approx(published_at - lateness, abs=0.16 * period)
+        assert meter.period_end(published_at + 0.5 * period) == pytest.approx(
+            published_at - lateness, abs=0.16 * period
+        )
 
 
 def test_follows_a_meter_that_restarts_with_another_phase():
@@ -78,7 +80,7 @@
     simulation.phase = 0.7
     simulation.run(120.0, dict.fromkeys(names, 2.5))
     for meter in simulation.meters:
-        difference = (meter.out(simulation.now) - simulation.lateness - simulation.phase) % 1.0
+        difference = (meter.published_at(simulation.now) - simulation.lateness - simulation.phase) % 1.0
         assert min(difference, 1.0 - difference) < 0.2
 
 
@@ -89,13 +91,13 @@
     for _ in range(800):
         now += random.expovariate(4.0)
         estimate.record_sent(now, 1.0, 0.06)
-        estimate.reading(now, random.choice((0.0, 0.3, 9.0, 40.0)), meter)
-    assert not meter.known() and estimate.told is None
+        estimate.record_reading(now, random.choice((0.0, 0.3, 9.0, 40.0)), meter)
+    assert not meter.is_known() and estimate.metered_until is None
 
 
 def test_infers_nothing_without_a_meter():
     meter = Meter(0.0)
-    assert meter.out(5.0) is None and meter.end(5.0) is None and not meter.known()
+    assert meter.published_at(5.0) is None and meter.period_end(5.0) is None and not meter.is_known()
 
 
 def simulated(rates, seconds=40.0, seed=8, **parameters):
@@ -143,7 +145,11 @@
     for _ in range(8):
         estimate.record_sent(simulation.now, 1.0, 0.06)
     assert estimate.others_rate() > before + 1.0
-    assert estimate.spare(simulation.now, 0.85) < estimate.spare(simulation.now, 0.5) == estimate.level
+    assert (
+        estimate.guaranteed_level(simulation.now, 0.85)
+        < estimate.guaranteed_level(simulation.now, 0.5)
+        == estimate.level
+    )
 
 
 def test_units_beyond_the_concurrency_limit_do_not_lower_the_level():
@@ -158,10 +164,10 @@
 
 def test_slot_probability_falls_with_own_in_flight_attempts_and_usual_rate():
     idle, busy = QuotaEstimate(6.0, 24.0, 2, 0.0, 24.0), QuotaEstimate(60.0, 240.0, 2, 0.0, 240.0)
-    probabilities = [idle.places(in_flight, 0.1, 4) for in_flight in range(5)]
+    probabilities = [idle.slot_probability(in_flight, 0.1, 4) for in_flight in range(5)]
     assert probabilities == sorted(probabilities, reverse=True) and probabilities[0] > 0.9 and probabilities[4] == 0.0
-    assert busy.places(1, 0.1, 4) < idle.places(1, 0.1, 4)
-    assert idle.places(0, 0.0, 1) == 1.0  # attempts take no time
+    assert busy.slot_probability(1, 0.1, 4) < idle.slot_probability(1, 0.1, 4)
+    assert idle.slot_probability(0, 0.0, 1) == 1.0  # attempts take no time
 
 
 def test_history_of_own_sends_is_bounded():
@@ -180,4 +186,4 @@
     estimate.record_sent(0.0, 5.0, 0.1)
     estimate.record_unsent(30.0, 5.0)
     assert estimate.others_rate() >= 0.0
-    assert estimate.spare(31.0, 0.9) <= 20.0
+    assert estimate.guaranteed_level(31.0, 0.9) <= 20.0
--- a/tests/fleet/test_planner_processes.py
+++ b/tests/fleet/test_planner_processes.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from rig.limited_worker import overspent
-from rig.members import MemberSite
-from rig.power import everywhere
+from rig.limited_worker import max_overspending
+from rig.members import MemberInstallation
+from rig.power import spread_customers
 from rig.traffic import Traffic
 
 PLAN = {"Name": "team", "Refill": 40, "MostAtOnce": 40, "HardRate": 24, "CapDepth": 24, "CapSlack": 3}
@@ -21,16 +21,21 @@
 
 
 def ceiling_traffic(fleet, seed=1):
-    fleet.record.keep_units = True
+    fleet.record.records_units = True
     return Traffic(
-        fleet.ports, everywhere(1, 50.0, "team", fleet.count, "write"), fleet.plans, seed, timeout=1.0, aim=0.5
+        fleet.ports,
+        spread_customers(1, 50.0, "team", fleet.forwarder_count, "write"),
+        fleet.plans,
+        seed,
+        timeout=1.0,
+        latency_objective=0.5,
     )
 
 
 def assert_rules_hold(fleet):
-    assert fleet.record.units and max(fleet.record.begun.values()) == 1
+    assert fleet.record.units and max(fleet.record.start_counts.values()) == 1
     for units in fleet.record.units.values():
-        assert overspent(units, PLAN["HardRate"], PLAN["CapDepth"]) <= SLACK
+        assert max_overspending(units, PLAN["HardRate"], PLAN["CapDepth"]) <= SLACK
     for gate in [*fleet.forwarders, *fleet.planners.values()]:
         assert not any("Traceback" in line for line in gate.log), gate.log
 
@@ -40,7 +45,7 @@
     for planner in fleet.planners.values():
         planner.process.kill()
     fleet.kill()
-    await fleet.dead()
+    await fleet.wait_until_exited()
     for planner in fleet.planners.values():
         await planner.process.wait()
 
@@ -49,11 +54,11 @@
 @pytest.mark.parametrize("empty", [False, True])
 def test_store_planners_and_gatekeepers_restart_in_every_order_with_the_last_late(order, empty):
     async def scenario():
-        async with MemberSite(3, planners=2, plans=[PLAN]) as fleet:
+        async with MemberInstallation(3, planners=2, plans=[PLAN]) as fleet:
             load = ceiling_traffic(fleet)
-            await load.run(3.0, settle=False)
+            await load.run(3.0, wait_for_in_flight=False)
             await kill_all(fleet)
-            fleet.store.down = True
+            fleet.store.unreachable = True
             if empty:
                 fleet.store.wipe()
             listened = []
@@ -61,12 +66,12 @@
             async def kind(name, wait):
                 await asyncio.sleep(wait)
                 if name == "store":
-                    fleet.store.down = False
+                    fleet.store.unreachable = False
                 elif name == "planners":
-                    await asyncio.gather(*(fleet.plan(name) for name in fleet.names))
+                    await asyncio.gather(*(fleet.start_planner(name) for name in fleet.planner_names))
                 else:
                     began = time.monotonic()
-                    for number, gate in enumerate(await asyncio.gather(*(fleet.forward(n) for n in range(3)))):
+                    for number, gate in enumerate(await asyncio.gather(*(fleet.start_forwarder(n) for n in range(3)))):
                         load.ports[number] = gate.port
                     listened.append(time.monotonic() - began)
 
@@ -77,7 +82,7 @@
             assert_rules_hold(fleet)
             # No start waits for leases that have surely ended: all processes are new, or a lease term has passed.
             assert listened[0] < 2.6, listened
-            assert sum(second["served"] for second in report.series.values()) > 60
+            assert sum(second["served"] for second in report.outcomes_by_second.values()) > 60
 
     run(scenario())
 
@@ -86,14 +91,14 @@
     """Its peers may spend the shares it lent until these leases expire; the expiry is recorded on its disk."""
 
     async def scenario():
-        async with MemberSite(3, planners=2, plans=[PLAN]) as fleet:
+        async with MemberInstallation(3, planners=2, plans=[PLAN]) as fleet:
             load = ceiling_traffic(fleet)
             playing = asyncio.create_task(load.run(9.0))
             await asyncio.sleep(3.0)
             fleet.kill(0)
-            await fleet.dead(0)
+            await fleet.wait_until_exited(0)
             began = time.monotonic()
-            gate = await fleet.forward(0)
+            gate = await fleet.start_forwarder(0)
             load.ports[0] = gate.port
             assert time.monotonic() - began > 0.9
             await playing
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from oliveloft.memory.files import PlainDisk
-from oliveloft.memory.log import LOG_FILE_PATTERN, Log
+from oliveloft.memory.files import SystemDisk
+from oliveloft.memory.log import LOG_FILE_PATTERN, RecordLog
 from rig.capacity import Capacity
 from rig.fake_servers import Client, spawn, until
 from rig.installation import free_port
-from rig.limited_worker import overspent
-from rig.members import MemberSite
-from rig.power import Loss, everywhere
+from rig.limited_worker import max_overspending
+from rig.members import MemberInstallation
+from rig.power import PowerLoss, spread_customers
 from rig.traffic import Traffic
 
 PLAN = {"Name": "team", "Refill": 40, "MostAtOnce": 40, "HardRate": 24, "CapDepth": 24, "CapSlack": 3}
@@ -33,27 +33,27 @@
 
 
 def site(count=3, **how):
-    return MemberSite(count, **{"plans": [PLAN], "recovery": SHORT_RECOVERY_TIMES, **how})
+    return MemberInstallation(count, **{"plans": [PLAN], "recovery": SHORT_RECOVERY_TIMES, **how})
 
 
 def ceiling_traffic(fleet, rate=40.0, customers=1, seed=1, klass="write", timeout=1.0):
     """Return traffic at and above the ceiling, through all gatekeepers in turn."""
-    fleet.record.keep_units = True
+    fleet.record.records_units = True
     return Traffic(
         fleet.ports,
-        everywhere(customers, rate, "team", fleet.count, klass),
+        spread_customers(customers, rate, "team", fleet.forwarder_count, klass),
         fleet.plans,
         seed,
         timeout=timeout,
-        aim=0.5,
+        latency_objective=0.5,
     )
 
 
 def assert_rules_hold(fleet):
     """Assert that ceilings hold over all gatekeepers and incarnations, and that no write ran twice."""
-    assert fleet.record.units and max(fleet.record.begun.values()) == 1
+    assert fleet.record.units and max(fleet.record.start_counts.values()) == 1
     for units in fleet.record.units.values():
-        assert overspent(units, PLAN["HardRate"], PLAN["CapDepth"]) <= SLACK
+        assert max_overspending(units, PLAN["HardRate"], PLAN["CapDepth"]) <= SLACK
     for gate in fleet.forwarders:
         assert not any("Traceback" in line for line in gate.log), gate.log
 
@@ -63,11 +63,11 @@
 
     async def one(number):
         await asyncio.sleep(wait * number)
-        gate = await fleet.forward(number)
+        gate = await fleet.start_forwarder(number)
         if traffic is not None:
             traffic.ports[number] = gate.port
 
-    await asyncio.gather(*(one(number) for number in numbers or range(fleet.count)))
+    await asyncio.gather(*(one(number) for number in numbers or range(fleet.forwarder_count)))
 
 
 def log_lines(gate, text):
@@ -77,8 +77,8 @@
 def test_members_find_each_other_and_report_it():
     async def scenario():
         async with site() as fleet:
-            assert await fleet.agree(3)
-            states = await fleet.states()
+            assert await fleet.wait_for_agreement(3)
+            states = await fleet.member_states()
             assert all(state["open"] and state["up"] == 3 for state in states.values())
             assert len({state["boot"] for state in states.values()}) == 3
             assert (await fleet.forwarders[0].call("HEALTH")).startswith("ok serving")
@@ -92,11 +92,13 @@
             load = ceiling_traffic(fleet)
             playing = asyncio.create_task(load.run(9.0))
             await asyncio.sleep(4.0)
-            loss = Loss(fleet, load)
-            await loss.strike(0.3, workers=False)
+            loss = PowerLoss(fleet, load)
+            await loss.cut_power(0.3, workers=False)
             report = await playing
             assert_rules_hold(fleet)
-            assert sum(report.series[second]["served"] for second in range(7, 9)) > 10, report.series
+            assert (
+                sum(report.outcomes_by_second[second]["served"] for second in range(7, 9)) > 10
+            ), report.outcomes_by_second
             for gate in fleet.forwarders:
                 assert (
                     log_lines(gate, "previous end: killed")
@@ -114,44 +116,50 @@
     async def scenario():
         ramp = {"Rules": {"ColdFrom": 0.25, "RampTimeUs": 2_000_000}}
         async with site(
-            2, workers=2, settings=ramp, capacity=Capacity(cores=2, queue=24, cold_from=0.25, ramp=2.0)
+            2,
+            workers=2,
+            settings=ramp,
+            capacity=Capacity(cores=2, queue_limit=24, min_warm_up_factor=0.25, warm_up_seconds=2.0),
         ) as fleet:
             load = ceiling_traffic(fleet, rate=12.0, klass="read")
-            await load.run(1.5, settle=False)
+            await load.run(1.5, wait_for_in_flight=False)
             fleet.kill()
             for worker in fleet.workers:
                 worker.stop()
-            fleet.discovery.silent = True
-            await fleet.dead()
+            fleet.discovery.unresponsive = True
+            await fleet.wait_until_exited()
 
             async def kind(name, wait):
                 await asyncio.sleep(wait)
                 if name == "workers":
                     for worker in fleet.workers:
-                        worker.cold = True
+                        worker.slow_start = True
                         await worker.start()
                     fleet.discovery.entries = [worker.entry() for worker in fleet.workers]
                     fleet.discovery.change(*fleet.discovery.entries)
                 elif name == "discovery":
-                    fleet.discovery.silent = False
+                    fleet.discovery.unresponsive = False
                 else:
                     await asyncio.gather(*(started(number) for number in range(2)))
 
             async def started(number):
                 # Discovery may come last: a gatekeeper listens without it once the stage has timed out.
-                gate = await MemberSite._spawn(fleet, number, gatekeeper_config(fleet, number), ())
+                gate = await MemberInstallation._spawn(fleet, number, gatekeeper_config(fleet, number), ())
                 fleet.forwarders[number] = gate
-                await gate.listening()
+                await gate.wait_until_listening()
                 load.ports[number] = gate.port
 
             await asyncio.gather(*(kind(name, wait) for name, wait in zip(order, (0.0, 0.3, 2.5), strict=True)))
             await asyncio.sleep(2.5)
             report = await load.run(2.0)
             assert (
-                report.ends["served"]
-                and sum(report.series[second]["served"] for second in sorted(report.series)[-2:]) > 8
-            ), report.series
-            assert max(fleet.record.begun.values()) == 1
+                report.outcomes["served"]
+                and sum(
+                    report.outcomes_by_second[second]["served"] for second in sorted(report.outcomes_by_second)[-2:]
+                )
+                > 8
+            ), report.outcomes_by_second
+            assert max(fleet.record.start_counts.values()) == 1
 
     run(scenario())
 
@@ -174,18 +182,18 @@
         ) as fleet:
             assert (await fleet.forwarders[0].call("OFFLINE worker-1")).startswith("ok")
             load = ceiling_traffic(fleet)
-            await load.run(2.0, settle=False)
+            await load.run(2.0, wait_for_in_flight=False)
             incarnations = set()
             for _ in range(3):
                 fleet.kill()
-                await fleet.dead()
+                await fleet.wait_until_exited()
                 if stage == "memory":
-                    fleet.knobs(0, sync_takes=0.5)
+                    fleet.set_disk_faults(0, sync_takes=0.5)
                 if stage == "list":
-                    fleet.discovery.silent = True
+                    fleet.discovery.unresponsive = True
                 starting = []
                 for number in range(3 if stage != "peers" else 2):  # a missing member holds up the stage "peers"
-                    gate = await MemberSite._spawn(fleet, number, gatekeeper_config(fleet, number), ())
+                    gate = await MemberInstallation._spawn(fleet, number, gatekeeper_config(fleet, number), ())
                     fleet.forwarders[number] = gate
                     starting.append(gate)
                 # Wait until two members have a new incarnation; with a slow disk f0 has not got that far.
@@ -198,9 +206,9 @@
                     for line in log_lines(gate, ", incarnation ")
                 }
             fleet.kill()
-            await fleet.dead()
-            fleet.knobs(0)
-            fleet.discovery.silent = False
+            await fleet.wait_until_exited()
+            fleet.set_disk_faults(0)
+            fleet.discovery.unresponsive = False
             await restart_members(fleet, load)
             await load.run(2.0)
             assert_rules_hold(fleet)
@@ -214,23 +222,23 @@
 def test_half_of_the_members_restart_while_partitioned_from_the_other_half():
     async def scenario():
         async with site(4, linked=True) as fleet:
-            assert await fleet.agree(4)
+            assert await fleet.wait_for_agreement(4)
             load = ceiling_traffic(fleet)
             playing = asyncio.create_task(load.run(11.0))
             await asyncio.sleep(2.0)
             fleet.kill(2, 3)
-            await fleet.dead(2, 3)
+            await fleet.wait_until_exited(2, 3)
             for one in (0, 1):
                 for other in (2, 3):
-                    fleet.cut(one, other)
+                    fleet.block_link(one, other)
             await restart_members(fleet, load, (2, 3))
-            states = await fleet.states()
+            states = await fleet.member_states()
             assert states["f2"]["open"] and states["f2"]["disk"] == "own"
             assert (await fleet.forwarders[2].call("OFFLINE worker-2")).startswith("ok")
-            assert "worker-2" not in (await fleet.states())["f0"]["bans"]
+            assert "worker-2" not in (await fleet.member_states())["f0"]["bans"]
             fleet.heal()
-            assert await fleet.agree(4, within=10.0)
-            assert (await fleet.states())["f0"]["bans"]["worker-2"]["by"] == "f2"
+            assert await fleet.wait_for_agreement(4, timeout_seconds=10.0)
+            assert (await fleet.member_states())["f0"]["bans"]["worker-2"]["by"] == "f2"
             await playing
             assert_rules_hold(fleet)
 
@@ -240,11 +248,11 @@
 def test_maintenance_survives_power_loss_and_its_end_wins_over_an_outdated_disk(tmp_path):
     async def scenario():
         async with site(3) as fleet:
-            assert await fleet.agree(3)
+            assert await fleet.wait_for_agreement(3)
             assert (await fleet.forwarders[0].call("OFFLINE worker-1")).startswith("ok")
             await wait_for_maintenance(fleet, {"f0": True, "f1": True, "f2": True})
             fleet.kill()
-            await fleet.dead()
+            await fleet.wait_until_exited()
             await restart_members(fleet)
             await wait_for_maintenance(fleet, {"f0": True, "f1": True, "f2": True})
             began = fleet.workers[0].load.served
@@ -253,7 +261,7 @@
             assert fleet.workers[0].load.served == began
             # While f1 is down, the maintenance ends; f1 then restarts with an outdated disk.
             fleet.kill(1)
-            await fleet.dead(1)
+            await fleet.wait_until_exited(1)
             assert (await fleet.forwarders[2].call("ONLINE worker-1")).startswith("ok")
             await restart_members(fleet, None, (1,))
             await wait_for_maintenance(fleet, {"f0": False, "f1": False, "f2": False})
@@ -267,7 +275,7 @@
 
 async def wait_for_maintenance(fleet, expected, worker="worker-1"):
     async def current():
-        states = await fleet.states()
+        states = await fleet.member_states()
         return {name: state.get("bans", {}).get(worker, {}).get("out") for name, state in states.items()}
 
     end = time.monotonic() + 5
@@ -283,10 +291,10 @@
         async with site(2) as fleet:
             assert (await fleet.forwarders[0].call("LEAVE")).startswith("ok")
             fleet.kill(0)
-            await fleet.dead(0)
-            gate = await MemberSite._spawn(fleet, 0, gatekeeper_config(fleet, 0), ())
+            await fleet.wait_until_exited(0)
+            gate = await MemberInstallation._spawn(fleet, 0, gatekeeper_config(fleet, 0), ())
             fleet.forwarders[0] = gate
-            await gate.listening()
+            await gate.wait_until_listening()
             assert await gate.call("HEALTH") == "fail sending clients away"
             assert (await gate.call("JOIN")).startswith("ok")
             assert (await gate.call("HEALTH")).startswith("ok")
@@ -298,26 +306,26 @@
     async def scenario():
         async with site(5) as fleet:
             load = ceiling_traffic(fleet)
-            await load.run(1.0, settle=False)
+            await load.run(1.0, wait_for_in_flight=False)
             fleet.kill(0)
-            await fleet.dead(0)
-            shutil.copytree(fleet.folder(0), str(fleet.folder(0)) + "-old")
+            await fleet.wait_until_exited(0)
+            shutil.copytree(fleet.disk_directory(0), str(fleet.disk_directory(0)) + "-old")
             await restart_members(fleet, load, (0,))
-            await load.run(2.0, settle=False)
+            await load.run(2.0, wait_for_in_flight=False)
             fleet.kill()
-            await fleet.dead()
-            shutil.rmtree(fleet.folder(0))
-            shutil.move(str(fleet.folder(0)) + "-old", fleet.folder(0))  # outdated
+            await fleet.wait_until_exited()
+            shutil.rmtree(fleet.disk_directory(0))
+            shutil.move(str(fleet.disk_directory(0)) + "-old", fleet.disk_directory(0))  # outdated
             fleet.copy_disk(4, 1)  # of another member
-            shutil.rmtree(fleet.folder(2))  # no disk
-            fleet.knobs(3, room=0)  # full disk
+            shutil.rmtree(fleet.disk_directory(2))  # no disk
+            fleet.set_disk_faults(3, room=0)  # full disk
             await restart_members(fleet, load)
-            states = await fleet.states()
+            states = await fleet.member_states()
             disks = {name: state["disk"] for name, state in states.items()}
             assert (disks["f0"], disks["f1"], disks["f2"], disks["f4"]) == ("old", "other", "none", "own"), disks
             assert not states["f3"]["memory"]["believed"] and "full" in states["f3"]["memory"]["why"]
             assert all(state["open"] for state in states.values())
-            assert any(name.endswith(".of-f4") for name in os.listdir(fleet.folder(1)))  # renamed, not deleted
+            assert any(name.endswith(".of-f4") for name in os.listdir(fleet.disk_directory(1)))  # renamed, not deleted
             await load.run(3.0)
             assert_rules_hold(fleet)
 
@@ -328,16 +336,16 @@
     async def scenario():
         async with site(2) as fleet:
             load = ceiling_traffic(fleet)
-            await load.run(2.0, settle=False)
+            await load.run(2.0, wait_for_in_flight=False)
             fleet.kill(0)
-            await fleet.dead(0)
-            (name,) = [name for name in os.listdir(fleet.folder(0)) if LOG_FILE_PATTERN.fullmatch(name)]
-            path = fleet.folder(0) / name
+            await fleet.wait_until_exited(0)
+            (name,) = [name for name in os.listdir(fleet.disk_directory(0)) if LOG_FILE_PATTERN.fullmatch(name)]
+            path = fleet.disk_directory(0) / name
             data = bytearray(path.read_bytes())
             data[len(data) // 2] ^= 0x10
             path.write_bytes(data)
             await restart_members(fleet, load, (0,))
-            assert (await fleet.states())["f0"]["disk"] == "spoilt" and log_lines(fleet.forwarders[0], "damaged")
+            assert (await fleet.member_states())["f0"]["disk"] == "spoilt" and log_lines(fleet.forwarders[0], "damaged")
             await load.run(2.0)
             assert_rules_hold(fleet)
 
@@ -350,16 +358,16 @@
             load = ceiling_traffic(fleet)
             playing = asyncio.create_task(load.run(9.0))
             await asyncio.sleep(1.0)
-            fleet.knobs(0, sync_takes=6.0)
+            fleet.set_disk_faults(0, sync_takes=6.0)
             answer = await fleet.forwarders[0].call("OFFLINE worker-1")
             assert answer.startswith("fail") and "not on disk" in answer
             await until(lambda: log_lines(fleet.forwarders[0], "nothing of it is believed from here on"))
             fleet.kill(0)
-            await fleet.dead(0)
-            fleet.knobs(0)
+            await fleet.wait_until_exited(0)
+            fleet.set_disk_faults(0)
             await restart_members(fleet, load, (0,))
-            assert (await fleet.states())["f0"]["disk"] in ("void", "old")
-            assert (await fleet.states())["f0"]["bans"]["worker-1"]["out"]  # from the other member
+            assert (await fleet.member_states())["f0"]["disk"] in ("void", "old")
+            assert (await fleet.member_states())["f0"]["bans"]["worker-1"]["out"]  # from the other member
             await playing
             assert_rules_hold(fleet)
 
@@ -371,25 +379,25 @@
     async def scenario():
         async with site(3) as fleet:
             load = ceiling_traffic(fleet)
-            await load.run(1.5, settle=False)
+            await load.run(1.5, wait_for_in_flight=False)
             fleet.kill()
-            await fleet.dead()
+            await fleet.wait_until_exited()
             gates = []
             for number in range(3):
-                gates.append(await MemberSite._spawn(fleet, number, gatekeeper_config(fleet, number), ()))
+                gates.append(await MemberInstallation._spawn(fleet, number, gatekeeper_config(fleet, number), ()))
                 fleet.forwarders[number] = gates[-1]
             await asyncio.sleep(moment)
             began = time.monotonic()
-            fleet.stop(1)
+            fleet.suspend(1)
             for number in (0, 2):  # the others wait for it no longer than configured
-                await gates[number].listening()
+                await gates[number].wait_until_listening()
                 load.ports[number] = gates[number].port
             assert time.monotonic() - began < 2.9
             await asyncio.sleep(max(0.0, 3.0 - (time.monotonic() - began)))
-            fleet.go_on(1)
-            await gates[1].listening()
+            fleet.resume(1)
+            await gates[1].wait_until_listening()
             load.ports[1] = gates[1].port
-            assert await fleet.agree(3)
+            assert await fleet.wait_for_agreement(3)
             await load.run(2.0)
             assert_rules_hold(fleet)
 
@@ -400,15 +408,15 @@
 def test_a_one_way_link_is_reported_and_no_member_is_declared_dead(forward, backward):
     async def scenario():
         async with site(3, linked=True) as fleet:
-            assert await fleet.agree(3)
-            fleet.cut(0, 1, there=forward, back=backward)
+            assert await fleet.wait_for_agreement(3)
+            fleet.block_link(0, 1, forward=forward, backward=backward)
             await asyncio.sleep(4.0)
-            states = await fleet.states()
+            states = await fleet.member_states()
             assert not any(each["status"] == "dead" for state in states.values() for each in state["members"].values())
             named = {(name, peer) for name, state in states.items() for peer in state["cut"]}
             assert named and named <= {("f0", "f1"), ("f1", "f0")}, named
             fleet.heal()
-            assert await fleet.agree(3)
+            assert await fleet.wait_for_agreement(3)
 
     run(scenario())
 
@@ -416,26 +424,30 @@
 def test_of_two_processes_with_one_name_the_later_serves_and_the_earlier_drains():
     async def scenario():
         async with site(3) as fleet:
-            assert await fleet.agree(3)
+            assert await fleet.wait_for_agreement(3)
             first = fleet.forwarders[0]
             # A second process with the same name, another peer port and another disk.
             port, fleet.peer_ports[0] = fleet.peer_ports[0], free_port()
-            file = await fleet.fleet_file(0, "twin")
-            text = Path(file).read_text().replace(f'"{fleet.folder(0)}"', json.dumps(str(fleet.folder(0)) + "-twin"))
+            file = await fleet.write_fleet_config(0, "twin")
+            text = (
+                Path(file)
+                .read_text()
+                .replace(f'"{fleet.disk_directory(0)}"', json.dumps(str(fleet.disk_directory(0)) + "-twin"))
+            )
             text = text.replace(
                 "[members]\n" + f'f0 = "127.0.0.1:{fleet.peer_ports[0]}"', "[members]\n" + f'f0 = "127.0.0.1:{port}"'
             )
             Path(file).write_text(text)
             duplicate = await spawn(
                 gatekeeper_config(fleet, 0),
-                str(fleet.folder(0)) + "-knobs",
+                str(fleet.disk_directory(0)) + "-knobs",
                 "member",
                 "--fleet",
                 file,
                 module="rig.member",
             )
             fleet.forwarders.append(duplicate)
-            await duplicate.listening()
+            await duplicate.wait_until_listening()
             await until(lambda: log_lines(first, "another process goes by the name of f0"))
             assert await first.call("HEALTH") == "fail sending clients away"
             assert (await duplicate.call("HEALTH")).startswith("ok")
@@ -449,21 +461,25 @@
 
 def test_a_write_in_flight_at_a_power_loss_runs_at_most_once_under_doubled_load():
     async def scenario():
-        slow = Capacity(cores=2, queue=24, cold_from=0.25, ramp=2.0)
+        slow = Capacity(cores=2, queue_limit=24, min_warm_up_factor=0.25, warm_up_seconds=2.0)
         async with site(
-            3, workers=3, capacity=slow, service=0.05, settings={"Rules": {"ColdFrom": 0.25, "RampTimeUs": 2_000_000}}
+            3,
+            workers=3,
+            capacity=slow,
+            service_seconds=0.05,
+            settings={"Rules": {"ColdFrom": 0.25, "RampTimeUs": 2_000_000}},
         ) as fleet:
             load = ceiling_traffic(fleet, rate=15.0, klass="write")
             double = ceiling_traffic(fleet, rate=15.0, klass="write", seed=9)
             playing = asyncio.create_task(load.run(8.0))
             await asyncio.sleep(2.0)
-            loss = Loss(fleet, load)
-            await loss.strike(0.2)
+            loss = PowerLoss(fleet, load)
+            await loss.cut_power(0.2)
             double.ports[:] = load.ports
             await double.run(3.0)
             await playing
             assert_rules_hold(fleet)
-            assert load.filings and max(fleet.record.begun[name] for name in load.filings) <= 1
+            assert load.unrepeatable_ids and max(fleet.record.start_counts[name] for name in load.unrepeatable_ids) <= 1
 
     run(scenario())
 
@@ -472,19 +488,21 @@
     async def scenario():
         async with site(2, recovery={**SHORT_RECOVERY_TIMES, "memory": 0.5}) as fleet:
             load = ceiling_traffic(fleet)
-            await load.run(2.0, settle=False)
+            await load.run(2.0, wait_for_in_flight=False)
             fleet.kill(0)
-            await fleet.dead(0)
-            fleet.knobs(0, sync_takes=3.0)
+            await fleet.wait_until_exited(0)
+            fleet.set_disk_faults(0, sync_takes=3.0)
             began = time.monotonic()
             await restart_members(fleet, load, (0,))
-            assert time.monotonic() - began < 3.0 and "no answer" in (await fleet.states())["f0"]["memory"]["why"]
-            await load.run(2.0, settle=False)
+            assert (
+                time.monotonic() - began < 3.0 and "no answer" in (await fleet.member_states())["f0"]["memory"]["why"]
+            )
+            await load.run(2.0, wait_for_in_flight=False)
             fleet.kill(0)
-            await fleet.dead(0)
-            fleet.knobs(0)
+            await fleet.wait_until_exited(0)
+            fleet.set_disk_faults(0)
             await restart_members(fleet, load, (0,))
-            assert (await fleet.states())["f0"]["disk"] in ("old", "void")
+            assert (await fleet.member_states())["f0"]["disk"] in ("old", "void")
             await load.run(2.0)
             assert_rules_hold(fleet)
 
@@ -497,8 +515,8 @@
             load = ceiling_traffic(fleet, rate=10.0)
             await load.run(2.5)
             fleet.forwarders[0].process.send_signal(signal.SIGTERM)
-            await fleet.dead(0)
-            found = Log(PlainDisk(str(fleet.folder(0))), "f0").find()
+            await fleet.wait_until_exited(0)
+            found = RecordLog(SystemDisk(str(fleet.disk_directory(0))), "f0").load()
             assert found.records[("life", "")]["end"] == "asked" and any(kind == "mark" for kind, _ in found.records)
             await restart_members(fleet, load, (0,))
             assert log_lines(fleet.forwarders[0], "previous end: asked")
@@ -509,11 +527,11 @@
 def test_without_a_record_store_calls_say_that_they_end_with_the_process():
     async def scenario():
         async with site(2, memory=False) as fleet:
-            assert await fleet.agree(2)
+            assert await fleet.wait_for_agreement(2)
             answer = await fleet.forwarders[0].call("OFFLINE worker-1")
             assert answer.startswith("ok") and "no memory" in answer
             fleet.kill(0)
-            await fleet.dead(0)
+            await fleet.wait_until_exited(0)
             await restart_members(fleet, None, (0,))
             await wait_for_maintenance(fleet, {"f0": True, "f1": True})  # from the other member
 
@@ -524,18 +542,18 @@
     async def scenario():
         async with site(2) as fleet:
             fleet.kill(1)
-            await fleet.dead(1)
-            folder, fleet.folder = fleet.folder, lambda number: folder(0)
+            await fleet.wait_until_exited(1)
+            folder, fleet.disk_directory = fleet.disk_directory, lambda number: folder(0)
             await restart_members(fleet, None, (1,))
-            assert "another process has it" in (await fleet.states())["f1"]["memory"]["why"]
-            fleet.folder = folder
+            assert "another process has it" in (await fleet.member_states())["f1"]["memory"]["why"]
+            fleet.disk_directory = folder
 
     run(scenario())
 
 
 def test_without_a_fleet_file_no_fleet_module_is_loaded_and_no_file_opened(tmp_path):
     async def scenario():
-        async with MemberSite(1, fleet=False) as plain:
+        async with MemberInstallation(1, fleet=False) as plain:
             pid = plain.forwarders[0].process.pid
             maps = Path(f"/proc/{pid}/maps").read_text()
             assert "xxhash" not in maps and "msgspec" not in maps and "lmdb" not in maps
@@ -549,17 +567,19 @@
     async def scenario():
         async with site(2, recovery={"peers": 3.0}) as fleet:
             fleet.kill()
-            await fleet.dead()
-            gate = await MemberSite._spawn(fleet, 0, gatekeeper_config(fleet, 0), ())
+            await fleet.wait_until_exited()
+            gate = await MemberInstallation._spawn(fleet, 0, gatekeeper_config(fleet, 0), ())
             fleet.forwarders[0] = gate
             await until(lambda: log_lines(gate, "fleet: f0, incarnation"))
             words = await gate.call("HEALTH")
             assert words.startswith("fail coming back: ") or words.startswith("ok"), words
             await restart_members(fleet, None, (1,))
-            await gate.listening()
-            assert (await fleet.states())["f0"]["stages"][-1]["stage"] == "gather"
+            await gate.wait_until_listening()
+            assert (await fleet.member_states())["f0"]["stages"][-1]["stage"] == "gather"
             client = Client(*await asyncio.open_connection("127.0.0.1", gate.port))
-            assert (await client.ask("read", plan="team", weight="units=1,spread=2,first=0", timeout="1.0")).status in (
+            assert (
+                await client.fetch("read", plan="team", weight="units=1,spread=2,first=0", timeout="1.0")
+            ).status in (
                 200,
                 503,
             )
--- a/tests/front/test_forms.py
+++ b/tests/front/test_forms.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rig.fake_servers import Client, Worker, answer, run, scene
+from rig.fake_servers import Client, FakeWorker, answer, run, running_gatekeeper
 
 PLAIN = Client.request("write", id="form", body=b"abc")
 HEAD = PLAIN.partition(b"\r\n\r\n")[0]
@@ -56,15 +56,15 @@
 @pytest.mark.parametrize("form", ACCEPTED)
 def test_an_allowed_form_is_served_and_its_connection_stays_open(form):
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (_, _, client):
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (_, _, client):
             data = ACCEPTED[form]
             for at in range(0, len(data), 1 if form == "a byte at a time" else len(data)):
                 client.send(data[at : at + (1 if form == "a byte at a time" else len(data))])
                 await asyncio.sleep(0)
             reply = await client.receive()
-            assert reply is not None and reply.status == 200 and [seen.body for seen in worker.seen] == [b"abc"]
-            assert (await client.ask("write")).status == 200
+            assert reply is not None and reply.status == 200 and [seen.body for seen in worker.received] == [b"abc"]
+            assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
@@ -72,13 +72,13 @@
 @pytest.mark.parametrize("form", REFUSED)
 def test_a_form_that_allows_request_smuggling_is_refused_and_reaches_no_worker(form):
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (gatekeeper, _, client):
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (gatekeeper, _, client):
             client.send(REFUSED[form])
             reply = await client.receive()
             assert reply is None or reply.status >= 400
-            assert await client.ended() and not worker.seen
-            assert (await (await gatekeeper.client()).ask("write")).status == 200
+            assert await client.is_closed_cleanly() and not worker.received
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200
 
     run(scenario())
 
@@ -86,13 +86,13 @@
 @pytest.mark.parametrize(("line", "stays_open"), [("", False), ("Connection: keep-alive\r\n", True)])
 def test_http_1_0_connections_stay_open_only_with_connection_keep_alive(line, stays_open):
     async def scenario():
-        async with scene(Worker("w")) as (_, _, client):
+        async with running_gatekeeper(FakeWorker("w")) as (_, _, client):
             client.send(Client.request("write", extra=line).replace(b"HTTP/1.1", b"HTTP/1.0"))
             assert (await client.receive()).status == 200
             if stays_open:
-                assert (await client.ask("write")).status == 200
+                assert (await client.fetch("write")).status == 200
             else:
-                assert await client.ended()
+                assert await client.is_closed_cleanly()
 
     run(scenario())
 
@@ -117,9 +117,9 @@
 @pytest.mark.parametrize("form", RESPONSES)
 def test_an_allowed_form_of_a_response_is_forwarded(form):
     async def scenario():
-        async with scene(Worker("w", answer(raw=RESPONSES[form]))) as (_, _, client):
+        async with running_gatekeeper(FakeWorker("w", answer(raw=RESPONSES[form]))) as (_, _, client):
             for _ in range(2):
-                reply = await client.ask("write")
+                reply = await client.fetch("write")
                 assert reply.status == 200 and reply.body == b"done" and reply.headers["content-length"] == "4"
 
     run(scenario())
--- a/tests/front/test_guarded_closes.py
+++ b/tests/front/test_guarded_closes.py
@@ -4,7 +4,7 @@
 
 from micagate.invariants import Reason, close_refusal
 from oliveloft.guard import MAX_LOGGED_PER_REASON, Guard
-from rig.fake_servers import Worker, run, scene
+from rig.fake_servers import FakeWorker, run, running_gatekeeper
 from tests.front.test_one_answer import Case
 
 
@@ -48,8 +48,8 @@
 
 def test_operators_can_read_the_counts():
     async def scenario():
-        async with scene(Worker("w")) as (gatekeeper, _, client):
-            assert (await client.ask("write")).status == 200
+        async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, _, client):
+            assert (await client.fetch("write")).status == 200
             assert await gatekeeper.call("REFUSED") == "ok none"
 
     run(scenario())
--- a/tests/front/test_one_answer.py
+++ b/tests/front/test_one_answer.py
@@ -12,9 +12,9 @@
 from micagate import Gateway, interface
 from oliveloft.backend.attempt import Response
 from oliveloft.dispatch.dispatcher import RequestDispatcher
-from oliveloft.front.http import Client, Server
+from oliveloft.front.http import ClientConnection, Server
 from oliveloft.guard import Guard
-from rig.loops import SimulatedLoop, Wire
+from rig.loops import SimulatedLoop, SimulatedTransport
 from rig.simulation import Clock
 
 SETTINGS = interface.Settings(
@@ -88,17 +88,17 @@
             self.loop, SETTINGS, gateway, self.backend, Counter(self.clock, self.random)
         )
         self.server = Server(self.loop, SETTINGS, 10.0, 4, 2, self.dispatcher)
-        self.server.accepts = True
+        self.server.accepting = True
         self.dispatcher.handle(
             interface.WorkerList(tuple(interface.WorkerEntry(f"w{n}") for n in range(3)), whole=True)
         )
-        self.server.able()
+        self.server.workers_available()
         self.wires = []  # each with the ids of the requests that were sent over it completely, in order
         self.made = 0
 
     def connect(self):
-        protocol = Client(self.server)
-        wire = Wire(self.loop, protocol)
+        protocol = ClientConnection(self.server)
+        wire = SimulatedTransport(self.loop, protocol)
         protocol.connection_made(wire)
         self.wires.append((wire, []))
         return self.wires[-1]
@@ -148,7 +148,7 @@
             if self.random.random() < 0.1:
                 self.clock.run(self.clock.now + 0.001)
         if cut <= len(data):
-            wire.lost()
+            wire.disconnect()
         return cut >= len(data)
 
     def wrong(self):
@@ -201,5 +201,5 @@
     case = Case(2)
     wire, _ = case.connect()
     wire.protocol.data_received(case.request("a")[:at])
-    wire.lost()
+    wire.disconnect()
     assert not case.dispatcher.has_request("a") and not case.server._clients
--- a/tests/gatekeeper/test_dispatcher.py
+++ b/tests/gatekeeper/test_dispatcher.py
@@ -13,7 +13,7 @@
 from oliveloft.backend.pool import ConnectionPool
 from oliveloft.dispatch.dispatcher import Request, RequestDispatcher
 from oliveloft.shared_types import DiscoveryUpdate
-from rig.fake_servers import Worker, answer, hang, run, until
+from rig.fake_servers import FakeWorker, answer, hang, run, until
 
 CLASSES = (interface.RequestClass("write", 1.0, 4.0, interface.SIDE_EFFECT), interface.RequestClass("read", 1.0, 4.0))
 SETTINGS = interface.Settings(CLASSES, (interface.Plan("free"),), max_attempts=2)
@@ -52,7 +52,7 @@
         )
         self.replies: list[int] = []
 
-    def update_workers(self, *workers: Worker, **changes: object) -> None:
+    def update_workers(self, *workers: FakeWorker, **changes: object) -> None:
         """Apply a discovery snapshot with these workers."""
         self.dispatcher.update_workers(
             DiscoveryUpdate(
@@ -77,7 +77,7 @@
 def test_a_success_is_the_final_reply_and_the_request_is_released():
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        case.update_workers(await Worker("w").start())
+        case.update_workers(await FakeWorker("w").start())
         request = case.submit()
         await until(lambda: case.gateway.outcomes())
         assert case.replies == [200] and case.gateway.outcomes() == [(0, interface.SUCCESS, True)]
@@ -100,45 +100,45 @@
 )
 def test_an_attempt_that_is_not_allowed_ends_as_not_sent(sends, changes, expected):
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", name) for name in sends)), **changes)
         case.update_workers(worker)
         case.submit()
         assert case.gateway.outcomes() == expected and case.replies == []
-        await until(lambda: len(worker.seen) == ("w" in sends))
+        await until(lambda: len(worker.received) == ("w" in sends))
 
     run(scenario())
 
 
 def test_attempts_beyond_the_limit_end_as_not_sent():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 3), hedging=True)
         case.update_workers(worker)
         case.submit(klass="read")
         assert case.gateway.outcomes() == [(2, interface.NOT_SENT, False)]
         assert case.dispatcher.guard.refused == {Reason.TOO_MANY_ATTEMPTS: 1}
-        await until(lambda: len(worker.seen) == 2)
+        await until(lambda: len(worker.received) == 2)
 
     run(scenario())
 
 
 def test_a_request_with_a_side_effect_is_not_retried_while_it_may_have_run():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), hedging=True)
         case.update_workers(worker)
         case.submit(klass="write")
         assert case.gateway.outcomes() == [(1, interface.NOT_SENT, False)]
         assert case.dispatcher.guard.refused == {Reason.REPEAT_MAY_RUN_TWICE: 1}
-        await until(lambda: len(worker.seen) == 1)
+        await until(lambda: len(worker.received) == 1)
 
     run(scenario())
 
 
 def test_a_hedge_is_refused_if_the_settings_allow_none():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, *(interface.Send("r", "w"),) * 2), hedging=False)
         case.update_workers(worker)
         case.submit(klass="read")
@@ -149,12 +149,12 @@
 
 def test_a_send_for_a_request_that_is_over_is_refused():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
         case.update_workers(worker)
         request = case.submit()
-        await until(lambda: worker.seen)
-        request.state = RequestState.CLIENT_GONE
+        await until(lambda: worker.received)
+        request.state = RequestState.CLIENT_DISCONNECTED
         case.dispatcher._send("r", "w", 0.0)
         assert case.dispatcher.guard.refused == {Reason.REQUEST_OVER: 1}
         request.state, request.deadline = RequestState.PENDING, case.loop.time() - 0.001
@@ -167,7 +167,7 @@
 def test_at_the_deadline_the_gateway_is_notified_before_the_attempt_ends():
     async def scenario():
         case = Case(lambda event: [])
-        case.update_workers(await Worker("w", hang).start())
+        case.update_workers(await FakeWorker("w", hang).start())
         stopped = [False]
 
         def rules(event):
@@ -189,7 +189,7 @@
 def test_a_second_final_reply_is_refused():
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w"), interface.Refuse("r", 0.0), interface.Fail("r")))
-        case.update_workers(await Worker("w", hang).start())
+        case.update_workers(await FakeWorker("w", hang).start())
         case.submit()
         # The first reply withdraws the attempt that is not written, so the request is released before the second reply.
         assert case.replies == [503] and not case.dispatcher.has_request("r")
@@ -203,7 +203,7 @@
 
 def test_a_send_to_a_draining_or_removed_worker_is_refused():
     async def scenario():
-        worker = await Worker("w").start()
+        worker = await FakeWorker("w").start()
         for status in ("draining", "removed"):
             case = Case(on(interface.Request, interface.Send("r", "w")))
             case.update_workers(worker)
@@ -211,7 +211,7 @@
             case.submit()
             assert case.gateway.outcomes() == [(0, interface.NOT_SENT, False)]
             assert case.dispatcher.guard.refused == {Reason.ENDPOINT_NOT_READY: 1}
-        assert not worker.seen and not worker.connections
+        assert not worker.received and not worker.connections
 
     run(scenario())
 
@@ -224,7 +224,7 @@
         assert write_refusal(AttemptState.CONNECTING, state) is Reason.ENDPOINT_NOT_READY
 
     async def scenario():
-        worker = await Worker("w").start()
+        worker = await FakeWorker("w").start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
         case.update_workers(worker)
         case.submit()
@@ -234,7 +234,7 @@
         pool._endpoints["w"].idle.clear()
         attempt = types.SimpleNamespace(state=AttemptState.WRITTEN, request="r", number=0, finish=lambda status: None)
         connection.send(attempt)
-        assert pool.guard.refused == {Reason.SENT_TWICE: 1} and len(worker.seen) == 1
+        assert pool.guard.refused == {Reason.SENT_TWICE: 1} and len(worker.received) == 1
         assert pool._endpoints["w"].idle == [connection]  # kept for later requests
 
     run(scenario())
@@ -242,11 +242,11 @@
 
 def test_a_timeout_closes_the_workers_connection_and_is_not_terminal():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w", 0.1)))
         case.update_workers(worker)
         case.submit()
-        await until(lambda: worker.closed)
+        await until(lambda: worker.connections_closed)
         assert case.gateway.outcomes() == [(0, interface.TIMED_OUT, False)] and case.replies == []
 
     run(scenario())
@@ -254,16 +254,16 @@
 
 def test_a_cancel_closes_the_workers_connection_and_a_late_one_does_nothing():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
         case.update_workers(worker)
         case.submit()
-        await until(lambda: worker.seen)
+        await until(lambda: worker.received)
         case.gateway.rules = on(
             interface.TimerFired, interface.Cancel("r", 0), interface.Cancel("r", 0), interface.Cancel("r", 7)
         )
         case.dispatcher._timer_fired(1, "r")
-        await until(lambda: worker.closed)
+        await until(lambda: worker.connections_closed)
         assert case.gateway.outcomes() == [(0, interface.CANCELLED, False)]
 
     run(scenario())
@@ -277,11 +277,11 @@
             await go.wait()
             await answer()(request, writer)
 
-        worker = await Worker("w", late).start()
+        worker = await FakeWorker("w", late).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
         case.update_workers(worker)
         case.submit()
-        await until(lambda: worker.seen)
+        await until(lambda: worker.received)
         case.gateway.rules = on(
             interface.TimerFired, interface.Fail("r"), interface.Refuse("r", 0.1), interface.Send("r", "w")
         )
@@ -290,7 +290,7 @@
         go.set()
         await until(lambda: len(case.gateway.outcomes()) == 2)
         assert case.gateway.outcomes()[1] == (0, interface.SUCCESS, True) and case.replies == [502]
-        assert len(worker.seen) == 1 and not case.dispatcher.has_request("r")
+        assert len(worker.received) == 1 and not case.dispatcher.has_request("r")
 
     run(scenario())
 
@@ -318,7 +318,7 @@
             )
 
         case = Case(rules)
-        case.update_workers(await Worker("w", hang if kind is interface.TimerFired else None).start())
+        case.update_workers(await FakeWorker("w", hang if kind is interface.TimerFired else None).start())
         case.submit()
         await until(lambda: case.replies)
         assert case.replies == [200 if kind is interface.Outcome else 500] and "odd" in caplog.text
@@ -332,7 +332,7 @@
 def test_timers_of_a_request_that_is_over_are_cancelled_and_others_still_fire():
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w"), interface.SetTimer(0.3, 1)))
-        case.update_workers(await Worker("w").start())
+        case.update_workers(await FakeWorker("w").start())
         case.submit()
         await until(lambda: case.replies)
         case.gateway.rules = on(interface.WorkerList, interface.SetTimer(0.4, 2))
@@ -348,11 +348,11 @@
 
 def test_a_disconnect_is_reported_once_and_the_client_gets_no_reply():
     async def scenario():
-        worker = await Worker("w", hang).start()
+        worker = await FakeWorker("w", hang).start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
         case.update_workers(worker)
         request = case.submit(time_left=0.3)
-        await until(lambda: worker.seen)
+        await until(lambda: worker.received)
         case.dispatcher.client_disconnected(request)
         case.dispatcher.client_disconnected(request)
         assert case.gateway.events.count(interface.ClientDisconnected("r")) == 1
@@ -364,15 +364,15 @@
 
 def test_an_attempt_waiting_for_its_connection_is_not_written_once_its_worker_drains():
     async def scenario():
-        worker = await Worker("w").start()
+        worker = await FakeWorker("w").start()
         case = Case(on(interface.Request, interface.Send("r", "w")))
         case.update_workers(worker)
         case.submit()  # the connection is being established
         case.update_workers(worker, status="draining")
         await until(lambda: case.gateway.outcomes())
         assert case.gateway.outcomes() == [(0, interface.NOT_SENT, False)]  # not the worker's fault
-        await until(lambda: worker.closed == worker.connections)
-        assert not worker.seen
+        await until(lambda: worker.connections_closed == worker.connections)
+        assert not worker.received
 
     run(scenario())
 
@@ -408,7 +408,7 @@
 def test_a_connection_lost_before_the_last_byte_was_sent_proves_that_the_request_did_not_run(all_sent, status):
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        worker = Worker("w")
+        worker = FakeWorker("w")
         worker.port = 9  # never connected to
         case.update_workers(worker)
         connections: list[Connection] = []
@@ -435,7 +435,7 @@
 def test_a_local_shortage_is_not_the_workers_fault(error, status, monkeypatch):
     async def scenario():
         case = Case(on(interface.Request, interface.Send("r", "w")))
-        worker = Worker("w")
+        worker = FakeWorker("w")
         worker.port = 9
         case.update_workers(worker)
 
@@ -456,7 +456,7 @@
 
 def test_an_attempt_cancelled_before_its_connection_task_starts_leaves_no_connection():
     async def scenario():
-        worker = await Worker("w").start()
+        worker = await FakeWorker("w").start()
         case = Case(on(interface.Request, interface.Send("r", "w"), interface.Cancel("r", 0)))
         case.update_workers(worker)
         case.submit()
--- a/tests/gatekeeper/test_generated_settings.py
+++ b/tests/gatekeeper/test_generated_settings.py
@@ -10,14 +10,26 @@
 
 import pytest
 
-from rig.fake_servers import FACTS, Client, Worker, answer, config, hang, launch, reset, run, scene, until
+from rig.fake_servers import (
+    DEFAULT_SETTINGS,
+    Client,
+    FakeWorker,
+    answer,
+    config,
+    hang,
+    launch,
+    reset,
+    run,
+    running_gatekeeper,
+    until,
+)
 
 EFFECTS = ("pure", "token", "side_effect")
 
 
 def generated_settings(seed):
     """Return random valid settings; the first four seeds take each value at one of its bounds."""
-    random, settings = Random(seed), copy.deepcopy(FACTS)
+    random, settings = Random(seed), copy.deepcopy(DEFAULT_SETTINGS)
     at_bounds = seed < 4
     pick = (lambda low, high: (low, high)[random.random() < 0.5]) if at_bounds else random.uniform
     names = random.sample(["fetch-text", "a", "Switch_9", "order.v2", "x" * 60, "get~all"], len(EFFECTS))
@@ -70,19 +82,19 @@
         timeout=f"{timeout:.3f}",
         plan=plan,
         method="GET" if klass["Effect"] == "pure" else "POST",
-        customer=f"{Client.made:016x}",
+        customer=f"{Client.requests_made:016x}",
     )
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_it_starts_serves_and_respects_the_limits(seed, monkeypatch):
     settings = generated_settings(seed)
-    monkeypatch.setattr("rig.fake_servers.FACTS", settings)
+    monkeypatch.setattr("rig.fake_servers.DEFAULT_SETTINGS", settings)
 
     async def scenario():
-        workers = [Worker(name) for name in "uvw"]
+        workers = [FakeWorker(name) for name in "uvw"]
         loop = asyncio.get_running_loop()
-        async with scene(*workers) as (gatekeeper, _, client):
+        async with running_gatekeeper(*workers) as (gatekeeper, _, client):
             for klass in settings["Classes"]:
                 for plan in settings["Plans"]:
                     client.send(class_request(settings, klass, plan["Name"], 8.0))
@@ -90,10 +102,10 @@
             for klass in settings["Classes"]:  # a reset after the last byte: the request may have run
                 for worker in workers:
                     worker.script = reset
-                before = sum(len(worker.seen) for worker in workers)
+                before = sum(len(worker.received) for worker in workers)
                 client.send(class_request(settings, klass, "plan-0", 8.0))
                 reply = await client.receive()
-                attempts = sum(len(worker.seen) for worker in workers) - before
+                attempts = sum(len(worker.received) for worker in workers) - before
                 assert reply.status in (502, 503, 504) and 1 <= attempts <= settings["Caps"]["MaxAttempts"]
                 assert attempts == 1 or klass["Effect"] != "side_effect"
                 for worker in workers:
@@ -136,7 +148,7 @@
     async def scenario():
         gatekeeper = await launch(json.dumps(configuration))
         assert await gatekeeper.process.wait() == 2
-        await gatekeeper._reading
+        await gatekeeper._log_reader
         assert len(gatekeeper.log) == 1 and key in gatekeeper.log[0], gatekeeper.log
 
     run(scenario())
--- a/tests/gatekeeper/test_memory.py
+++ b/tests/gatekeeper/test_memory.py
@@ -11,11 +11,11 @@
 from oliveloft.backend.connection import Connection, EndpointIncarnation
 from oliveloft.backend.idle_timeout import IdleTimeout
 from oliveloft.discovery.call import DiscoveryCall
-from oliveloft.front.http import SLOW_CLIENT_TIMEOUT_SECONDS, Client
+from oliveloft.front.http import SLOW_CLIENT_TIMEOUT_SECONDS, ClientConnection
 from rig.driver import Driver, sends
 from rig.fake_servers import Client as Peer
-from rig.fake_servers import Worker, run, scene, until
-from rig.memory import resident
+from rig.fake_servers import FakeWorker, run, running_gatekeeper, until
+from rig.memory import resident_bytes
 
 
 class Transport(asyncio.Transport):
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     ("make", "part"),
     [
-        (lambda: Client(fake_owner()), b"POST /write HTTP/1.1\r\nHost:"),
+        (lambda: ClientConnection(fake_owner()), b"POST /write HTTP/1.1\r\nHost:"),
         (lambda: DiscoveryCall(fake_owner().loop, fake_owner(), ("h", 1)), b"HTTP/1.1 200 OK\r\nX"),
         (
             lambda: Connection(fake_owner(), EndpointIncarnation("w", ("h", 1), None), fake_attempt()),
@@ -92,7 +92,7 @@
 
 
 def test_a_close_that_waits_for_a_client_to_read_is_aborted_after_a_timeout():
-    client, transport = Client(fake_owner()), Transport()
+    client, transport = ClientConnection(fake_owner()), Transport()
     client.connection_made(transport)
     transport.closing = True  # its last reply is written, but not read
     client.check_timeouts(SLOW_CLIENT_TIMEOUT_SECONDS)
@@ -114,39 +114,39 @@
         interface.NOT_SENT,
     )
     for n in range(400):
-        name, actions = d.ask("read" if n % 2 else "write", customer=f"c{n}", after=0.05)
+        name, actions = d.send_request("read" if n % 2 else "write", customer=f"c{n}", after=0.05)
         if n % 7 == 0:
             d.give(interface.ClientDisconnected(name))
         while workers := sends(actions):
             actions = d.answer(name, workers[0], statuses[n % len(statuses)], terminal=n % 7 == 0 or None)
     gateway = d.gateway
-    assert not (gateway._pending or gateway.in_flight or gateway._timers or gateway.fleet._waiting)
+    assert not (gateway._pending or gateway.in_flight or gateway._timers or gateway.fleet._awaiting_response)
     assert not any(worker.in_flight for worker in gateway.fleet.workers.values())
     assert all(len(worker.held_slots_until) <= 400 for worker in gateway.fleet.workers.values())
-    d.ask(after=100.0)
+    d.send_request(after=100.0)
     for _ in range(400):  # a few accounts are released at each step
-        d.ask()
+        d.send_request()
     assert len(gateway.quotas.accounts) <= 1
 
 
 def test_memory_does_not_grow_with_new_connections_customers_and_workers():
     async def scenario():
-        worker = Worker("w0")
-        async with scene(worker) as (gatekeeper, discovery, _):
+        worker = FakeWorker("w0")
+        async with running_gatekeeper(worker) as (gatekeeper, discovery, _):
             sizes = []
             for part in range(3):
                 for n in range(400):
                     client = await gatekeeper.client()
-                    reply = await client.ask("write", customer=f"{part * 400 + n:016x}", body=b"x" * 5000)
+                    reply = await client.fetch("write", customer=f"{part * 400 + n:016x}", body=b"x" * 5000)
                     assert reply.status == 200
                     client.writer.close()
                     if n % 50 == 0:  # a new worker at the address of the old one
                         removed, worker.name = worker.name, f"w{part}-{n}"
                         discovery.change({"name": removed, "status": "removed"}, worker.entry())
-                        await discovery.watched()
-                sizes.append(resident(gatekeeper.process.pid))
+                        await discovery.wait_until_watched()
+                sizes.append(resident_bytes(gatekeeper.process.pid))
             assert sizes[2] - sizes[1] < 1_500_000, sizes
-            await until(lambda: worker.connections - worker.closed <= 1)
-            assert Peer.made >= 1200
+            await until(lambda: worker.connections - worker.connections_closed <= 1)
+            assert Peer.requests_made >= 1200
 
     run(scenario())
--- a/tests/gatekeeper/test_process.py
+++ b/tests/gatekeeper/test_process.py
@@ -8,8 +8,20 @@
 
 import pytest
 
-from rig.fake_servers import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, until
-from rig.memory import resident
+from rig.fake_servers import (
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    after_event,
+    answer,
+    config,
+    hang,
+    launch,
+    run,
+    running_gatekeeper,
+    until,
+)
+from rig.memory import resident_bytes
 
 
 def altered_config(key, **changes):
@@ -51,7 +63,7 @@
     async def scenario():
         gatekeeper = await launch(configuration if isinstance(configuration, str) else json.dumps(configuration))
         assert await gatekeeper.process.wait() not in (0, None)
-        await gatekeeper._reading
+        await gatekeeper._log_reader
         assert len(gatekeeper.log) == 1 and key in gatekeeper.log[0], gatekeeper.log
 
     run(scenario())
@@ -59,12 +71,12 @@
 
 def test_an_address_in_use_is_reported_with_its_key():
     async def scenario():
-        discovery = await Discovery([]).start()
+        discovery = await FakeDiscovery([]).start()
         configuration = config(discovery.port)
         configuration["listen"] = f"127.0.0.1:{discovery.port}"
         gatekeeper = await launch(configuration)
         assert await gatekeeper.process.wait() == 2
-        await gatekeeper._reading
+        await gatekeeper._log_reader
         assert len(gatekeeper.log) == 2 and "listen" in gatekeeper.log[-1]  # after the line with the operators' address
 
     run(scenario())
@@ -72,12 +84,12 @@
 
 def test_healthz_returns_200_only_once_there_are_workers():
     async def scenario():
-        worker = Worker("w")
+        worker = FakeWorker("w")
         await worker.start()
-        async with scene() as (gatekeeper, discovery, _):
+        async with running_gatekeeper() as (gatekeeper, discovery, _):
             assert await gatekeeper.health() == 503
             discovery.change(worker.entry())
-            await discovery.watched()
+            await discovery.wait_until_watched()
             assert await gatekeeper.health() == 200
 
     run(scenario())
@@ -85,22 +97,22 @@
 
 def test_sigterm_finishes_requests_in_flight_accepts_late_ones_and_exits_cleanly():
     async def scenario():
-        worker = Worker("w", hang)
-        async with scene(worker, ends=True) as (gatekeeper, _, client):
+        worker = FakeWorker("w", hang)
+        async with running_gatekeeper(worker, expect_exit=True) as (gatekeeper, _, client):
             proceed = asyncio.Event()
-            worker.script = once(proceed)
+            worker.script = after_event(proceed)
             idle = await gatekeeper.client()
             client.send(Client.request("write", timeout="3.0"))
-            await until(lambda: len(worker.seen) == 1)
+            await until(lambda: len(worker.received) == 1)
             worker.script = answer()
             gatekeeper.process.send_signal(signal.SIGTERM)
-            await gatekeeper.logged("stopping")
+            await gatekeeper.wait_for_log("stopping")
             assert await gatekeeper.health() == 503
-            assert (await (await gatekeeper.client()).ask("write")).status == 200
-            assert await idle.ended()
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200
+            assert await idle.is_closed_cleanly()
             proceed.set()
             reply = await client.receive()
-            assert reply.status == 200 and reply.headers["connection"] == "close" and await client.ended()
+            assert reply.status == 200 and reply.headers["connection"] == "close" and await client.is_closed_cleanly()
             assert await gatekeeper.process.wait() == 0
 
     run(scenario())
@@ -108,30 +120,30 @@
 
 def test_sighup_moves_the_discovery_watch_without_affecting_requests_in_flight():
     async def scenario():
-        worker, other_worker = Worker("w", hang), await Worker("v").start()
-        async with scene(worker) as (gatekeeper, old, client):
+        worker, other_worker = FakeWorker("w", hang), await FakeWorker("v").start()
+        async with running_gatekeeper(worker) as (gatekeeper, old, client):
             proceed = asyncio.Event()
-            worker.script = once(proceed)
+            worker.script = after_event(proceed)
             client.send(Client.request("write", timeout="3.0"))
-            await until(lambda: worker.seen)
-            new = await Discovery([worker.entry(), other_worker.entry()]).start()
+            await until(lambda: worker.received)
+            new = await FakeDiscovery([worker.entry(), other_worker.entry()]).start()
             new.index = 7  # unrelated to the index of the old agent
             for move, agent in enumerate((new, old, new)):  # each move begins with a request for a snapshot
-                before = [len(each.asked) for each in (old, new)]
+                before = [len(each.requested_paths) for each in (old, new)]
                 await gatekeeper.reload(
                     json.dumps({**config(agent.port), "counter": "127.0.0.1:9"}),
                     f"reloaded: discovery at 127.0.0.1:{agent.port}",
                 )
-                await until(lambda: agent.asked[before[agent is new] :][1:])  # noqa: B023
-                assert agent.asked[before[agent is new]] == "/v1/servers"
+                await until(lambda: agent.requested_paths[before[agent is new] :][1:])  # noqa: B023
+                assert agent.requested_paths[before[agent is new]] == "/v1/servers"
                 previous = old if agent is new else new
-                await until(lambda: previous.open == 0)  # noqa: B023
-                assert len(previous.asked) == before[previous is new], move
+                await until(lambda: previous.open_connections == 0)  # noqa: B023
+                assert len(previous.requested_paths) == before[previous is new], move
             proceed.set()
             assert (await client.receive()).status == 200
             worker.script = answer()
-            while not other_worker.seen:
-                assert (await client.ask("write")).status == 200
+            while not other_worker.received:
+                assert (await client.fetch("write")).status == 200
             assert worker.connections == 1
 
     run(scenario())
@@ -139,16 +151,16 @@
 
 def test_sighup_cancels_a_scheduled_call_to_the_old_address():
     async def scenario():
-        async with scene(Worker("w")) as (gatekeeper, old, _):
+        async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, old, _):
             old.stop()
-            await gatekeeper.logged("trying again")
-            new = await Discovery([]).start()
+            await gatekeeper.wait_for_log("trying again")
+            new = await FakeDiscovery([]).start()
             await gatekeeper.reload(json.dumps(config(new.port)), "reloaded")
-            await new.watched()
-            call_count = len(old.asked)
+            await new.wait_until_watched()
+            call_count = len(old.requested_paths)
             await old.start()
             await asyncio.sleep(1.2)  # longer than any backoff between two calls
-            assert len(old.asked) == call_count and len(new.asked) == 2
+            assert len(old.requested_paths) == call_count and len(new.requested_paths) == 2
 
     run(scenario())
 
@@ -163,20 +175,20 @@
 )
 def test_sighup_with_an_invalid_file_changes_nothing(text, line):
     async def scenario():
-        async with scene(Worker("w")) as (gatekeeper, discovery, client):
+        async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, discovery, client):
             await gatekeeper.reload(text, f"reload: {line}")
             assert len(gatekeeper.log) == 1
-            assert (await client.ask("write")).status == 200
+            assert (await client.fetch("write")).status == 200
             discovery.change()
-            await discovery.watched()
-            assert discovery.asked.count("/v1/servers") == 1
+            await discovery.wait_until_watched()
+            assert discovery.requested_paths.count("/v1/servers") == 1
 
     run(scenario())
 
 
 def test_it_never_holds_more_descriptors_than_configured():
     async def scenario():
-        async with scene(Worker("w"), sockets=100) as (gatekeeper, _, client):
+        async with running_gatekeeper(FakeWorker("w"), sockets=100) as (gatekeeper, _, client):
             assert resource.prlimit(gatekeeper.process.pid, resource.RLIMIT_NOFILE)[0] == 100
             clients = [await gatekeeper.client() for _ in range(120)]
             for each in clients:
@@ -186,7 +198,7 @@
             assert len(os.listdir(f"/proc/{gatekeeper.process.pid}/fd")) <= 100
             for each in clients:
                 each.writer.close()
-            while (await (await gatekeeper.client()).ask("write")).status != 200:
+            while (await (await gatekeeper.client()).fetch("write")).status != 200:
                 pass
 
     run(scenario())
@@ -194,9 +206,9 @@
 
 def test_it_survives_running_out_of_descriptors():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (gatekeeper, _, client):
-            assert (await client.ask("write")).status == 200
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (gatekeeper, _, client):
+            assert (await client.fetch("write")).status == 200
             resource.prlimit(gatekeeper.process.pid, resource.RLIMIT_NOFILE, (24, 24))
             clients = []
             for _ in range(60):
@@ -208,21 +220,21 @@
             for each in clients:
                 each.writer.close()
             await asyncio.sleep(0.05)
-            assert (await (await gatekeeper.client()).ask("write")).status == 200
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200
 
     run(scenario())
 
 
 def test_memory_does_not_grow_over_many_requests():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (gatekeeper, _, client):
-            resident_bytes = []
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (gatekeeper, _, client):
+            sizes = []
             for _ in range(3):
                 for _ in range(300):
-                    assert (await client.ask("write", body=b"x" * 20_000)).status == 200
-                resident_bytes.append(resident(gatekeeper.process.pid))
-            assert resident_bytes[2] - resident_bytes[1] < 3_000_000 and resident_bytes[2] < 100_000_000
+                    assert (await client.fetch("write", body=b"x" * 20_000)).status == 200
+                sizes.append(resident_bytes(gatekeeper.process.pid))
+            assert sizes[2] - sizes[1] < 3_000_000 and sizes[2] < 100_000_000
             assert worker.connections == 1
 
     run(scenario())
--- a/tests/gatekeeper/test_settings.py
+++ b/tests/gatekeeper/test_settings.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from micagate.settings_keys import FACTS, stated
+from micagate.settings_keys import SETTING_KEYS, iter_settings
 from oliveloft.cli import main
 from oliveloft.config import loading as config
-from oliveloft.config.explain import UNKNOWN, rows
+from oliveloft.config.explain import UNKNOWN, setting_rows
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "example.json"
 SPECIAL_VALUES = {"Classes[].Importance": 1.0, "FamilyInfo.SharedCounter": True, "FamilyInfo.CountLimitUs": 30000}
@@ -19,7 +19,7 @@
 def example():
     """Return the example configuration with every known setting added."""
     raw = json.loads(EXAMPLE.read_text())
-    for key, fact in FACTS.items():
+    for key, fact in SETTING_KEYS.items():
         list_key, separator, rest = key.partition("[].")
         value = fact.choices[0] if fact.choices else DEFAULT_VALUES[fact.kind]
         value = max(value, fact.minimum) if fact.kind in ("number", "whole") else value
@@ -45,11 +45,11 @@
 
 
 def value_of(facts, key):
-    return next(value for known, _, value in stated(facts) if known == key)
+    return next(value for known, _, value in iter_settings(facts) if known == key)
 
 
 def different_value(key, value):
-    fact = FACTS[key]
+    fact = SETTING_KEYS[key]
     if fact.choices:
         return next(item for item in fact.choices if item != value)
     if fact.kind == "number":
@@ -63,12 +63,12 @@
     return config.parse(raw, {"PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"})
 
 
-@pytest.mark.parametrize("key", FACTS)
+@pytest.mark.parametrize("key", SETTING_KEYS)
 def test_exactly_the_used_settings_change_the_parsed_configuration(key):
     raw = example()
     before, changed = parse(raw), copy.deepcopy(raw)
     set_value(changed["settings"], key, different_value(key, value_of(raw["settings"], key)))
-    assert (parse(changed) != before) == FACTS[key].used
+    assert (parse(changed) != before) == SETTING_KEYS[key].used
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
         parse(raw)
 
 
-@pytest.mark.parametrize("key", [key for key, fact in FACTS.items() if fact.required])
+@pytest.mark.parametrize("key", [key for key, fact in SETTING_KEYS.items() if fact.required])
 def test_missing_key_is_named(key):
     raw = example()
     list_key, separator, rest = key.partition("[].")
@@ -130,7 +130,7 @@
     raw["settings"]["Caps"]["Novel"] = {"deep": [1]}
     raw["settings"]["Plans"][0]["Colour"] = "red"
     assert parse(raw) == before
-    assert [row["setting"] for row in rows(raw["settings"]) if row["follows"] == UNKNOWN] == [
+    assert [row["setting"] for row in setting_rows(raw["settings"]) if row["follows"] == UNKNOWN] == [
         "Caps.Novel.deep",
         "Plans[0].Colour",
     ]
@@ -156,6 +156,6 @@
 
 def test_every_used_setting_is_documented():
     page = (Path(__file__).parents[2] / "docs" / "operate" / "configuration.md").read_text()
-    for key, fact in FACTS.items():
+    for key, fact in SETTING_KEYS.items():
         if fact.used:
             assert f"`{key.split('.')[-1]}`" in page, key
--- a/tests/handover/test_schedules.py
+++ b/tests/handover/test_schedules.py
@@ -16,4 +16,4 @@
 
 
 def test_slots_are_granted_twice_without_the_in_flight_attempts_of_the_predecessor():
-    assert play(range(250), news=False).granted_twice > 0
+    assert play(range(250), forward_updates=False).granted_twice > 0
--- a/tests/handover/test_state.py
+++ b/tests/handover/test_state.py
@@ -8,7 +8,7 @@
 
 from micagate import Gateway, Plan, RequestClass, Settings, interface
 from micagate.handover import state
-from micagate.handover.fields import Damaged
+from micagate.handover.fields import MalformedState
 from micagate.interface import Outcome, Refuse, Request, Send, SetMaintenance, WorkerEntry, WorkerList
 from oliveloft.takeover import wire
 
@@ -66,25 +66,25 @@
 
 def transferred(gateway, now, seed=9):
     """Return another gateway to which the state was transferred, encoded as on the wire."""
-    copy = state.Copy(gateway, now)
+    copy = state.AccountCopy(gateway, now)
     messages = []
-    while rows := copy.more(now, 3):
+    while rows := copy.next_accounts(now, 3):
         messages.append(wire.Accounts(rows))
     deficits = []
-    while (part := copy.debts()) is not None:
+    while (part := copy.next_deficits()) is not None:
         deficits.append(wire.decode(wire.encode(wire.StatePart("debts", part))).value)
     messages += [
-        wire.Accounts(copy.rest()),
-        wire.StatePart("core", state.core(gateway)),
-        wire.StatePart("outs", list(state.outs(gateway))),
+        wire.Accounts(copy.remaining_accounts()),
+        wire.StatePart("core", state.core_state(gateway)),
+        wire.StatePart("outs", list(state.in_flight_rows(gateway))),
     ]
     accounts, (core, outs) = messages[:-2], [wire.decode(wire.encode(m)) for m in messages[-2:]]
     successor = make_gateway(seed, now)
     for message in accounts:
-        state.put_accounts(successor, now, wire.decode(wire.encode(message)).rows)
+        state.restore_accounts(successor, now, wire.decode(wire.encode(message)).rows)
     for part in deficits:
         successor.quotas.deficits.restore(part)
-    state.put_core(successor, now, core.value, outs.value)
+    state.restore_core(successor, now, core.value, outs.value)
     return successor
 
 
@@ -101,7 +101,7 @@
         for key, account in queue.items():
             assert state.account_row(account, True) == state.account_row(other[key], True)
             assert account.in_flight == other[key].in_flight and account.capacity == other[key].capacity
-    mine, theirs = state.core(gateway), state.core(successor)
+    mine, theirs = state.core_state(gateway), state.core_state(successor)
     for core in (mine, theirs):
         core["debts"] = json.dumps(core["debts"]["places"])
         core["fleet"].pop("_done_at")  # advanced to another time
@@ -158,7 +158,7 @@
     while len(clients.open) < 3:
         clients.step(gateway)
     successor = transferred(gateway, clients.now)
-    for outcome in state.left_out(successor, set(successor.in_flight)):
+    for outcome in state.cancelled_outcomes(successor, set(successor.in_flight)):
         successor.handle(clients.now, outcome)
     assert not successor.in_flight and not any(w.in_flight for w in successor.fleet.workers.values())
 
@@ -169,9 +169,9 @@
     before = account.balance
     for action in gateway.handle(0.0, Request("late", "write", "team", "0" * 16, 2.0, units=2.0)):
         if isinstance(action, Send):
-            row = state.out_row("late", 0, gateway.in_flight["late", 0])
-            state.adopt(successor, 0.0, row, spends=True)
-            state.adopt(successor, 0.0, row, spends=True)  # reported twice
+            row = state.attempt_row("late", 0, gateway.in_flight["late", 0])
+            state.adopt_attempt(successor, 0.0, row, spend_units=True)
+            state.adopt_attempt(successor, 0.0, row, spend_units=True)  # reported twice
     assert account.in_flight == 1 and account.balance == before - 2.0
 
 
@@ -179,13 +179,13 @@
     gateway, clients = make_gateway(), Clients(3)
     for _ in range(50):
         clients.step(gateway)
-    core = {**state.core(gateway), "novel": {"x": 1}}
+    core = {**state.core_state(gateway), "novel": {"x": 1}}
     core["throttle"] = {**core["throttle"], "novelty": 3.0}
     del core["throttle"]["fill"], core["budget"]
     successor = make_gateway(5)
-    state.put_core(successor, clients.now, msgspec.msgpack.decode(msgspec.msgpack.encode(core)))
+    state.restore_core(successor, clients.now, msgspec.msgpack.decode(msgspec.msgpack.encode(core)))
     assert successor.throttle.rate == gateway.throttle.rate and successor.throttle.bucket_level == 0.0
-    state.put_accounts(successor, 1.0, [{"key": "c/gone/00", "spread": 1}])  # a plan that no longer exists
+    state.restore_accounts(successor, 1.0, [{"key": "c/gone/00", "spread": 1}])  # a plan that no longer exists
     assert not len(successor.quotas.accounts)
 
 
@@ -201,8 +201,8 @@
     ],
 )
 def test_raises_for_malformed_state(damage):
-    with pytest.raises(Damaged):
-        state.put_core(make_gateway(), 1.0, damage)
+    with pytest.raises(MalformedState):
+        state.restore_core(make_gateway(), 1.0, damage)
 
 
 def test_rejects_a_corrupted_datagram():
@@ -210,9 +210,9 @@
     assert wire.decode(bytes(data)) == wire.StatePart("fleet", {"a": 1.5})
     for n in range(len(data)):
         changed = bytes(data[:n]) + bytes([data[n] ^ 1]) + bytes(data[n + 1 :])
-        with pytest.raises(wire.Damaged):
+        with pytest.raises(wire.MalformedMessage):
             wire.decode(changed)
-    with pytest.raises(wire.Damaged):
+    with pytest.raises(wire.MalformedMessage):
         wire.decode(b"")
 
 
@@ -223,17 +223,17 @@
         now += 0.0001
         quotas.spend(quotas.account(now, f"{n:016x}", PLANS[0], 2), 1.0, True)
     successor, random = make_gateway(4, now, max_accounts=60_000), Random(1)
-    copy, steps = state.Copy(gateway, now), 0
-    while rows := copy.more(now, 40):
-        state.put_accounts(successor, now, rows)
+    copy, steps = state.AccountCopy(gateway, now), 0
+    while rows := copy.next_accounts(now, 40):
+        state.restore_accounts(successor, now, rows)
         steps += 1
         for _ in range(10):  # requests continue meanwhile, also from new customers
             now += 0.0005
             account = quotas.account(now, f"{random.randrange(30_500):016x}", PLANS[0], 2)
             quotas.spend(account, 1.0, True)
-    rest = copy.rest()
+    rest = copy.remaining_accounts()
     assert len(rest) <= 60 and steps > 30_000 / 40
-    state.put_accounts(successor, now, rest)
+    state.restore_accounts(successor, now, rest)
     for queue in quotas.accounts.queues:
         for key, account in queue.items():
             assert state.account_row(successor.quotas.accounts.get(key), True) == state.account_row(account, True), key
@@ -244,13 +244,13 @@
     deficits = gateway.quotas.deficits
     for n in range(500):
         deficits.add(0.0, f"c{n}", 10.0 + n)
-    copy = state.Copy(gateway, 0.0)
-    pieces = [copy.debts() for _ in range(5)]
+    copy = state.AccountCopy(gateway, 0.0)
+    pieces = [copy.next_deficits() for _ in range(5)]
     for n in range(500, 600):
         deficits.add(1.0, f"c{n}", 10.0 + n)
-    while (part := copy.debts()) is not None:
+    while (part := copy.next_deficits()) is not None:
         pieces.append(part)
-    for part in (*pieces, deficits.rest()):
+    for part in (*pieces, deficits.take_changes()):
         successor.quotas.deficits.restore(part)
     assert all(
         successor.quotas.deficits.deficit(2.0, f"c{n}") == deficits.deficit(2.0, f"c{n}") > 0 for n in range(600)
--- a/tests/incidents/test_failing_calls.py
+++ b/tests/incidents/test_failing_calls.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rig.fake_servers import Client, Discovery, Worker, config, launch, run
+from rig.fake_servers import Client, FakeDiscovery, FakeWorker, config, launch, run
 from tests.incidents.conftest import Call
 
 REQUESTS = 24
@@ -17,10 +17,10 @@
     """A gatekeeper in a process of its own, with the failing calls preloaded into it."""
     for worker in workers:
         await worker.start()
-    discovery = await Discovery([worker.entry() for worker in workers]).start()
+    discovery = await FakeDiscovery([worker.entry() for worker in workers]).start()
     gatekeeper = await launch(config(discovery.port), environment=failing_calls.environment)
     try:
-        await discovery.watched()
+        await discovery.wait_until_watched()
         gatekeeper.discovery = discovery
         yield gatekeeper
         assert gatekeeper.process.returncode is None, gatekeeper.log
@@ -42,7 +42,7 @@
 
 def all_ran_once(worker):
     """Whether the worker received no request twice."""
-    return len({request.id for request in worker.seen}) == len(worker.seen)
+    return len({request.id for request in worker.received}) == len(worker.received)
 
 
 @pytest.mark.parametrize("times", [1, 3, -1])
@@ -64,7 +64,7 @@
 )
 def test_a_failing_accept_loses_no_request(failing_calls, error, times):
     async def scenario():
-        worker = Worker("w")
+        worker = FakeWorker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             failing_calls.plan(Call.ACCEPT, error, 50 if error == errno.EINTR and times < 0 else times)
             tasks = [asyncio.create_task(ask_on_new_connection(gatekeeper)) for _ in range(REQUESTS)]
@@ -73,7 +73,7 @@
                 assert 0 < failing_calls.failed(Call.ACCEPT) < 20_000  # accepting is retried, but not in a busy loop
                 failing_calls.plan(Call.ACCEPT)
             assert await asyncio.gather(*tasks) == [200] * REQUESTS
-            assert all_ran_once(worker) and len(worker.seen) == REQUESTS
+            assert all_ran_once(worker) and len(worker.received) == REQUESTS
 
     run(scenario())
 
@@ -88,12 +88,12 @@
         error = errno.EACCES  # socket(2) does not return these
 
     async def scenario():
-        worker = Worker("w")
+        worker = FakeWorker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             client = await gatekeeper.client()
             failing_calls.plan(call, error, 3)
-            assert (await client.ask("write")).status == 200
-            assert failing_calls.failed(call) == 3 and len(worker.seen) == 1
+            assert (await client.fetch("write")).status == 200
+            assert failing_calls.failed(call) == 3 and len(worker.received) == 1
 
     run(scenario())
 
@@ -103,16 +103,16 @@
     failing_calls, error
 ):
     async def scenario():
-        worker = Worker("w")
+        worker = FakeWorker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             client = await gatekeeper.client()
             failing_calls.plan(Call.CONNECT, error, -1)
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert (await client.ask("write", timeout="2.0")).status == 503
-            assert loop.time() - began < 1.5 and failing_calls.failed(Call.CONNECT) < 100 and not worker.seen
+            assert (await client.fetch("write", timeout="2.0")).status == 503
+            assert loop.time() - began < 1.5 and failing_calls.failed(Call.CONNECT) < 100 and not worker.received
             failing_calls.plan(Call.CONNECT)
-            assert (await client.ask("write")).status == 200
+            assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("call", [Call.RECEIVE, Call.SEND])
 def test_a_connection_broken_by_any_error_gives_at_most_one_run(failing_calls, call, error):
     async def scenario():
-        worker = Worker("w")
+        worker = FakeWorker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             statuses = []
             for _ in range(REQUESTS):
@@ -142,11 +142,11 @@
 @pytest.mark.parametrize("call", [Call.RECEIVE, Call.SEND])
 def test_short_reads_and_writes_change_nothing(failing_calls, call, most_bytes):
     async def scenario():
-        worker = Worker("w")
+        worker = FakeWorker("w")
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             failing_calls.plan(call, most_bytes=most_bytes)
             statuses = await asyncio.gather(*(ask_on_new_connection(gatekeeper, b"x" * 300) for _ in range(REQUESTS)))
             assert statuses == [200] * REQUESTS and all_ran_once(worker)
-            assert {request.body for request in worker.seen} == {b"x" * 300}
+            assert {request.body for request in worker.received} == {b"x" * 300}
 
     run(scenario())
--- a/tests/incidents/test_slow_agent.py
+++ b/tests/incidents/test_slow_agent.py
@@ -6,10 +6,10 @@
 import pytest
 
 from rig.agent import FakeAgent
-from rig.fake_servers import Worker, config, launch, run, until
+from rig.fake_servers import FakeWorker, config, launch, run, until
 
 
-class TimedWorker(Worker):
+class TimedWorker(FakeWorker):
     """A worker that records the time of each request."""
 
     def __init__(self, name):
@@ -38,7 +38,7 @@
     """Send requests over one connection until `done`; return how many were served."""
     client, served = await gatekeeper.client(), 0
     while not done():
-        served += (await client.ask("write")).status == 200
+        served += (await client.fetch("write")).status == 200
         await asyncio.sleep(0.005)
     client.writer.close()
     return served
@@ -53,8 +53,8 @@
         agent.faults.delay_seconds = lambda: delay
         await agent.start()
         async with gatekeeper_with(agent, known) as gatekeeper:
-            assert await ask_until(gatekeeper, lambda: len(draining.seen) + len(healthy.seen) >= 60) > 0
-            assert not draining.seen
+            assert await ask_until(gatekeeper, lambda: len(draining.received) + len(healthy.received) >= 60) > 0
+            assert not draining.received
 
     run(scenario())
 
@@ -82,12 +82,12 @@
 
 def test_a_new_process_starts_to_listen_although_its_agent_never_answers():
     async def scenario():
-        worker = await Worker("known").start()
+        worker = await FakeWorker("known").start()
         agent = FakeAgent([worker.entry()])
         agent.faults.unresponsive = True
         await agent.start()
         async with gatekeeper_with(agent, [worker.entry()]) as gatekeeper:
-            assert (await (await gatekeeper.client()).ask("write")).status == 200
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200
             assert await gatekeeper.health() == 200
 
     run(scenario())
@@ -95,7 +95,7 @@
 
 def test_an_agent_that_answers_long_polls_at_once_with_no_change_gets_a_bounded_number_of_calls():
     async def scenario():
-        worker = await Worker("w").start()
+        worker = await FakeWorker("w").start()
         agent = FakeAgent([worker.entry()])
         agent._compose_watch = agent._compose
         body = b'{"index": 1, "snapshot": false, "endpoints": []}'
@@ -110,6 +110,6 @@
             before = len(agent.calls)
             await asyncio.sleep(1.0)
             assert len(agent.calls) - before < 60
-            assert (await (await gatekeeper.client()).ask("write")).status == 200
+            assert (await (await gatekeeper.client()).fetch("write")).status == 200
 
     run(scenario())
--- a/tests/incidents/test_stepped_clocks.py
+++ b/tests/incidents/test_stepped_clocks.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rig.fake_servers import Client, Worker, answer, hang, run
+from rig.fake_servers import Client, FakeWorker, answer, hang, run
 from tests.incidents.test_failing_calls import gatekeeper_with
 
 STEPS = [5, -5, 3600, -3600]
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_deadline_is_kept_when_the_wall_clock_is_stepped(failing_calls, step):
     async def scenario():
-        worker = Worker("w", hang)
+        worker = FakeWorker("w", hang)
         async with gatekeeper_with(failing_calls, worker) as gatekeeper:
             client = await gatekeeper.client()
             began = time.monotonic()
@@ -24,9 +24,9 @@
             reply = await client.receive()
             assert reply.status == 502 and 0.5 < time.monotonic() - began < 0.9
             worker.script = answer()
-            while (await client.ask("write")).status != 200:
+            while (await client.fetch("write")).status != 200:
                 pass  # a single worker that has just failed is not used for a moment
-            left = float(worker.seen[-1].headers["x-timeout"])
+            left = float(worker.received[-1].headers["x-timeout"])
             assert 1.5 < left <= 2.0
 
     run(scenario())
--- a/tests/manage/test_operations.py
+++ b/tests/manage/test_operations.py
@@ -10,12 +10,25 @@
 
 import pytest
 
-from rig.fake_servers import Client, Discovery, Worker, answer, config, hang, launch, once, run, scene, spawn, until
+from rig.fake_servers import (
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    after_event,
+    answer,
+    config,
+    hang,
+    launch,
+    run,
+    running_gatekeeper,
+    spawn,
+    until,
+)
 
 
 def test_calls_are_answered_in_every_accepted_form():
     async def scenario():
-        async with scene(Worker("w")) as (gatekeeper, _, _):
+        async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, _, _):
             for line, send_eof in (
                 (b"HEALTH\n", False),
                 (b"health\r\n", False),
@@ -40,12 +53,12 @@
 
 def test_sixty_unresponsive_callers_lock_nobody_out():
     async def scenario():
-        async with scene(Worker("w")) as (gatekeeper, _, client):
-            callers = [await asyncio.open_connection("127.0.0.1", gatekeeper.management) for _ in range(60)]
+        async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, _, client):
+            callers = [await asyncio.open_connection("127.0.0.1", gatekeeper.management_port) for _ in range(60)]
             for _, writer in callers[::2]:
                 writer.write(b"HEAL")
             assert (await gatekeeper.call("HEALTH")).startswith("ok ")
-            assert (await client.ask()).status == 200
+            assert (await client.fetch()).status == 200
             for _, writer in callers:
                 writer.close()
 
@@ -54,22 +67,22 @@
 
 def test_a_worker_in_maintenance_gets_no_requests_at_any_address_until_it_is_back():
     async def scenario():
-        worker, other = Worker("w"), Worker("v")
-        async with scene(worker, other) as (gatekeeper, discovery, client):
+        worker, other = FakeWorker("w"), FakeWorker("v")
+        async with running_gatekeeper(worker, other) as (gatekeeper, discovery, client):
             assert (await gatekeeper.call("OFFLINE w")).startswith("ok ")
-            seen = len(worker.seen)
-            moved = await Worker("w").start()
+            seen = len(worker.received)
+            moved = await FakeWorker("w").start()
             for _ in range(10):
-                assert (await client.ask("write")).status == 200
+                assert (await client.fetch("write")).status == 200
             discovery.change(moved.entry())
-            await discovery.watched()
+            await discovery.wait_until_watched()
             for _ in range(10):
-                assert (await client.ask("write")).status == 200
-            assert len(worker.seen) == seen and not moved.seen
+                assert (await client.fetch("write")).status == 200
+            assert len(worker.received) == seen and not moved.received
             assert (await gatekeeper.call("ONLINE w")).startswith("ok ")
             async with asyncio.timeout(5):
-                while not moved.seen:
-                    assert (await client.ask("write")).status == 200
+                while not moved.received:
+                    assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
@@ -85,21 +98,21 @@
             filler.setblocking(False)
             filler.connect_ex(full_listener.getsockname())
             fillers.append(filler)
-        stuck = Worker("stuck")
+        stuck = FakeWorker("stuck")
         stuck.port = full_listener.getsockname()[1]
-        other = await Worker("v").start()
-        discovery = await Discovery([stuck.entry()]).start()
+        other = await FakeWorker("v").start()
+        discovery = await FakeDiscovery([stuck.entry()]).start()
         gatekeeper = await launch(config(discovery.port, changes={"Caps": {"ConnectTimeoutUs": 3000000}}))
-        await discovery.watched()
+        await discovery.wait_until_watched()
         client = await gatekeeper.client()
         client.send(Client.request("write", timeout="4.0"))
         await asyncio.sleep(0.2)
         discovery.change(other.entry())
-        await discovery.watched()
+        await discovery.wait_until_watched()
         assert (await gatekeeper.call("OFFLINE stuck")).startswith("ok ")
         async with asyncio.timeout(1.5):
             reply = await client.receive()
-        assert reply.status == 200 and len(other.seen) == 1
+        assert reply.status == 200 and len(other.received) == 1
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
         for sock in (*fillers, full_listener):
@@ -110,28 +123,28 @@
 
 def test_leave_fails_health_at_once_still_serves_requests_and_closes_idle_connections():
     async def scenario():
-        worker = Worker("w")
-        async with scene(worker) as (gatekeeper, _, idle):
-            assert (await idle.ask()).status == 200
+        worker = FakeWorker("w")
+        async with running_gatekeeper(worker) as (gatekeeper, _, idle):
+            assert (await idle.fetch()).status == 200
             proceed = asyncio.Event()
-            worker.script = once(proceed)
+            worker.script = after_event(proceed)
             busy_client = await gatekeeper.client()
             busy_client.send(Client.request("write", timeout="3.0"))
-            await until(lambda: len(worker.seen) == 2)
+            await until(lambda: len(worker.received) == 2)
             for _ in range(2):
                 assert (await gatekeeper.call("LEAVE")).startswith("ok ")
             assert await gatekeeper.health() == 503
             assert (await gatekeeper.call("HEALTH")).startswith("fail ")
             worker.script = answer()
-            late = await (await gatekeeper.client()).ask("write")
+            late = await (await gatekeeper.client()).fetch("write")
             assert late.status == 200 and late.headers["connection"] == "close"
             async with asyncio.timeout(3):
-                assert await idle.ended()
+                assert await idle.is_closed_cleanly()
             proceed.set()
-            assert (await busy_client.receive()).status == 200 and await busy_client.ended()
+            assert (await busy_client.receive()).status == 200 and await busy_client.is_closed_cleanly()
             assert (await gatekeeper.call("JOIN")).startswith("ok ")
             assert await gatekeeper.health() == 200
-            again = await (await gatekeeper.client()).ask("write")
+            again = await (await gatekeeper.client()).fetch("write")
             assert again.status == 200 and "connection" not in again.headers
 
     run(scenario())
@@ -139,10 +152,10 @@
 
 def test_sigterm_after_leave_loses_nothing():
     async def scenario():
-        worker = Worker("w", hang)
-        async with scene(worker, ends=True) as (gatekeeper, _, client):
+        worker = FakeWorker("w", hang)
+        async with running_gatekeeper(worker, expect_exit=True) as (gatekeeper, _, client):
             client.send(Client.request("read", timeout="0.8"))
-            await until(lambda: worker.seen)
+            await until(lambda: worker.received)
             await gatekeeper.call("LEAVE")
             gatekeeper.process.send_signal(signal.SIGTERM)
             assert (await client.receive()).status in (502, 504)
@@ -156,11 +169,11 @@
         inherited = socket.socket()
         inherited.bind(("127.0.0.1", 0))
         inherited.listen(64)
-        discovery = await Discovery([]).start()
+        discovery = await FakeDiscovery([]).start()
         configuration = config(discovery.port)
         configuration["listen"] = f"127.0.0.1:{inherited.getsockname()[1]}"
-        gatekeeper = await spawn(json.dumps(configuration), accept=inherited)
-        await gatekeeper.listening()
+        gatekeeper = await spawn(json.dumps(configuration), listening_socket=inherited)
+        await gatekeeper.wait_until_listening()
         assert gatekeeper.port == inherited.getsockname()[1] and await gatekeeper.health() == 503
         gatekeeper.process.kill()
         await gatekeeper.process.wait()
@@ -171,7 +184,7 @@
             finally:
                 del os.environ["PROXY_ACCEPT_FD"]
             assert await rejected.process.wait() == 2
-            await rejected._reading
+            await rejected._log_reader
             assert len(rejected.log) == 1 and "PROXY_ACCEPT_FD" in rejected.log[0]
         inherited.close()
 
@@ -183,7 +196,7 @@
     async def scenario():
         gatekeeper = await launch({**config(9), "management": where})
         assert await gatekeeper.process.wait() == 2
-        await gatekeeper._reading
+        await gatekeeper._log_reader
         assert len(gatekeeper.log) == 1 and "management" in gatekeeper.log[0]
 
     run(scenario())
@@ -191,8 +204,8 @@
 
 def test_the_command_line_makes_calls_and_reports_their_results():
     async def scenario():
-        async with scene(Worker("w")) as (gatekeeper, _, _):
-            at = f"127.0.0.1:{gatekeeper.management}"
+        async with running_gatekeeper(FakeWorker("w")) as (gatekeeper, _, _):
+            at = f"127.0.0.1:{gatekeeper.management_port}"
 
             async def manage(*arguments):
                 process = await asyncio.create_subprocess_exec(
--- a/tests/manage/test_protocol.py
+++ b/tests/manage/test_protocol.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from micagate.operating.presence import HEARD, Presence
+from micagate.operating.presence import REDIRECT_SECONDS, Presence
 from oliveloft.manage import protocol
 
 
@@ -48,6 +48,15 @@
 
 def test_idle_connections_stay_open_until_the_sender_of_clients_has_noticed_leave():
     presence = Presence()
-    assert presence.leave(1.0) and not presence.leave(5.0)
-    assert presence.closes() and not presence.clears(1.0 + HEARD / 2) and presence.clears(1.01 + HEARD)
-    assert presence.join() and not presence.join() and not presence.closes() and not presence.clears(9.0)
+    assert presence.start_drain(1.0) and not presence.start_drain(5.0)
+    assert (
+        presence.closes_connections()
+        and not presence.closes_idle_connections(1.0 + REDIRECT_SECONDS / 2)
+        and presence.closes_idle_connections(1.01 + REDIRECT_SECONDS)
+    )
+    assert (
+        presence.end_drain()
+        and not presence.end_drain()
+        and not presence.closes_connections()
+        and not presence.closes_idle_connections(9.0)
+    )
--- a/tests/memory/test_log.py
+++ b/tests/memory/test_log.py
@@ -4,37 +4,37 @@
 
 import pytest
 
-from oliveloft.memory.files import PlainDisk
-from oliveloft.memory.log import STATE_FILE, Log
-from rig.disks import Broken, Knobs, Memory
+from oliveloft.memory.files import SystemDisk
+from oliveloft.memory.log import STATE_FILE, RecordLog
+from rig.disks import DiskFaults, FaultyDisk, MemoryDisk
 
 
 def open_log(disk, owner="g1"):
-    log = Log(disk, owner)
-    return log, log.find()
+    log = RecordLog(disk, owner)
+    return log, log.load()
 
 
 def begin_log(disk, records=(), owner="g1"):
     log, found = open_log(disk, owner)
-    log.begin([(kind, key, value) for (kind, key), value in found.records.items()] + list(records))
+    log.rewrite([(kind, key, value) for (kind, key), value in found.records.items()] + list(records))
     return log
 
 
 def test_synced_records_are_read_back_and_the_last_value_of_a_key_is_valid(tmp_path):
-    log = begin_log(PlainDisk(str(tmp_path)))
+    log = begin_log(SystemDisk(str(tmp_path)))
     log.append([("ban", "w1", [1, "out"]), ("mark", "c", 2.5)])
     log.append([("ban", "w1", [2, "in"]), ("mark", "c", None)])
     log.sync()
     log.close()
-    found = Log(PlainDisk(str(tmp_path)), "g1").find()
+    found = RecordLog(SystemDisk(str(tmp_path)), "g1").load()
     assert found.records == {("ban", "w1"): [2, "in"]}
     assert (found.owner, found.torn, found.damage, found.voided) == ("g1", False, "", False)
 
 
 def test_a_power_loss_keeps_all_synced_records_and_adds_none():
     for seed in range(300):
-        random, backing = Random(seed), Memory()
-        disk = Broken(backing)
+        random, backing = Random(seed), MemoryDisk()
+        disk = FaultyDisk(backing)
         log = begin_log(disk)
         synced, written = {}, {}
         for n in range(random.randrange(1, 30)):
@@ -49,8 +49,8 @@
                 if random.random() < 0.5:
                     log.finish_copy()
                     synced = dict(written)
-        disk.power(random)
-        _, found = open_log(Broken(backing))
+        disk.cut_power(random)
+        _, found = open_log(FaultyDisk(backing))
         assert not found.damage, (seed, found)
         for key, value in synced.items():
             assert found.records[("k", str(key))] >= value, (seed, key)
@@ -58,7 +58,7 @@
 
 
 def test_a_flipped_bit_anywhere_is_reported_as_damage_and_never_read_as_a_record():
-    backing = Memory()
+    backing = MemoryDisk()
     log = begin_log(backing)
     for n in range(6):
         log.append([("k", str(n), n)])
@@ -70,7 +70,7 @@
         for bit in (0, 3, 7):
             backing.files[name][:] = good
             backing.files[name][at] ^= 1 << bit
-            found = Log(backing, "g1").find()
+            found = RecordLog(backing, "g1").load()
             assert all(value == int(key) for (_, key), value in found.records.items())
             assert found.damage, (at, bit)
             damage_reports += 1
@@ -80,42 +80,42 @@
 
 
 def test_zeros_at_the_end_are_a_torn_tail():
-    backing = Memory()
+    backing = MemoryDisk()
     log = begin_log(backing)
     log.append([("k", "1", 1)])
     (name,) = [name for name in backing.files if name.endswith(".log")]
     backing.files[name] += bytes(4096)
-    found = Log(backing, "g1").find()
+    found = RecordLog(backing, "g1").load()
     assert found.records == {("k", "1"): 1} and found.torn and not found.damage
 
 
 def test_files_of_another_owner_are_reported_and_renamed_but_not_deleted():
-    backing = Memory()
+    backing = MemoryDisk()
     begin_log(backing, [("ban", "w", 1)], owner="g2").close()
     before = next(bytes(data) for name, data in backing.files.items() if name.endswith(".log"))
     log, found = open_log(backing, "g1")
     assert found.owner == "g2" and found.records == {("ban", "w"): 1}
-    log.begin([])
+    log.rewrite([])
     assert any(name.endswith(".of-g2") and bytes(data) == before for name, data in backing.files.items())
 
 
 def test_leftovers_of_an_earlier_file_are_not_read_as_a_frame():
-    backing = Memory()
+    backing = MemoryDisk()
     log = begin_log(backing)
     log.append([("k", "old", 1)])
     (name,) = [name for name in backing.files if name.endswith(".log")]
     old = bytes(backing.files[name])
-    log.begin([])
+    log.rewrite([])
     (new,) = [other for other in backing.files if other.endswith(".log")]
     lead = len(old) - len(bytes(backing.files[new]))
     backing.files[new] += old[-abs(lead) :]
-    found = Log(backing, "g1").find()
+    found = RecordLog(backing, "g1").load()
     assert ("k", "old") not in found.records
 
 
 def test_a_full_disk_keeps_synced_records_and_can_still_be_marked_void():
-    backing, knobs = Memory(), Knobs()
-    disk = Broken(backing, knobs)
+    backing, knobs = MemoryDisk(), DiskFaults()
+    disk = FaultyDisk(backing, knobs)
     log = begin_log(disk)
     log.append([("k", "1", 1)])
     log.sync()
@@ -123,25 +123,25 @@
     with pytest.raises(OSError, match="full"):
         log.append([("k", "2", 2)])
     log.mark_void()
-    _, found = open_log(Broken(backing))
+    _, found = open_log(FaultyDisk(backing))
     assert found.voided and found.records == {("k", "1"): 1}
 
 
 def test_a_void_log_is_trusted_again_only_after_a_complete_rewrite():
-    backing = Memory()
-    disk = Broken(backing)
+    backing = MemoryDisk()
+    disk = FaultyDisk(backing)
     log = begin_log(disk, [("mark", "c", 5)])
     log.mark_void()
     log.start_copy()
     log.copy_records([("mark", "c", 1)])
-    disk.power(Random(1))
+    disk.cut_power(Random(1))
     log, found = open_log(backing)
     assert found.voided
-    log.begin([])
-    assert backing.files[STATE_FILE][:4] == b"good" and not Log(backing, "g1").find().voided
+    log.rewrite([])
+    assert backing.files[STATE_FILE][:4] == b"good" and not RecordLog(backing, "g1").load().voided
 
 
 def test_a_read_only_disk_raises_an_error(tmp_path):
-    disk = Broken(PlainDisk(str(tmp_path)), Knobs(read_only=True))
+    disk = FaultyDisk(SystemDisk(str(tmp_path)), DiskFaults(read_only=True))
     with pytest.raises(OSError, match="read only"):
         begin_log(disk)
--- a/tests/operating/test_maintenance.py
+++ b/tests/operating/test_maintenance.py
@@ -92,22 +92,24 @@
 
 def test_a_worker_brought_back_has_slow_start_until_the_list_has_its_start_time():
     maintenance = Maintenance()
-    maintenance.follow(WorkerList(entries("a"), whole=True))
-    maintenance.out(1.0, "a")
-    update = maintenance.online(5.0, "a")
+    maintenance.apply_update(WorkerList(entries("a"), whole=True))
+    maintenance.take_out(1.0, "a")
+    update = maintenance.bring_back(5.0, "a")
     assert update.entries == entries("a", started=5.0)
-    assert maintenance.follow(WorkerList(entries("a"))).entries[0].started == 5.0, "the list has no start time yet"
     assert (
-        maintenance.follow(WorkerList(entries("a", started=0.5))).entries[0].started == 5.0
+        maintenance.apply_update(WorkerList(entries("a"))).entries[0].started == 5.0
+    ), "the list has no start time yet"
+    assert (
+        maintenance.apply_update(WorkerList(entries("a", started=0.5))).entries[0].started == 5.0
     ), "started before the maintenance"
     assert (
-        maintenance.follow(WorkerList(entries("a", started=3.0))).entries[0].started == 3.0
+        maintenance.apply_update(WorkerList(entries("a", started=3.0))).entries[0].started == 3.0
     ), "restarted during the maintenance"
 
 
 def test_an_update_passes_unchanged_without_maintenance():
     maintenance, update = Maintenance(), WorkerList(entries("a", "b"), whole=True)
-    assert maintenance.follow(update) is update
+    assert maintenance.apply_update(update) is update
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 40])
--- a/tests/planners/test_cold_workers.py
+++ b/tests/planners/test_cold_workers.py
@@ -40,7 +40,12 @@
             seed,
             rates,
             {
-                f"w{n}": Capacity(cores=WORKER_CORES, queue=200, cold_from=MIN_WARM_UP_FACTOR, ramp=SLOW_START_SECONDS)
+                f"w{n}": Capacity(
+                    cores=WORKER_CORES,
+                    queue_limit=200,
+                    min_warm_up_factor=MIN_WARM_UP_FACTOR,
+                    warm_up_seconds=SLOW_START_SECONDS,
+                )
                 for n in range(2)
             },
             settings,
@@ -52,7 +57,7 @@
         """Return the largest ratio of sent to allowed work over all windows, and the number of requests sent."""
         sent = [
             (when, work)
-            for when, where, work in self.sent
+            for when, where, work in self.arrivals
             if where == name and started <= when < started + SLOW_START_SECONDS
         ]
         worst = 0.0
@@ -82,7 +87,7 @@
     cluster.clock.run(started + SLOW_START_SECONDS)
     worst, sent = cluster.worst("w1", started)
     assert worst <= SLACK and sent > 20, (worst, sent)
-    assert cluster.ends["served"] > 0.6 * cluster.ends.total()
+    assert cluster.results["served"] > 0.6 * cluster.results.total()
 
 
 def test_a_choice_without_slow_start_does_overload_the_worker(monkeypatch):
@@ -107,4 +112,4 @@
     cluster.clock.run(6.0)
     cluster.restart("w1")
     cluster.clock.run(cluster.clock.now + 3.0)
-    assert cluster.moved > 0.01
+    assert cluster.max_borrowed > 0.01
--- a/tests/planners/test_failures.py
+++ b/tests/planners/test_failures.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from micagate.planning.ownership import first
-from oliveloft.planners.status import gather
+from micagate.planning.ownership import preferred_planner
+from oliveloft.planners.status import query_planners
 from rig.fake_servers import until
-from rig.installation import QUICK, Installation
-from rig.limited_worker import overspent
+from rig.installation import SHORT_TERMS, Installation
+from rig.limited_worker import max_overspending
 from rig.traffic import Customer, Traffic
 
 # The ceiling is lower than the quota, so that heavy traffic is limited by the ceiling.
@@ -25,26 +25,26 @@
 
 def customer(rate, route, number=1, spread=3, units=1.0):
     return Customer(
-        f"{number:016x}", "team", lambda at: rate, route, top=rate, spread=spread, units=units, klass="write"
+        f"{number:016x}", "team", lambda at: rate, route, peak_rate=rate, spread=spread, units=units, klass="write"
     )  # writes, which must not run twice
 
 
 def traffic(fleet, customers, seed=1):
-    fleet.record.keep_units = True
-    return Traffic(fleet.ports, customers, fleet.plans, seed, timeout=1.0, aim=0.5)
+    fleet.record.records_units = True
+    return Traffic(fleet.ports, customers, fleet.plans, seed, timeout=1.0, latency_objective=0.5)
 
 
 def assert_rules_hold(fleet):
     """Assert that ceilings hold over all forwarders, and that no write ran twice."""
-    assert fleet.record.units and max(fleet.record.begun.values()) == 1
+    assert fleet.record.units and max(fleet.record.start_counts.values()) == 1
     for units in fleet.record.units.values():
-        assert overspent(units, PLAN["HardRate"], PLAN["CapDepth"]) <= SLACK
+        assert max_overspending(units, PLAN["HardRate"], PLAN["CapDepth"]) <= SLACK
 
 
 async def owners(fleet):
     """Return by shard the epoch and name of each planner that answers and claims to own it."""
     claims_by_shard = {}
-    for name, state in (await gather(fleet.config())).items():
+    for name, state in (await query_planners(fleet.config())).items():
         for shard, facts in state.get("shards", {}).items():
             claims_by_shard.setdefault(int(shard), []).append((facts["epoch"], name))
     return claims_by_shard
@@ -55,7 +55,7 @@
     while True:
         found = await owners(fleet)
         names = {name for claims in found.values() for _, name in claims}
-        if len(found) == QUICK.shards and (by is None or names <= set(by)):
+        if len(found) == SHORT_TERMS.shards and (by is None or names <= set(by)):
             return found
         await asyncio.sleep(0.05)
 
@@ -64,8 +64,9 @@
     """Wait until every shard is with its preferred planner, so that no shard moves without a failure."""
     while True:
         found = await owners(fleet)
-        if len(found) == QUICK.shards and all(
-            [name for _, name in claims] == [first(shard, fleet.names)] for shard, claims in found.items()
+        if len(found) == SHORT_TERMS.shards and all(
+            [name for _, name in claims] == [preferred_planner(shard, fleet.planner_names)]
+            for shard, claims in found.items()
         ):
             return found
         await asyncio.sleep(0.05)
@@ -75,7 +76,7 @@
     """Return the sum of granted shares over all planners, 1.0 being one whole resource."""
     return sum(
         entry["granted"]
-        for state in (await gather(fleet.config())).values()
+        for state in (await query_planners(fleet.config())).values()
         for entry in state.get("forwarders", {}).values()
     )
 
@@ -87,7 +88,7 @@
 
 
 def served(report, first, last):
-    return sum(report.series.get(second, {}).get("served", 0) for second in range(first, last))
+    return sum(report.outcomes_by_second.get(second, {}).get("served", 0) for second in range(first, last))
 
 
 def test_shares_follow_moving_traffic_within_a_second():
@@ -96,7 +97,7 @@
             await wait_for_owners(fleet)
             load = traffic(fleet, [customer(14.0, lambda at: int(at // 2))])
             report = await load.run(8.0)
-            assert report.share > 0.75, report.ends
+            assert report.served_value_share > 0.75, report.outcomes
             assert_rules_hold(fleet)
 
     run(scenario())
@@ -114,8 +115,8 @@
             report = await playing
             # The second customer sends three times its quota everywhere: local shares serve it all along.
             after = [served(report, second, second + 1) for second in range(4, 9)]
-            assert min(after) >= 0.5 * max(after) and min(after) > 10, (after, report.series)
-            assert report.ends["failed"] == 0
+            assert min(after) >= 0.5 * max(after) and min(after) > 10, (after, report.outcomes_by_second)
+            assert report.outcomes["failed"] == 0
             assert_rules_hold(fleet)
 
     run(scenario())
@@ -125,8 +126,8 @@
     async def scenario():
         async with Installation(3, 2, plans=[PLAN]) as fleet:
             before = await wait_for_owners(fleet)
-            sleeper = max(fleet.names, key=lambda n: sum(n == c[-1][1] for c in before.values()))
-            other = next(name for name in fleet.names if name != sleeper)
+            sleeper = max(fleet.planner_names, key=lambda n: sum(n == c[-1][1] for c in before.values()))
+            other = next(name for name in fleet.planner_names if name != sleeper)
             load = traffic(fleet, [customer(40.0, lambda at, n=n: n + int(at), n + 1) for n in range(6)])
             playing = asyncio.create_task(load.run(9.0))
             await wait_for_granted_shares(fleet)
@@ -154,16 +155,16 @@
             load = traffic(fleet, [customer(30.0, lambda at, n=n: n + int(at), n + 1) for n in range(4)])
             playing = asyncio.create_task(load.run(9.0))
             await wait_for_granted_shares(fleet)
-            fleet.store_links["p1"].silence(True, both)
+            fleet.store_links["p1"].block(True, both)
             while True:  # p2 takes over; p1 may still consider itself the owner
                 found = await owners(fleet)
-                if len(found) == QUICK.shards and all(max(c)[1] == "p2" for c in found.values()):
+                if len(found) == SHORT_TERMS.shards and all(max(c)[1] == "p2" for c in found.values()):
                     break
                 await asyncio.sleep(0.05)
             fleet.store_links["p1"].heal()
             report = await playing
             assert_rules_hold(fleet)
-            assert report.ends["failed"] == 0
+            assert report.outcomes["failed"] == 0
             while not all(len(claims) == 1 for claims in (await owners(fleet)).values()):
                 await asyncio.sleep(0.05)
 
@@ -178,16 +179,16 @@
             load = traffic(fleet, [customer(60.0, lambda at: 0, 1), customer(12.0, lambda at: int(at), 2)])
             playing = asyncio.create_task(load.run(10.0))
             await wait_for_granted_shares(fleet)
-            for name in fleet.names:
-                fleet.links[0, name].silence(True, both)
+            for name in fleet.planner_names:
+                fleet.planner_links[0, name].block(True, both)
             await asyncio.sleep(4.0)
             assert await granted(fleet) < 1.0
-            for name in fleet.names:
-                fleet.links[0, name].heal()
+            for name in fleet.planner_names:
+                fleet.planner_links[0, name].heal()
             report = await playing
             assert_rules_hold(fleet)
-            assert report.ends["failed"] == 0
-            assert min(served(report, second, second + 1) for second in range(1, 10)) >= 5, report.series
+            assert report.outcomes["failed"] == 0
+            assert min(served(report, second, second + 1) for second in range(1, 10)) >= 5, report.outcomes_by_second
 
     run(scenario())
 
@@ -202,7 +203,7 @@
             await asyncio.sleep(1.0)
             pid = fleet.forwarders[0].process.pid
             os.kill(pid, signal.SIGSTOP)
-            await asyncio.sleep(QUICK.term + 0.5)
+            await asyncio.sleep(SHORT_TERMS.term + 0.5)
             os.kill(pid, signal.SIGCONT)
             await playing
             assert_rules_hold(fleet)
@@ -221,9 +222,9 @@
             before.process.kill()
             await before.process.wait()
             began = asyncio.get_running_loop().time()
-            again = await fleet.forward(0)
+            again = await fleet.start_forwarder(0)
             # Leases of the earlier incarnation may be in use until their term ends: it does not listen before.
-            assert asyncio.get_running_loop().time() - began >= QUICK.term
+            assert asyncio.get_running_loop().time() - began >= SHORT_TERMS.term
             load.ports[0] = again.port
             report = await playing
             assert_rules_hold(fleet)
@@ -240,8 +241,8 @@
             load = traffic(fleet, customers)
             report = await load.run(6.0)
             assert_rules_hold(fleet)
-            assert report.share > 0.75, report.ends
-            states = (await gather(fleet.config())).values()
+            assert report.served_value_share > 0.75, report.outcomes
+            states = (await query_planners(fleet.config())).values()
             assert all(len(state["forwarders"]) == 10 for state in states)
 
     run(scenario())
@@ -254,24 +255,24 @@
             load = traffic(fleet, [customer(14.0, lambda at, n=n: n + int(at // 2), n + 1) for n in range(3)])
             playing = asyncio.create_task(load.run(12.0))
             await wait_for_granted_shares(fleet)
-            fleet.store.delay = 0.3
+            fleet.store.delay_seconds = 0.3
             await asyncio.sleep(1.5)
             assert await owners(fleet) == before
-            fleet.store.delay, fleet.store.down = 0.0, True
+            fleet.store.delay_seconds, fleet.store.unreachable = 0.0, True
             await asyncio.sleep(2.5)  # longer than a session lease
             assert await owners(fleet) == before  # no other planner can claim either
             fleet.store.wipe()
-            fleet.store.down = False
+            fleet.store.unreachable = False
             while True:
                 found = await owners(fleet)
-                if len(found) == QUICK.shards and all(
+                if len(found) == SHORT_TERMS.shards and all(
                     len(claims) == 1 and claims[0][0] > before[shard][0][0] for shard, claims in found.items()
                 ):
                     break  # epochs continue from those that forwarders know; the store is empty
                 await asyncio.sleep(0.05)
             report = await playing
             assert_rules_hold(fleet)
-            assert report.share > 0.75, report.ends
+            assert report.served_value_share > 0.75, report.outcomes
 
     run(scenario())
 
@@ -283,33 +284,39 @@
             rates = [lambda at: 90.0 if 2 < at < 6 else 8.0 for _ in range(8)]
             customers = [
                 Customer(
-                    f"{n + 1:016x}", "team", rate, lambda at, n=n: int(at * 7) + n, top=90.0, spread=3, klass="write"
+                    f"{n + 1:016x}",
+                    "team",
+                    rate,
+                    lambda at, n=n: int(at * 7) + n,
+                    peak_rate=90.0,
+                    spread=3,
+                    klass="write",
                 )
                 for n, rate in enumerate(rates)
             ]
             load = traffic(fleet, customers)
             playing = asyncio.create_task(load.run(8.0))
             await asyncio.sleep(3.0)
-            victim = max(fleet.names, key=lambda n: sum(n == c[-1][1] for c in before.values()))
+            victim = max(fleet.planner_names, key=lambda n: sum(n == c[-1][1] for c in before.values()))
             fleet.planners[victim].process.kill()
-            await wait_for_owners(fleet, by=[name for name in fleet.names if name != victim])
+            await wait_for_owners(fleet, by=[name for name in fleet.planner_names if name != victim])
             report = await playing
             assert_rules_hold(fleet)
-            assert report.ends["failed"] == 0 and report.share > 0.6, report.ends
+            assert report.outcomes["failed"] == 0 and report.served_value_share > 0.6, report.outcomes
 
     run(scenario())
 
 
 def test_a_planner_that_shuts_down_releases_its_shards_at_once():
     async def scenario():
-        async with Installation(2, 2, plans=[PLAN], session=10.0) as fleet:
+        async with Installation(2, 2, plans=[PLAN], session_seconds=10.0) as fleet:
             await wait_for_owners(fleet)
             fleet.planners["p1"].process.terminate()
             assert await fleet.planners["p1"].process.wait() == 0
             began = asyncio.get_running_loop().time()
             await wait_for_owners(fleet, by=["p2"])
             assert asyncio.get_running_loop().time() - began < 5.0  # less than the session's lifetime
-            gate = await fleet.plan("p1")  # it gets its shards back, one after another
+            gate = await fleet.start_planner("p1")  # it gets its shards back, one after another
             await until(lambda: any("owns" in line and "owns 0" not in line for line in gate.log))
 
     run(scenario())
--- a/tests/planners/test_peers.py
+++ b/tests/planners/test_peers.py
@@ -20,7 +20,7 @@
 from oliveloft.planners.planner import Planner
 from oliveloft.planners.status import query_planner
 from oliveloft.store.etcd import Etcd
-from rig.etcd import EtcdStandIn
+from rig.etcd import FakeEtcd
 from rig.fake_servers import run, until
 from rig.installation import free_port
 
@@ -65,7 +65,7 @@
 @contextlib.asynccontextmanager
 async def planner(tmp_path, **how):
     """Run a planner in this process that owns all shards."""
-    store = await EtcdStandIn().start()
+    store = await FakeEtcd().start()
     config = settings(tmp_path, free_port(), store.endpoint, **how)
     client = Etcd(config.endpoints)
     running = Planner("p1", config, client)
--- a/tests/planners/test_status.py
+++ b/tests/planners/test_status.py
@@ -38,8 +38,8 @@
         file.write_text(text)
         planner = await spawn("{}", "plan", "--config", str(file), "--name", "p1")
         try:
-            await planner.listening()
-            await planner.logged("owns 16 of 16")
+            await planner.wait_until_listening()
+            await planner.wait_for_log("owns 16 of 16")
             code, out = await status(file)
             assert code == 0 and "p1                16" in out and "not reached" in out, out
             assert "shards with an owner that answers: 16 of 16" in out
@@ -59,12 +59,12 @@
 def test_status_shows_forwarders_their_reports_and_grants():
     async def scenario():
         async with Installation(2, 1) as fleet:
-            file = fleet.planners_file(fleet.planner_ports, fleet.store.endpoint, "looked")
+            file = fleet.write_planners_config(fleet.planner_ports, fleet.store.endpoint, "looked")
             client = await fleet.forwarders[0].client()
 
             async def granted_share():
                 for _ in range(10):
-                    await client.ask("write", plan="solo", weight="units=1,spread=2,first=0")
+                    await client.fetch("write", plan="solo", weight="units=1,spread=2,first=0")
                 state = json.loads((await status(file, "--json"))[1])["p1"]
                 return state["forwarders"].get("f0", {}).get("granted", 0.0)
 
--- a/tests/planning/test_demand.py
+++ b/tests/planning/test_demand.py
@@ -3,7 +3,7 @@
 import pytest
 
 from micagate.interface import ResourceDemand
-from micagate.planning.demand import Demands
+from micagate.planning.demand import DemandEstimator
 
 
 def report(asked, most=0.0, whole=10.0, burst=10.0, limit=0.0):
@@ -11,18 +11,18 @@
 
 
 def needs(estimator, now, *tallies):
-    return {demand.key: demand.need for demand in estimator.survey(now, tallies)}
+    return {demand.key: demand.need for demand in estimator.update(now, tallies)}
 
 
 def test_a_need_rises_within_a_second_and_decays_to_zero_over_seconds():
-    estimator = Demands(0.0)
+    estimator = DemandEstimator(0.0)
     for n in range(1, 6):
         estimated = needs(estimator, 0.2 * n, report(1.6))
     assert 0.7 < estimated["k"] <= 1.0  # 8 of 10 units a second, and headroom
     falling = [needs(estimator, 1.0 + 0.2 * n).get("k", 0.0) for n in range(1, 120)]
     assert falling[0] > 0.4 and falling[-1] == 0.0 and falling == sorted(falling, reverse=True)
     # At a low rate, a gap says less, so the need decays more slowly.
-    sparse = Demands(0.0)
+    sparse = DemandEstimator(0.0)
     for n in range(1, 21):
         needs(sparse, 0.2 * n, *([report(1.0)] if n % 3 == 0 else []))
     assert needs(sparse, 4.6)["k"] > 0.08
@@ -30,9 +30,9 @@
 
 
 def test_a_peak_needs_its_share_of_the_burst():
-    assert needs(Demands(0.0), 10.0, report(10.0, whole=1.0, burst=20.0))["k"] >= 10 / 21
-    assert needs(Demands(0.0), 0.2, report(0.0, most=2.0, whole=0.0, limit=8.0))["k"] == pytest.approx(0.25)
+    assert needs(DemandEstimator(0.0), 10.0, report(10.0, whole=1.0, burst=20.0))["k"] >= 10 / 21
+    assert needs(DemandEstimator(0.0), 0.2, report(0.0, most=2.0, whole=0.0, limit=8.0))["k"] == pytest.approx(0.25)
 
 
 def test_a_need_never_exceeds_the_whole():
-    assert needs(Demands(0.0), 0.01, report(1e12))["k"] == 1.0
+    assert needs(DemandEstimator(0.0), 0.01, report(1e12))["k"] == 1.0
--- a/tests/planning/test_ledger.py
+++ b/tests/planning/test_ledger.py
@@ -3,7 +3,7 @@
 import pytest
 
 from micagate.planning import ledger as ledger_module
-from micagate.planning.holder import Demand, Holder
+from micagate.planning.holder import Holder, ResourceNeed
 from micagate.planning.ledger import Ledger
 from micagate.planning.messages import Need, Report, RestartSession
 from micagate.planning.terms import Terms
@@ -31,7 +31,7 @@
 
     def want(self, *needs):
         for holder, amount in zip(self.holders, needs, strict=True):
-            holder.demand(self.now, [Demand("k", 0, 2, amount)])
+            holder.update_needs(self.now, [ResourceNeed("k", 0, 2, amount)])
 
     def step(self, seconds=0.5):
         for _ in range(round(seconds / 0.05)):
--- a/tests/planning/test_no_double_grants.py
+++ b/tests/planning/test_no_double_grants.py
@@ -12,7 +12,7 @@
 from micagate.planning.ledger import Ledger, _Grant
 from micagate.planning.terms import Terms
 from micagate.resource_keys import customer_key
-from rig.planning import PLAN, World
+from rig.planning import PLAN, PlanningSimulation
 
 SCHEDULES, SECONDS = 250, 20.0
 SLACK = 1e-6
@@ -22,35 +22,35 @@
 def test_no_share_is_granted_twice_under_any_faults():
     moves = 0
     for seed in range(SCHEDULES):
-        result = World(seed).run(SECONDS)
-        assert result.excess <= SLACK, (
-            f"seed {seed}: {result.excess:.3f} over the whole at {result.when:.2f} s: "
-            f"{[f for f in result.faults if float(f.split()[0]) <= result.when]}"
+        result = PlanningSimulation(seed).run(SECONDS)
+        assert result.max_excess <= SLACK, (
+            f"seed {seed}: {result.max_excess:.3f} over the whole at {result.max_excess_at:.2f} s: "
+            f"{[f for f in result.faults if float(f.split()[0]) <= result.max_excess_at]}"
         )
-        assert result.overspent <= SLACK, f"seed {seed}: {result.overspent:.2f} units over a ceiling"
-        moves += result.moved > 0.1
+        assert result.max_overspent <= SLACK, f"seed {seed}: {result.max_overspent:.2f} units over a ceiling"
+        moves += result.max_borrowed > 0.1
     assert moves > 0.7 * SCHEDULES  # shares did move, so that the check is not passed by doing nothing
 
 
 def test_most_of_the_ceiling_can_be_spent():
-    spent = [World(seed).run(SECONDS).spent for seed in range(20)]
+    spent = [PlanningSimulation(seed).run(SECONDS).units_spent for seed in range(20)]
     assert sum(spent) > 0.5 * 20 * 2 * SECONDS * PLAN.ceiling_rate * 0.5
 
 
 def test_equal_seeds_give_equal_schedules():
-    assert World(7).run(SECONDS) == World(7).run(SECONDS)
+    assert PlanningSimulation(7).run(SECONDS) == PlanningSimulation(7).run(SECONDS)
 
 
 def test_needs_are_met_without_faults():
-    world = World(3, calm=True)
+    world = PlanningSimulation(3, fault_free=True)
     world.random.choice = lambda options: options[0]  # no random needs
-    world.planners[0].own(world._next())
-    world.forwarders[0].want({RESOURCE: 0.9})
+    world.planners[0].take_ownership(world._next_epoch())
+    world.forwarders[0].set_needs({RESOURCE: 0.9})
     for _ in range(100):
         world.clock.run(world.clock.now + 0.01)
     assert world.forwarders[0].share(RESOURCE) > 0.85
-    world.forwarders[0].want({RESOURCE: 0.0})
-    world.forwarders[1].want({RESOURCE: 0.9})  # all traffic moves to another forwarder
+    world.forwarders[0].set_needs({RESOURCE: 0.0})
+    world.forwarders[1].set_needs({RESOURCE: 0.9})  # all traffic moves to another forwarder
     for _ in range(100):
         world.clock.run(world.clock.now + 0.01)
     assert world.forwarders[1].share(RESOURCE) > 0.85 and world.forwarders[0].share(RESOURCE) < 0.1
@@ -145,14 +145,14 @@
     # The last one fails only if the terms leave a small margin for late reports.
     terms = Terms(life=1.5, term=1.9) if small_margin else Terms()
     for seed in range(SCHEDULES):
-        if World(seed, terms=terms, **changed).run(SECONDS).excess > SLACK:
+        if PlanningSimulation(seed, terms=terms, **changed).run(SECONDS).max_excess > SLACK:
             return
     pytest.fail("no schedule has found the broken rule")
 
 
 def test_no_share_is_granted_twice_with_terms_close_to_the_limit():
     for seed in range(SCHEDULES // 2):
-        assert World(seed, terms=Terms(life=1.5, term=1.9)).run(SECONDS).excess <= SLACK, seed
+        assert PlanningSimulation(seed, terms=Terms(life=1.5, term=1.9)).run(SECONDS).max_excess <= SLACK, seed
 
 
 @pytest.mark.parametrize(
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -37,15 +37,15 @@
     driver = Driver(12, gateways=300)
     for n in range(3000):
         driver.pass_time(0.5)
-        name, actions = driver.ask("write", customer=f"c{n}", plan="metered")
+        name, actions = driver.send_request("write", customer=f"c{n}", plan="metered")
         for worker in sends(actions):
             driver.answer(name, worker, took=0.1)
     driver.pass_time(10.0)
     gateway = driver.gateway
     assert not gateway._pending and not gateway.in_flight and not gateway._timers
-    assert not gateway.fleet._waiting
+    assert not gateway.fleet._awaiting_response
     assert len(gateway.quotas.accounts) <= 70  # those used in the last half minute
-    assert len(gateway.throttle._admits) < 10
+    assert len(gateway.throttle._admission_times) < 10
 
 
 @pytest.mark.parametrize("field", ["classes", "plans"])
--- a/tests/recovery/test_persisted_state.py
+++ b/tests/recovery/test_persisted_state.py
@@ -4,11 +4,17 @@
 
 from micagate import Gateway, interface
 from micagate.recovery import slow_start
-from micagate.recovery.persisted_state import MAX_ROWS_PER_STEP, WRITE_PERIOD_SECONDS, Kept, Walk, account_row
+from micagate.recovery.persisted_state import (
+    MAX_ROWS_PER_STEP,
+    WRITE_PERIOD_SECONDS,
+    ChangedRows,
+    RestoredState,
+    account_row,
+)
 from micagate.recovery.recovery_policy import Case, Disk, End
-from micagate.recovery.write_ahead import Marks
-from rig.driver import SETTINGS, Driver, answered, workers
-from rig.fleet_restart import Return, by_second
+from micagate.recovery.write_ahead import HighWaterMarks
+from rig.driver import SETTINGS, Driver, send_and_answer, workers
+from rig.fleet_restart import PowerLossSimulation, by_second
 
 PLAN = interface.Plan("metered", rate=3.0, burst=12.0)
 
@@ -20,31 +26,31 @@
 
 
 def rows(driver):
-    walk = Walk(driver.gateway, driver.now - 100.0)
+    walk = ChangedRows(driver.gateway, driver.now - 100.0)
     return {(kind, key): value for kind, key, value in walk.step(driver.now)}
 
 
 def test_learned_state_is_restored():
     driver = Driver(4)
-    answered(driver, 40)
-    restored = Kept(rows(driver), Case(Disk.OWN, End.KILLED, age=0.5))
+    send_and_answer(driver, 40)
+    restored = RestoredState(rows(driver), Case(Disk.OWN, End.KILLED, age=0.5))
     after = gateway(driver.now)
     assert after.fleet.shortest_usual_latency == float("inf")
-    restored.learned(after, driver.now)
+    restored.restore_learned(after, driver.now)
     assert (
         after.fleet.shortest_usual_latency == driver.gateway.fleet.shortest_usual_latency < 0.1
         and after.fleet.usual_latency(after.classes["read"]) < 0.1
     )
-    assert after.retry_budget == driver.gateway.retry_budget / 2 and restored.pace() > 0
+    assert after.retry_budget == driver.gateway.retry_budget / 2 and restored.served_rate() > 0
 
 
 @pytest.mark.parametrize("case", [Case(Disk.OLD), Case(Disk.OTHER), Case(Disk.OWN, age=7200.0), Case(Disk.NONE)])
 def test_untrusted_state_is_not_restored(case):
     driver = Driver(4)
-    answered(driver, 40)
-    restored, after = Kept(rows(driver), case), gateway(driver.now)
-    restored.learned(after, driver.now)
-    assert after.fleet.shortest_usual_latency == float("inf") and restored.pace() == 0.0
+    send_and_answer(driver, 40)
+    restored, after = RestoredState(rows(driver), case), gateway(driver.now)
+    restored.restore_learned(after, driver.now)
+    assert after.fleet.shortest_usual_latency == float("inf") and restored.served_rate() == 0.0
 
 
 def test_a_balance_is_restored_less_unwritten_spending_plus_the_refill():
@@ -53,14 +59,16 @@
     account.balance, account.forecast = 1.0, 0.5
     driver.now = 1.0
     persisted = {("account", account.key): account_row(account)}
-    for end, expected in ((End.ASKED, 1.0 + 2.0), (End.KILLED, 0.5 + 2.0)):
+    for end, expected in ((End.PLANNED, 1.0 + 2.0), (End.KILLED, 0.5 + 2.0)):
         quotas = gateway(2.0).quotas
-        quotas.ceiling_marks = Marks(2.0)
-        quotas.ceiling_marks.recall = Kept(persisted, Case(Disk.OWN, end, age=1.0)).account
+        quotas.ceiling_high_water_marks = HighWaterMarks(2.0)
+        quotas.ceiling_high_water_marks.on_account_opened = RestoredState(
+            persisted, Case(Disk.OWN, end, age=1.0)
+        ).restore_account
         assert quotas.account(2.0, "a", PLAN, 3).balance == pytest.approx(expected)
     quotas = gateway(2.0).quotas
-    quotas.ceiling_marks = Marks(2.0)
-    quotas.ceiling_marks.recall = Kept(persisted, Case(Disk.OLD)).account
+    quotas.ceiling_high_water_marks = HighWaterMarks(2.0)
+    quotas.ceiling_high_water_marks.on_account_opened = RestoredState(persisted, Case(Disk.OLD)).restore_account
     assert quotas.account(2.0, "a", PLAN, 3).balance == 4.0  # as for a new account
 
 
@@ -75,13 +83,13 @@
     )
     persisted = rows(driver)
     after = gateway(driver.now)
-    assert Kept(persisted, Case(Disk.OWN)).worker(after, driver.now + 1.0, "w0")
+    assert RestoredState(persisted, Case(Disk.OWN)).restore_worker(after, driver.now + 1.0, "w0")
     assert after.fleet.workers["w0"].relative_latency == pytest.approx(1 + 4 * 0.9)
     assert after.fleet.workers["w0"].consecutive_failures == 2 and after.fleet.workers[
         "w0"
     ].backoff_until == pytest.approx(driver.now + 3.0)
     restarted = gateway(driver.now, worker_start=driver.now)
-    assert not Kept(persisted, Case(Disk.OWN)).worker(restarted, driver.now + 1.0, "w0")
+    assert not RestoredState(persisted, Case(Disk.OWN)).restore_worker(restarted, driver.now + 1.0, "w0")
     assert (
         restarted.fleet.workers["w0"].relative_latency == 1.0 and not restarted.fleet.workers["w0"].consecutive_failures
     )
@@ -89,15 +97,17 @@
 
 @pytest.mark.parametrize("row", [None, 7, [1, 2], ["a"] * 7, [float("nan")] * 7, {"x": 1}])
 def test_malformed_rows_are_ignored(row):
-    restored = Kept({("account", "c/metered/a"): row, ("core", ""): row, ("worker", "w0"): row}, Case(Disk.OWN))
+    restored = RestoredState(
+        {("account", "c/metered/a"): row, ("core", ""): row, ("worker", "w0"): row}, Case(Disk.OWN)
+    )
     after = gateway()
-    restored.learned(after, 0.0)
-    assert not restored.accounts and not restored.workers and restored.pace() == 0.0 and restored.load() == 1.0
+    restored.restore_learned(after, 0.0)
+    assert not restored.accounts and not restored.workers and restored.served_rate() == 0.0 and restored.load() == 1.0
 
 
 def test_changed_rows_are_written_within_the_period_in_small_batches():
     driver = Driver(4)
-    walk, seen = Walk(driver.gateway, 0.0), set()
+    walk, seen = ChangedRows(driver.gateway, 0.0), set()
     for n in range(3000):
         driver.gateway.quotas.account(0.01 + n / 1e6, f"{n:x}", PLAN, 3)
         if n % 500 == 499:
@@ -114,27 +124,27 @@
 
 def test_overload_control_starts_with_slow_start_follows_it_and_ends_with_it():
     after = gateway(100.0, worker_start=99.0)
-    assert slow_start.begin(after, 100.0, 50.0, 1.0)
-    warm = slow_start.warmth(after, 100.0)
+    assert slow_start.start_throttled(after, 100.0, 50.0, 1.0)
+    warm = slow_start.mean_warm_up_factor(after, 100.0)
     assert after.throttle.active and after.throttle.rate == pytest.approx(50.0 * warm) and warm < 0.5
-    slow_start.follow(after, 104.0)
-    assert after.throttle.rate == pytest.approx(50.0 * slow_start.warmth(after, 104.0))
-    slow_start.follow(after, 110.0)
+    slow_start.update_warm_up(after, 104.0)
+    assert after.throttle.rate == pytest.approx(50.0 * slow_start.mean_warm_up_factor(after, 104.0))
+    slow_start.update_warm_up(after, 110.0)
     assert not after.throttle.active
 
 
 def test_overload_control_does_not_start_with_warm_workers_low_load_or_no_rate():
-    assert not slow_start.begin(gateway(100.0), 100.0, 50.0, 1.0)
-    assert not slow_start.begin(gateway(100.0, worker_start=92.0), 100.0, 50.0, 0.5)
-    assert not slow_start.begin(gateway(100.0, worker_start=99.0), 100.0, 0.0, 1.0)
+    assert not slow_start.start_throttled(gateway(100.0), 100.0, 50.0, 1.0)
+    assert not slow_start.start_throttled(gateway(100.0, worker_start=92.0), 100.0, 50.0, 0.5)
+    assert not slow_start.start_throttled(gateway(100.0, worker_start=99.0), 100.0, 0.0, 1.0)
 
 
 def test_overload_signals_keep_control_active_after_slow_start():
     after = gateway(100.0, worker_start=99.0)
-    slow_start.begin(after, 100.0, 50.0, 1.0)
+    slow_start.start_throttled(after, 100.0, 50.0, 1.0)
     after.throttle.advance(108.0)  # later signals count for the present rate
     after.throttle.record_signal(108.9, "w0", "free", 108.8)
-    slow_start.follow(after, 109.0)
+    slow_start.update_warm_up(after, 109.0)
     assert after.throttle.active
 
 
@@ -142,26 +152,26 @@
     walks = {}
 
     def step():
-        for gate in case.gates:
-            walks.setdefault(id(gate), Walk(gate, case.clock.now)).step(case.clock.now)
-        if case.life == 1:
+        for gate in case.gateways:
+            walks.setdefault(id(gate), ChangedRows(gate, case.clock.now)).step(case.clock.now)
+        if case.incarnation == 1:
             case.clock.after(0.05, step)
 
     def remember(gate, now):
-        persisted = {(kind, key): value for kind, key, value in walks[id(gate)].all(now)}
+        persisted = {(kind, key): value for kind, key, value in walks[id(gate)].remaining_rows(now)}
 
         def restore(after, later):
-            restored = Kept(persisted, Case(Disk.OWN, End.POWER, age=1.0, all_restarted=True))
-            restored.learned(after, later)
-            slow_start.begin(after, later, restored.pace(), restored.load())
+            restored = RestoredState(persisted, Case(Disk.OWN, End.POWER, age=1.0, all_restarted=True))
+            restored.restore_learned(after, later)
+            slow_start.start_throttled(after, later, restored.served_rate(), restored.load())
 
         return restore
 
-    case = Return(seed, remember=remember if persist else None, follow=slow_start.follow)
+    case = PowerLossSimulation(seed, persist=remember if persist else None, after_restore=slow_start.update_warm_up)
     step()
-    normal_rate = sum(by_second(case.served(5))[2:]) / 3
-    case.lose()
-    return sum(by_second(case.served(8))) / 8 / normal_rate
+    normal_rate = sum(by_second(case.served_per_tenth(5))[2:]) / 3
+    case.lose_power()
+    return sum(by_second(case.served_per_tenth(8))) / 8 / normal_rate
 
 
 def test_a_fleet_with_persisted_state_serves_more_during_slow_start():
