--- a/tests/recovery/test_stages.py
+++ b/tests/recovery/test_stages.py
@@ -4,35 +4,48 @@
 
 import pytest
 
-from micagate.recovery.stages import GATHER, LIST, MEMORY, OPEN, ORDER, PEERS, ROOM, Limits, Recovery, gathers
+from micagate.recovery.stages import (
+    GATHER,
+    LIST,
+    MEMORY,
+    OPEN,
+    ORDER,
+    PEERS,
+    ROOM,
+    Limits,
+    StartProgress,
+    pending_peers,
+)
 
 
 def test_a_start_with_nothing_to_wait_for_opens_at_once():
-    start = Recovery(10.0)
-    assert start.look(10.0, {}) == OPEN and start.open
-    assert [over.stage for over in start.over] == list(ORDER[:-1]) and not any(over.missing for over in start.over)
+    start = StartProgress(10.0)
+    assert start.advance(10.0, {}) == OPEN and start.is_open
+    assert [over.stage for over in start.completed] == list(ORDER[:-1]) and not any(
+        over.missing for over in start.completed
+    )
 
 
 def test_each_stage_waits_for_its_own_condition_and_reports_it():
-    start = Recovery(10.0)
-    assert start.look(10.0, {PEERS: "g1, g2"}) == PEERS and start.waits_for == "g1, g2"
-    assert start.look(10.1, {PEERS: "g2"}) == PEERS and start.waits_for == "g2"
-    assert start.look(10.2, {LIST: "discovery"}) == LIST and start.waits_for == "discovery"
-    assert start.look(10.3, {}) == OPEN and start.waits_for == ""
+    start = StartProgress(10.0)
+    assert start.advance(10.0, {PEERS: "g1, g2"}) == PEERS and start.waits_for == "g1, g2"
+    assert start.advance(10.1, {PEERS: "g2"}) == PEERS and start.waits_for == "g2"
+    assert start.advance(10.2, {LIST: "discovery"}) == LIST and start.waits_for == "discovery"
+    assert start.advance(10.3, {}) == OPEN and start.waits_for == ""
 
 
 def test_stages_time_out_and_name_what_is_missing():
     limits = Limits(peers=0.5, list=1.0)
-    start = Recovery(10.0, limits)
+    start = StartProgress(10.0, limits)
     blocked = {stage: "nobody" for stage in ORDER}
     stages, now = [], 10.0
-    while not start.open:
-        stages.append(start.look(now, blocked))
+    while not start.is_open:
+        stages.append(start.advance(now, blocked))
         now += 0.01
         assert now < 20.0
-    total = sum(limits.of(stage) for stage in ORDER[:-1])
+    total = sum(limits.limit(stage) for stage in ORDER[:-1])
     assert now - 10.0 <= total + 0.1
-    assert [over.stage for over in start.over if over.missing] == list(ORDER[:-1])
+    assert [over.stage for over in start.completed if over.missing] == list(ORDER[:-1])
 
 
 def test_starts_end_within_their_limits_in_any_order_of_events():
@@ -44,25 +57,25 @@
             random = Random(seed)
             completes_at = {stage: 10.0 + random.expovariate(1 / random.choice((0.1, 1.0, 1e9))) for stage in ORDER}
             limits = Limits(list=1e9) if endless else Limits()
-            start, now = Recovery(10.0, limits), 10.0
-            while not start.open and now < 40.0:
-                start.look(now, {stage: "it" for stage, when in completes_at.items() if when > now})
+            start, now = StartProgress(10.0, limits), 10.0
+            while not start.is_open and now < 40.0:
+                start.advance(now, {stage: "it" for stage, when in completes_at.items() if when > now})
                 now += random.random() * 0.1
             worst = max(worst, now - 10.0)
         longest[endless] = worst
     limits = Limits()
-    assert longest[False] <= sum(limits.of(stage) for stage in ORDER[:-1]) + 0.1 * len(ORDER)
+    assert longest[False] <= sum(limits.limit(stage) for stage in ORDER[:-1]) + 0.1 * len(ORDER)
     assert longest[True] >= 29.0
 
 
 def test_a_start_can_return_to_an_earlier_stage_only_before_it_serves_clients():
-    start = Recovery(10.0)
-    start.look(10.0, {ROOM: "g1"})
+    start = StartProgress(10.0)
+    start.advance(10.0, {ROOM: "g1"})
     start.return_to(10.1, PEERS)
     assert start.stage == PEERS
-    start.look(10.2, {})
+    start.advance(10.2, {})
     start.return_to(10.3, MEMORY)
-    assert start.open
+    assert start.is_open
 
 
 @pytest.mark.parametrize(
@@ -77,7 +90,7 @@
     ],
 )
 def test_members_waited_for_at_gather(others, expected):
-    assert gathers("me", others) == expected
+    assert pending_peers("me", others) == expected
 
 
 @pytest.mark.parametrize("change", [{"peers": -1}, {"list": float("inf")}, {"room": True}, {"gather": "1"}])
--- a/tests/rig/test_demo.py
+++ b/tests/rig/test_demo.py
@@ -67,17 +67,17 @@
         record = WorkRecord()
         meter = Meter({"free": 10.0})
         worker = await LimitedWorker("w", Capacity(1, 2), 0.002, meter=meter, record=record).start()
-        customer = Customer("00000000000000aa", "free", lambda at: 60.0, lambda at: 0, top=60.0)
+        customer = Customer("00000000000000aa", "free", lambda at: 60.0, lambda at: 0, peak_rate=60.0)
         traffic = Traffic([worker.port], [customer], {"free": PlanShape(10.0, 5.0)}, seed=3)
         report = await traffic.run(2.0)
         worker.stop()
-        total = sum(report.ends.values())
-        assert total > 70 and report.ends["served"] == sum(record.begun.values())
+        total = sum(report.outcomes.values())
+        assert total > 70 and report.outcomes["served"] == sum(record.start_counts.values())
         # Without a gatekeeper in front, the worker is overloaded at times.
-        assert report.ends["served"] + report.ends["refused"] == total
+        assert report.outcomes["served"] + report.outcomes["refused"] == total
         assert 20 <= report.offered_value <= 26  # a burst of 5, and 10 a second for 2 s
-        assert 0.8 < report.share <= 1.0
-        assert max(record.begun.values()) == 1
+        assert 0.8 < report.served_value_share <= 1.0
+        assert max(record.start_counts.values()) == 1
 
     run(scenario())
 
@@ -86,13 +86,13 @@
     async def scenario():
         worker = await LimitedWorker("w", Capacity(), 0.001).start()
         worker.frozen = True
-        customer = Customer("00000000000000aa", "free", lambda at: 30.0, lambda at: 0, top=30.0)
+        customer = Customer("00000000000000aa", "free", lambda at: 30.0, lambda at: 0, peak_rate=30.0)
         traffic = Traffic([worker.port], [customer], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
         report = await traffic.run(0.3)
-        assert report.ends["failed"] == sum(report.ends.values()) > 0
+        assert report.outcomes["failed"] == sum(report.outcomes.values()) > 0
         worker.stop()
         traffic = Traffic([worker.port], [customer], {"free": PlanShape(0.0, 0.0)}, seed=3, timeout=0.3)
         report = await traffic.run(0.3)
-        assert report.ends["failed"] == sum(report.ends.values()) > 0
+        assert report.outcomes["failed"] == sum(report.outcomes.values()) > 0
 
     run(scenario())
--- a/tests/rig/test_faults.py
+++ b/tests/rig/test_faults.py
@@ -57,7 +57,7 @@
             reader, writer = await connect(proxy)
             writer.write(b"one")
             assert await reader.readexactly(3) == b"one"
-            proxy.silence(up, down)
+            proxy.block(up, down)
             writer.write(b"two")
             if not up:
                 await until(lambda: b"two" in received)
@@ -96,7 +96,7 @@
 def test_new_connection_through_a_blocked_link_carries_nothing_until_it_heals():
     async def scenario():
         async with echo() as (proxy, received):
-            proxy.silence()
+            proxy.block()
             reader, writer = await connect(proxy)
             writer.write(b"late")
             with pytest.raises(TimeoutError):
--- a/tests/rig/test_overload.py
+++ b/tests/rig/test_overload.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from benchmarks.deployments import PRESSED
+from benchmarks.deployments import OVERLOAD_DEPLOYMENTS
 from micagate.fleet import Fleet
 from rig.fleet import UNIT_CORE_SECONDS
 from rig.overload import arrivals, play, was_overloaded, worth_bound
 
-SECOND = PRESSED["second"]
+SECOND = OVERLOAD_DEPLOYMENTS["second"]
 
 
 def test_high_value_classes_are_served_first_without_violations():
-    result, equal = play(SECOND, 5), play(SECOND, 5, alike=True)
+    result, equal = play(SECOND, 5), play(SECOND, 5, equal_importance=True)
     assert result.by_class["pay"] > 0.9 > equal.by_class["pay"]
     assert result.by_class["read"] < equal.by_class["read"]
     assert equal.worth + 0.01 < result.worth <= 1.0
@@ -24,7 +24,7 @@
 def test_a_starting_worker_counts_as_overloaded_after_sustained_excess_only():
     capacity, fall_time = SECOND.capacity, SECOND.fall_time
     # Seconds of work per second, at its start.
-    work_limit = SECOND.overload_factor * capacity.cores * capacity.cold_from
+    work_limit = SECOND.overload_factor * capacity.cores * capacity.min_warm_up_factor
     for share, overloaded in ((0.8, False), (1.6, True)):
         attempts = [(n * 0.1, "w00", share * work_limit * 0.1) for n in range(int(fall_time / 0.1) + 10)]
         assert was_overloaded(SECOND, attempts, "w00", 0.0) == overloaded
@@ -34,15 +34,15 @@
 
 
 def test_attempts_to_draining_workers_are_counted(monkeypatch):
-    monkeypatch.setattr(Fleet, "_leave", lambda self, worker: None)  # the gateway ignores drains
-    monkeypatch.setattr(Fleet, "_has_room", lambda self, now, worker: True)  # and slow start
+    monkeypatch.setattr(Fleet, "_stop_sending_to", lambda self, worker: None)  # the gateway ignores drains
+    monkeypatch.setattr(Fleet, "_is_within_slow_start_limit", lambda self, now, worker: True)  # and slow start
     broken = play(SECOND, 5)
     assert broken.drain_breaks > 0
 
 
-@pytest.mark.parametrize("name", PRESSED)
+@pytest.mark.parametrize("name", OVERLOAD_DEPLOYMENTS)
 def test_the_bound_is_all_requests_within_capacity_and_less_beyond_it(name):
-    deployment = PRESSED[name]
+    deployment = OVERLOAD_DEPLOYMENTS[name]
     requests = arrivals(deployment, Random(1))
     everything = sum(deployment.classes[n][0].importance for _, n, _ in requests)
     assert 0.5 * everything < worth_bound(deployment, requests) < everything
--- a/tests/rig/test_simulation.py
+++ b/tests/rig/test_simulation.py
@@ -78,7 +78,7 @@
 
 
 def test_a_worker_rejects_requests_beyond_its_queue():
-    load = Load(Capacity(cores=2, queue=3))
+    load = Load(Capacity(cores=2, queue_limit=3))
     ends = [load.arrive(0.0, 1.0) for _ in range(6)]
     assert ends == [1.0, 1.0, 2.0, 2.0, 3.0, None]
     assert load.rejected == 1 and load.max_queue_length == 3
@@ -86,10 +86,10 @@
 
 
 def test_a_starting_worker_is_slow_and_thrash_slows_a_long_queue():
-    cold = Capacity(cores=1, cold_from=0.25, ramp=10.0)
+    cold = Capacity(cores=1, min_warm_up_factor=0.25, warm_up_seconds=10.0)
     assert Load(cold, started=0.0).arrive(0.0, 1.0) == 4.0
     assert Load(cold, started=0.0).arrive(10.0, 1.0) == 11.0
-    thrashing = Load(Capacity(cores=1, queue=9, thrash=0.5))
+    thrashing = Load(Capacity(cores=1, queue_limit=9, queue_slowdown=0.5))
     assert [thrashing.arrive(0.0, 1.0) for _ in range(3)] == [1.0, 2.0, 3.5]
 
 
@@ -98,5 +98,5 @@
     for _ in range(2):
         lines = []
         tally = traces.record_day("many", lines.append).counts
-        recordings.append((lines, tally.ends))
+        recordings.append((lines, tally.results))
     assert recordings[0] == recordings[1] and recordings[0][1]["served"] > 1000
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -7,14 +7,14 @@
 
 from oliveloft.store.etcd import Etcd
 from oliveloft.store.interface import Change, Put, StoreError
-from rig.etcd import EtcdStandIn
+from rig.etcd import FakeEtcd
 from rig.fake_servers import run, until
 from rig.installation import free_port
 
 
 @contextlib.asynccontextmanager
 async def fake_etcd():
-    server = await EtcdStandIn().start()
+    server = await FakeEtcd().start()
     try:
         yield server.endpoint
     finally:
@@ -127,13 +127,13 @@
         with pytest.raises(StoreError, match="range"):
             await unreachable.read("/")
         await unreachable.close()
-        server = await EtcdStandIn().start()
+        server = await FakeEtcd().start()
         store = Etcd([f"http://127.0.0.1:{free_port()}", server.endpoint], timeout=0.2)
         assert (await store.read("/")).entries == ()  # the second endpoint answers
-        server.delay = 5.0
+        server.delay_seconds = 5.0
         with pytest.raises(StoreError):
             await store.commit({}, [Put("/a", "")])
-        server.delay, server.down = 0.0, True
+        server.delay_seconds, server.unreachable = 0.0, True
         with pytest.raises(StoreError):
             await store.read("/")
         await store.close()
@@ -144,7 +144,7 @@
 
 def test_a_wiped_store_ends_watches_and_leases():
     async def scenario():
-        server = await EtcdStandIn().start()
+        server = await FakeEtcd().start()
         store = Etcd([server.endpoint])
         lease = await store.lease(5)
         await store.commit({}, [Put("/a", "", lease)])
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from rig.fake_servers import Client, Worker, answer, config, once, run, until
-from rig.process_host import House, Load
+from rig.fake_servers import Client, FakeWorker, after_event, answer, config, run, until
+from rig.process_host import ClosedLoopClients, ProcessHost
 
 PLANS = [
     {
@@ -28,17 +28,17 @@
 
 def test_three_hot_restarts_under_load_refuse_reset_and_lose_nothing():
     async def scenario():
-        async with House(Worker("w"), Worker("v")) as house:
-            old = await house.process()
-            async with Load(old.port, 20) as load:
+        async with ProcessHost(FakeWorker("w"), FakeWorker("v")) as house:
+            old = await house.start_process()
+            async with ClosedLoopClients(old.port, 20) as load:
                 for _ in range(3):
-                    new = await house.process()
+                    new = await house.start_process()
                     old.process.send_signal(signal.SIGTERM)
                     assert await old.process.wait() == 0
                     served_before = len(load.statuses)
                     await until(lambda: len(load.statuses) > served_before + 100)  # noqa: B023
                     old = new
-            assert load.broken == 0 and set(load.statuses) == {200}
+            assert load.connection_failures == 0 and set(load.statuses) == {200}
             connections = sum(worker.connections for worker in house.workers)
             assert connections <= 60  # connections to workers were passed on as well
 
@@ -47,49 +47,49 @@
 
 def test_the_old_process_answers_requests_in_flight_and_their_connections_continue_in_the_new_one():
     async def scenario():
-        worker, proceed = Worker("w"), asyncio.Event()
-        async with House(worker) as house:
-            old = await house.process()
+        worker, proceed = FakeWorker("w"), asyncio.Event()
+        async with ProcessHost(worker) as house:
+            old = await house.start_process()
             client = Client(*await asyncio.open_connection("127.0.0.1", old.port))
-            worker.script = once(proceed)
+            worker.script = after_event(proceed)
             client.send(Client.request("write", timeout="3.0"))
-            await until(lambda: worker.seen)
+            await until(lambda: worker.received)
             worker.script = answer()
-            await house.process()
+            await house.start_process()
             old.process.send_signal(signal.SIGTERM)
             proceed.set()
             reply = await client.receive()
             assert reply.status == 200 and "connection" not in reply.headers
             assert await old.process.wait() == 0
-            assert (await client.ask("write")).status == 200
+            assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
 
 def test_quotas_maintenance_and_drain_state_are_handed_over():
     async def scenario():
-        worker, other = Worker("w"), Worker("v")
-        async with House(worker, other) as house:
+        worker, other = FakeWorker("w"), FakeWorker("v")
+        async with ProcessHost(worker, other) as house:
             configuration = config(house.discovery.port, changes={})
             configuration["settings"]["Plans"] = PLANS
-            old = await house.process(settings=configuration["settings"])
+            old = await house.start_process(settings=configuration["settings"])
             client = Client(*await asyncio.open_connection("127.0.0.1", old.port))
-            statuses = [(await client.ask("write")).status for _ in range(12)]
+            statuses = [(await client.fetch("write")).status for _ in range(12)]
             assert statuses.count(503) > 3  # the token bucket is empty
             assert (await old.call("OFFLINE w")).startswith("ok ")
-            new = await house.process(settings=configuration["settings"])
+            new = await house.start_process(settings=configuration["settings"])
             old.process.send_signal(signal.SIGTERM)
             await old.process.wait()
-            assert [(await client.ask("write")).status for _ in range(4)] == [503] * 4
-            seen = len(worker.seen)
+            assert [(await client.fetch("write")).status for _ in range(4)] == [503] * 4
+            seen = len(worker.received)
             for n in range(20):
-                reply = await client.ask("write", customer=f"{n + 5:016x}")
+                reply = await client.fetch("write", customer=f"{n + 5:016x}")
                 assert reply.status == 200
-            assert len(worker.seen) == seen
+            assert len(worker.received) == seen
             assert (await new.call("ONLINE w")).startswith("ok ")
             await new.call("LEAVE")
-            last = await house.process(ready=False, settings=configuration["settings"])
-            await last.listening()
+            last = await house.start_process(ready=False, settings=configuration["settings"])
+            await last.wait_until_listening()
             assert (await last.call("HEALTH")) == "fail sending clients away"
             assert (await last.call("JOIN")).startswith("ok ")
             assert (await last.call("HEALTH")).startswith("ok ")
@@ -99,18 +99,18 @@
 
 def test_calls_to_the_old_process_are_forwarded_to_the_new_one():
     async def scenario():
-        worker, other = Worker("w"), Worker("v")
-        async with House(worker, other) as house:
-            old = await house.process()
-            new = await house.process()
-            await old.logged("the new process serves")
+        worker, other = FakeWorker("w"), FakeWorker("v")
+        async with ProcessHost(worker, other) as house:
+            old = await house.start_process()
+            new = await house.start_process()
+            await old.wait_for_log("the new process serves")
             assert (await old.call("HEALTH")).startswith("fail ")
             assert (await old.call("OFFLINE w")).startswith("ok ")
-            await new.logged("w is out")
+            await new.wait_for_log("w is out")
             client = Client(*await asyncio.open_connection("127.0.0.1", new.port))
             for _ in range(20):
-                assert (await client.ask("write")).status == 200
-            assert not worker.seen
+                assert (await client.fetch("write")).status == 200
+            assert not worker.received
 
     run(scenario())
 
@@ -118,28 +118,29 @@
 @pytest.mark.parametrize("failure", ["killed", "other name", "garbage"])
 def test_if_the_new_process_fails_the_old_one_continues(failure):
     async def scenario():
-        async with House(Worker("w")) as house:
-            old = await house.process()
-            async with Load(old.port, 5) as load:
+        async with ProcessHost(FakeWorker("w")) as house:
+            old = await house.start_process()
+            async with ClosedLoopClients(old.port, 5) as load:
                 if failure == "killed":
-                    new = await house.process(ready=False)
+                    new = await house.start_process(ready=False)
                     await asyncio.sleep(0.2)
                     new.process.kill()
                     await new.process.wait()
                 elif failure == "other name":
-                    new = await house.process(ready=False, name="another")
-                    await new.logged("starting with nothing")
+                    new = await house.start_process(ready=False, name="another")
+                    await new.wait_for_log("starting with nothing")
                     new.process.kill()
                 else:
                     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as caller:
-                        caller.connect(str(Path(house.folder.name) / "oliveloft.takeover"))
+                        caller.connect(str(Path(house.temp_directory.name) / "oliveloft.takeover"))
                         caller.send(b"what is this")
                         await asyncio.sleep(0.1)
                 served_before = len(load.statuses)
                 await until(lambda: len(load.statuses) > served_before + 200)
-            assert load.broken == 0 or failure == "killed"  # it may have accepted clients before it was killed
+            # It may have accepted clients before it was killed.
+            assert load.connection_failures == 0 or failure == "killed"
             late = Client(*await asyncio.open_connection("127.0.0.1", old.port))
-            assert (await late.ask("write")).status == 200
+            assert (await late.fetch("write")).status == 200
             assert old.process.returncode is None
 
     run(scenario())
@@ -147,73 +148,73 @@
 
 def test_after_the_old_process_was_killed_the_new_one_starts_without_state():
     async def scenario():
-        async with House(Worker("w")) as house:
-            old = await house.process()
+        async with ProcessHost(FakeWorker("w")) as house:
+            old = await house.start_process()
             old.process.kill()
             await old.process.wait()
-            new = await house.process()
+            new = await house.start_process()
             client = Client(*await asyncio.open_connection("127.0.0.1", new.port))
-            assert (await client.ask("write")).status == 200
+            assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
 
 def test_the_process_serves_even_if_it_cannot_listen_for_a_successor():
     async def scenario():
-        async with House(Worker("w")) as house:
+        async with ProcessHost(FakeWorker("w")) as house:
             with contextlib.suppress(FileNotFoundError):
-                (Path(house.folder.name) / "oliveloft.takeover").mkdir()
-            old = await house.process()
-            await old.logged("a process that follows starts with nothing")
+                (Path(house.temp_directory.name) / "oliveloft.takeover").mkdir()
+            old = await house.start_process()
+            await old.wait_for_log("a process that follows starts with nothing")
             client = Client(*await asyncio.open_connection("127.0.0.1", old.port))
-            assert (await client.ask("write")).status == 200
+            assert (await client.fetch("write")).status == 200
 
     run(scenario())
 
 
 def test_retries_of_the_old_process_respect_maintenance_that_only_the_new_one_was_told_of():
     async def scenario():
-        worker, other = Worker("w"), Worker("v")
-        async with House(worker, other) as house:
-            old = await house.process()
+        worker, other = FakeWorker("w"), FakeWorker("v")
+        async with ProcessHost(worker, other) as house:
+            old = await house.start_process()
             clients = [Client(*await asyncio.open_connection("127.0.0.1", house.port)) for _ in range(8)]
             proceed = asyncio.Event()
-            worker.script = other.script = once(proceed, answer(503, b"", "X-Not-Processed: 1\r\n"))
+            worker.script = other.script = after_event(proceed, answer(503, b"", "X-Not-Processed: 1\r\n"))
             for client in clients:
                 client.send(Client.request("write", timeout="3.0"))
-            await until(lambda: len(worker.seen) + len(other.seen) == 8)
-            new = await house.process()
-            await old.logged("the new process serves")
+            await until(lambda: len(worker.received) + len(other.received) == 8)
+            new = await house.start_process()
+            await old.wait_for_log("the new process serves")
             assert (await new.call("OFFLINE w")).startswith("ok ")
-            await old.logged("w is out")
+            await old.wait_for_log("w is out")
             await asyncio.sleep(0.6)  # longer than the grace period of a drain
-            seen = len(worker.seen)
+            seen = len(worker.received)
             proceed.set()
             replies = [await client.receive() for client in clients]
-            assert len(worker.seen) == seen and {reply.status for reply in replies} <= {503, 200}
+            assert len(worker.received) == seen and {reply.status for reply in replies} <= {503, 200}
             assert (await new.call("ONLINE w")).startswith("ok ")
-            await old.logged("w is back")
+            await old.wait_for_log("w is back")
 
     run(scenario())
 
 
 def test_if_the_new_process_dies_after_the_handoff_the_old_one_accepts_clients_again():
     async def scenario():
-        async with House(Worker("w")) as house:
-            old = await house.process()
-            new = await house.process()
-            await old.logged("the new process serves")
+        async with ProcessHost(FakeWorker("w")) as house:
+            old = await house.start_process()
+            new = await house.start_process()
+            await old.wait_for_log("the new process serves")
             new.process.kill()
             await new.process.wait()
-            await old.logged("this process goes on")
+            await old.wait_for_log("this process goes on")
             late = Client(*await asyncio.open_connection("127.0.0.1", house.port))
             async with asyncio.timeout(3):
-                assert (await late.ask("write")).status == 200
+                assert (await late.fetch("write")).status == 200
             assert (await old.call("HEALTH")).startswith("ok ")
-            last = await house.process()  # a later successor can take over again
-            await last.logged("management at")
+            last = await house.start_process()  # a later successor can take over again
+            await last.wait_for_log("management at")
             old.process.terminate()
             assert await old.process.wait() == 0
-            assert (await late.ask("write")).status == 200
+            assert (await late.fetch("write")).status == 200
 
     run(scenario())
